--- a/snowthread/node/descriptors.py
+++ b/snowthread/node/descriptors.py
@@ -9,9 +9,9 @@
 """Descriptors that any process of a node has open: standard streams, epoll, listeners, files."""
 
 RESERVED_DESCRIPTORS = 32
-"""Descriptors kept for everything that is neither a balancer's connection nor a database call."""
+"""Descriptors reserved for everything that is neither a balancer's connection nor a database call."""
 
-DATABASE_SHARE = 8
+DATABASE_CALLS_DIVISOR = 8
 """One descriptor in this many is for calls to the database."""
 
 DATABASE_CALLS_MIN = 4
@@ -29,7 +29,7 @@
     def for_process(cls, max_sockets: int) -> DescriptorBudget:
         """Divide ``max_sockets``, or what the process may open where that is less."""
         total = min(max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        database_calls = max(DATABASE_CALLS_MIN, total // DATABASE_SHARE)
+        database_calls = max(DATABASE_CALLS_MIN, total // DATABASE_CALLS_DIVISOR)
         remaining = total - database_calls - RESERVED_DESCRIPTORS
         return cls(database_calls, max(BALANCER_CONNECTIONS_MIN, remaining))
 
--- a/snowthread/node/effect_handlers.py
+++ b/snowthread/node/effect_handlers.py
@@ -33,13 +33,12 @@
         database: DatabaseClient,
         registry: RegistryClient,
     ) -> None:
-        self._loop, self._post = loop, post
-        self._balancers, self._runtime, self._database, self._registry = (
-            balancers,
-            runtime,
-            database,
-            registry,
-        )
+        self._loop = loop
+        self._post = post
+        self._balancers = balancers
+        self._runtime = runtime
+        self._database = database
+        self._registry = registry
 
     def handlers(self) -> EffectHandlers:
         """Return the handler of each type of effect."""
--- a/snowthread/node/hot_restart_effects.py
+++ b/snowthread/node/hot_restart_effects.py
@@ -27,8 +27,11 @@
         descriptors: DescriptorBudget,
         resume_accepting: Callable[[], None],
     ) -> None:
-        self._channel, self._balancers, self._database = channel, balancers, database
-        self._descriptors, self._resume_accepting = descriptors, resume_accepting
+        self._channel = channel
+        self._balancers = balancers
+        self._database = database
+        self._descriptors = descriptors
+        self._resume_accepting = resume_accepting
 
     def handlers(self) -> EffectHandlers:
         """Return the handler of each type of effect."""
--- a/snowthread/node/node.py
+++ b/snowthread/node/node.py
@@ -29,6 +29,7 @@
 from snowthread.node.reconfiguration import apply_configuration, idle_timeout_ms
 from snowthread.node.shutdown import GracefulShutdown
 from snowthread.node.signals import SignalListener
+from snowthread.reload import reload
 
 if TYPE_CHECKING:
     from snowthread.operator.features import Features
@@ -42,20 +43,22 @@
 
         The order of the parts matters: sockets open and tasks take their first steps in it.
         """
-        self.config, self.clock, self.features = config, clock, features
+        self.config = config
+        self.features = features
+        self._clock = clock
         self.loop = EventLoop(clock)
         self.state = _initial_state(config, clock)
         self._pending_events: deque[events.Event] = deque()
-        self._dispatching = self._stopped = False
+        self._dispatching = False
+        self._stopped = False
         parts = build_feature_parts(features, self.loop, config, self.state, self.post)
-        self.recorder, self.recovery = parts.recorder, parts.recovery
+        self.recorder = parts.recorder
+        self.recovery = parts.recovery
         self.tenant_identification = parts.tenant_identification
         self._reduce = parts.reduce
         self._descriptors = DescriptorBudget.for_process(config.sockets)
         self.balancers = self._open_balancer_server()
         self.hot_restart = self._open_hot_restart_channel()
-        if config.settings.idle_timeout_s:
-            self.balancers.set_idle_timeout(idle_timeout_ms(config.settings))
         self.runtime = RuntimeClient(
             self.loop, config.runtime, self.post, self.recovery.reconnect_delay_ms if self.recovery else None
         )
@@ -63,22 +66,18 @@
             self.loop, config.database, self._descriptors.database_calls, self.post
         )
         self.registry = RegistryClient(self.loop, config.registry, config.name)
-        if self.recovery is not None:
-            self.registry.join_fleet(self.recovery.report_suffix, self.recovery.handle_registry_answer)
-            self.recovery.start(self.registry.report_now, self._carry_out)
+        self._join_fleet()
         self.operator_calls = OperatorCalls(self.state, self.balancers, self.hot_restart, self.post)
         self.admin = self._open_admin_server()
         self._effect_handlers = self._build_effect_handlers()
         self.shutdown = GracefulShutdown(self)
-        self._signals = SignalListener(self)
-        if self.tenant_identification is not None:
-            self.tenant_identification.start(self.balancers.peer_address)
-        if self.recorder is not None:
-            self.recorder.set_connection_counter(self.balancers.count)
+        self._signals = SignalListener(self.loop, self.shutdown.begin, self._reload)
+        self._connect_features_to_balancers()
 
     def _open_balancer_server(self) -> BalancerServer:
-        config, tenants = self.config, self.tenant_identification
-        return BalancerServer(
+        config = self.config
+        tenants = self.tenant_identification
+        server = BalancerServer(
             self.loop,
             config.listen,
             self._descriptors.balancer_connections,
@@ -86,6 +85,8 @@
             self.post if tenants is None else tenants.handle,
             config.listen_descriptor,
         )
+        server.set_idle_timeout(idle_timeout_ms(config.settings))
+        return server
 
     def _open_hot_restart_channel(self) -> HotRestartChannel | None:
         """Open the channel to another process of this node that serves already, or comes to replace this one.
@@ -97,6 +98,12 @@
         self.balancers.pause_accepting()
         return HotRestartChannel(self.loop, self.config.handover_directory, self.post, self._resume_accepting)
 
+    def _join_fleet(self) -> None:
+        """Connect recovery, where it is on, to the registry."""
+        if self.recovery is not None:
+            self.registry.join_fleet(self.recovery.report_suffix, self.recovery.handle_registry_answer)
+            self.recovery.start(self.registry.report_now, self._carry_out)
+
     def _open_admin_server(self) -> AdminServer | None:
         if self.config.admin is None:
             return None
@@ -112,6 +119,12 @@
             ).handlers()
         return handlers
 
+    def _connect_features_to_balancers(self) -> None:
+        if self.tenant_identification is not None:
+            self.tenant_identification.start(self.balancers.peer_address)
+        if self.recorder is not None:
+            self.recorder.set_connection_counter(self.balancers.count)
+
     def _resume_accepting(self) -> None:
         """Accept clients, unless this process shuts down or a successor accepts them."""
         if not self.state.shutting_down and not self.state.superseded:
@@ -132,7 +145,7 @@
             while self._pending_events:
                 event = self._pending_events.popleft()
                 try:
-                    for effect in self._reduce(self.state, event, self.clock.now()):
+                    for effect in self._reduce(self.state, event, self._clock.now()):
                         self._effect_handlers[type(effect)](effect)
                 except Exception:  # a failed event must not end the connection or timer that brought it
                     logger.exception("{} failed", type(event).__name__)
@@ -148,6 +161,9 @@
         """Go on with a new configuration; OSError where no socket can be opened, and nothing has changed."""
         apply_configuration(self, config, features)
 
+    def _reload(self) -> None:
+        reload(self)
+
     def serve(self) -> None:
         """Serve until a signal to shut down, and return once all is answered. SIGHUP reloads all files."""
         self.listen_for_signals()
--- a/snowthread/node/operator_calls.py
+++ b/snowthread/node/operator_calls.py
@@ -24,7 +24,10 @@
         hot_restart: HotRestartChannel | None,
         post: Callable[[events.Event], None],
     ) -> None:
-        self._state, self._balancers, self._hot_restart, self._post = state, balancers, hot_restart, post
+        self._state = state
+        self._balancers = balancers
+        self._hot_restart = hot_restart
+        self._post = post
 
     def routes(self) -> RouteTable:
         """Return the HTTP method and the answering function of each path."""
@@ -35,18 +38,18 @@
         }
 
     def ready(self) -> AdminResponse:
-        """Say whether this process takes clients."""
+        """Say whether this process accepts clients."""
         if self._balancers.accepting and (self._hot_restart is None or self._hot_restart.settled):
             return AdminResponse(HTTPStatus.OK, "ready")
         return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "takes no clients")
 
     def drain(self) -> AdminResponse:
-        """Take the node off the registry; what still comes is served."""
+        """Deregister the node; it serves what still comes."""
         self._set_drained(True)
         return AdminResponse(HTTPStatus.OK, "draining")
 
     def resume(self) -> AdminResponse:
-        """Put the node back on the registry, unless this process is shutting down."""
+        """Register the node again, unless this process is shutting down."""
         if self._state.shutting_down:
             text = "this process has been told to leave: it can't go back to work"
             return AdminResponse(HTTPStatus.CONFLICT, text)
--- a/snowthread/node/reconfiguration.py
+++ b/snowthread/node/reconfiguration.py
@@ -1,55 +1,78 @@
-"""Taking up a new configuration while serving: addresses, idle time, admission settings, tenants."""
+"""Applying a new configuration while serving: addresses, idle timeout, admission settings, tenants."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import replace
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from snowthread.admission.settings import Settings
+from snowthread.clients.database import DatabaseClient
+from snowthread.clients.registry import RegistryClient
+from snowthread.clients.runtime import RuntimeClient
 from snowthread.config import Config
 from snowthread.core import events
-from snowthread.core.state import AdmissionClock
+from snowthread.core.state import AdmissionClock, State
+from snowthread.frontends.balancers.server import BalancerServer
 
 if TYPE_CHECKING:
-    from snowthread.node.node import Node
     from snowthread.operator.features import Features
+    from snowthread.records.recorder import Recorder
+    from snowthread.tenants.identification import TenantIdentification
 
-IDLE_FACTOR = 2.0
-"""Times the balancers' own idle time after which a connection that they forgot is closed."""
+IDLE_TIMEOUT_RATIO = 2.0
+"""Of the balancers' own idle timeout: after this a connection that they forgot is closed."""
+
+
+class ReconfigurableNode(Protocol):
+    """The parts of a node that a new configuration changes."""
+
+    config: Config
+    features: Features | None
+    state: State
+    balancers: BalancerServer
+    runtime: RuntimeClient
+    database: DatabaseClient
+    registry: RegistryClient
+    recorder: Recorder | None
+    tenant_identification: TenantIdentification | None
+
+    def post(self, event: events.Event) -> None:
+        """Hand an event to the reducer and carry out its effects."""
 
 
 def idle_timeout_ms(settings: Settings) -> float:
-    """Return how long a balancer's connection may be idle; infinity where balancers state no idle time."""
+    """Return how long a balancer's connection may be idle; infinity where balancers state no idle timeout."""
     if not settings.idle_timeout_s:
         return math.inf
-    return IDLE_FACTOR * AdmissionClock.duration_ms(settings.idle_timeout_s)
+    return IDLE_TIMEOUT_RATIO * AdmissionClock.duration_ms(settings.idle_timeout_s)
 
 
-def apply_configuration(node: Node, config: Config, features: Features | None) -> None:
+def apply_configuration(node: ReconfigurableNode, config: Config, features: Features | None) -> None:
     """Go on with a new configuration; OSError where no socket can be opened, and nothing has changed then."""
     _apply_addresses(node, config)
     _apply_idle_timeout(node, config)
     _apply_settings(node, config)
     _apply_tenants(node, features)
-    node.config, node.features = config, features
+    node.config = config
+    node.features = features
 
 
-def _apply_addresses(node: Node, config: Config) -> None:
+def _apply_addresses(node: ReconfigurableNode, config: Config) -> None:
     node.registry.set_address(config.registry)  # first, as only it opens a socket, which can fail
     node.runtime.set_address(config.runtime)
     node.database.set_address(config.database)
 
 
-def _apply_idle_timeout(node: Node, config: Config) -> None:
-    """Close idle connections by the new idle time; the admission controller may shorten it later."""
+def _apply_idle_timeout(node: ReconfigurableNode, config: Config) -> None:
+    """Close idle connections by the new timeout; the admission controller may shorten it later."""
     if config.settings.idle_timeout_s != node.config.settings.idle_timeout_s:
         node.balancers.set_idle_timeout(idle_timeout_ms(config.settings))
 
 
-def _apply_settings(node: Node, config: Config) -> None:
-    new, old = config.settings, node.config.settings
-    if (new, config.gauge_names) == (old, node.config.gauge_names):
+def _apply_settings(node: ReconfigurableNode, config: Config) -> None:
+    new = config.settings
+    if (new, config.gauge_names) == (node.config.settings, node.config.gauge_names):
         return
     settings = new
     if node.tenant_identification is not None:  # the directory says which tenants there are, not the file
@@ -59,6 +82,6 @@
         node.recorder.apply_settings(new)
 
 
-def _apply_tenants(node: Node, features: Features | None) -> None:
+def _apply_tenants(node: ReconfigurableNode, features: Features | None) -> None:
     if node.tenant_identification is not None and features is not None and features.tenants is not None:
         node.tenant_identification.apply_settings(features.tenants)
--- a/snowthread/node/shutdown.py
+++ b/snowthread/node/shutdown.py
@@ -7,16 +7,16 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from loguru import logger
 
+from snowthread.config import Config
 from snowthread.core import events
+from snowthread.core.state import AdmissionClock, State
+from snowthread.frontends.balancers.server import BalancerServer
 from snowthread.hot_restart.channel import HotRestartChannel
-from snowthread.net.loop import TaskSteps, Wait
-
-if TYPE_CHECKING:
-    from snowthread.node.node import Node
+from snowthread.net.loop import EventLoop, TaskSteps, Wait
 
 CLOSE_LISTENER_BEFORE_KILL_MS = 500.0  # what has come by then is answered by the kill
 EXIT_BEFORE_KILL_MS = 120.0  # the process exits by then, whatever is left unanswered
@@ -26,15 +26,36 @@
 SUPERSEDED_DEADLINE_MAX_MS = 3000.0  # the longest deadline counts for no more than this
 
 
+class ServingNode(Protocol):
+    """What the graceful shutdown needs of the node that it ends."""
+
+    config: Config
+    loop: EventLoop
+    state: State
+    balancers: BalancerServer
+    hot_restart: HotRestartChannel | None
+
+    def post(self, event: events.Event) -> None:
+        """Hand an event to the reducer and carry out its effects."""
+
+    def stop(self) -> None:
+        """End the event loop."""
+
+
 class GracefulShutdown:
-    """Ends a node's service without leaving a request unanswered."""
+    """Ends a node's service without leaving a request unanswered.
+
+    The shutdown module of the core decides what becomes of queued and later requests; this one decides when
+    the listener closes and when the process exits.
+    """
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: ServingNode) -> None:
         self._node = node
 
     def begin(self, signalled_at_ms: float) -> None:
         """Begin to shut down; the grace period counts from the signal, not from now."""
-        node, clock = self._node, self._node.clock
+        node = self._node
+        clock = node.loop.clock
         grace_ms = self._grace_ms()
         elapsed_ms = max(0.0, clock.now() - signalled_at_ms)
         logger.bind(event="node.shutdown").info("graceful shutdown begins, {} ms until the kill", grace_ms)
@@ -52,8 +73,8 @@
         config = self._node.config
         if not self._node.state.superseded:
             return config.grace_period_ms
-        longest_deadline_ms = 1000.0 * max(
-            request_class.deadline_s for request_class in config.settings.classes
+        longest_deadline_ms = AdmissionClock.duration_ms(
+            max(request_class.deadline_s for request_class in config.settings.classes)
         )
         return min(
             config.grace_period_ms, SUPERSEDED_GRACE_MS + min(SUPERSEDED_DEADLINE_MAX_MS, longest_deadline_ms)
@@ -65,32 +86,34 @@
         The listening socket is shared: closing it here would reject nobody. Without a successor, serve until
         shortly before the kill.
         """
-        node, clock = self._node, self._node.clock
+        node = self._node
+        clock = node.loop.clock
         busy_at_ms = clock.now()
-        while (now := clock.now()) < kill_at_ms - EXIT_BEFORE_KILL_MS:
+        while (now_ms := clock.now()) < kill_at_ms - EXIT_BEFORE_KILL_MS:
             if not node.state.superseded or node.balancers.has_pending_work() or node.state.requests:
-                busy_at_ms = now
-            elif now >= busy_at_ms + QUIET_BEFORE_EXIT_MS:
+                busy_at_ms = now_ms
+            elif now_ms >= busy_at_ms + QUIET_BEFORE_EXIT_MS:
                 if not self._has_unread_work():
                     break
-                busy_at_ms = now
-            yield Wait(until_ms=now + POLL_INTERVAL_MS)
+                busy_at_ms = now_ms
+            yield Wait(until_ms=now_ms + POLL_INTERVAL_MS)
         node.balancers.read_pending()
         channel.close()
         node.stop()
 
     def serve_until_kill(self, kill_at_ms: float) -> TaskSteps:
         """Serve until shortly before the kill, then close the listener, answer what came and exit."""
-        node, clock = self._node, self._node.clock
+        node = self._node
+        clock = node.loop.clock
         yield Wait(until_ms=kill_at_ms - CLOSE_LISTENER_BEFORE_KILL_MS)
         node.balancers.stop_accepting()
         busy_at_ms = clock.now()
-        while (now := clock.now()) < kill_at_ms - EXIT_BEFORE_KILL_MS:
-            if now >= busy_at_ms + QUIET_BEFORE_EXIT_MS and not self._has_unread_work():
+        while (now_ms := clock.now()) < kill_at_ms - EXIT_BEFORE_KILL_MS:
+            if now_ms >= busy_at_ms + QUIET_BEFORE_EXIT_MS and not self._has_unread_work():
                 break
             if node.balancers.busy:
-                busy_at_ms = now
-            yield Wait(until_ms=now + POLL_INTERVAL_MS)
+                busy_at_ms = now_ms
+            yield Wait(until_ms=now_ms + POLL_INTERVAL_MS)
         # Where the time ran out while the process stood still, requests lie unread: each is answered as read.
         node.balancers.read_pending()
         node.stop()
--- a/snowthread/node/signals.py
+++ b/snowthread/node/signals.py
@@ -9,30 +9,35 @@
 import math
 import signal
 import socket
-from typing import TYPE_CHECKING
+from collections.abc import Callable
 
 from loguru import logger
 
-from snowthread.net.loop import READABLE, TaskSteps, Wait
-from snowthread.reload import reload
-
-if TYPE_CHECKING:
-    from snowthread.node.node import Node
+from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
 
 SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 BLOCKED_SIGNALS = {signal.SIGHUP, *SHUTDOWN_SIGNALS}
 """Signals that ``serve`` blocks from the program's start until the node listens for them."""
 
-SIGNALS_PER_READ = 64  # bytes, one a signal
+READ_BYTES = 64  # one byte a signal
+NO_WAKEUP_DESCRIPTOR = -1  # as ``signal.set_wakeup_fd`` has it
 
 
 class SignalListener:
-    """Passes the signals of the process on to a node."""
-
-    def __init__(self, node: Node) -> None:
-        self._node = node
+    """Calls what the signals of the process ask for, on the event loop.
+
+    ``begin_shutdown`` is called once, with the time of the first signal to shut down in Unix milliseconds;
+    ``reload`` at each SIGHUP.
+    """
+
+    def __init__(
+        self, loop: EventLoop, begin_shutdown: Callable[[float], None], reload: Callable[[], None]
+    ) -> None:
+        self._loop = loop
+        self._begin_shutdown = begin_shutdown
+        self._reload = reload
         self._sockets: tuple[socket.socket, socket.socket] | None = None  # open as long as the process
-        self._shutdown_signal_at_ms = math.inf  # when the first signal to shut down came
+        self._shutdown_signal_at_ms = math.inf
 
     def start(self) -> None:
         """Listen from now on; signals that were blocked so far arrive at once."""
@@ -40,21 +45,21 @@
         reader.setblocking(False)
         writer.setblocking(False)
         signal.set_wakeup_fd(writer.fileno())
-        signal.signal(signal.SIGHUP, lambda *_: None)
+        signal.signal(signal.SIGHUP, _ignore)
         for number in SHUTDOWN_SIGNALS:
             signal.signal(number, self._note_shutdown_signal)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
-        self._node.loop.spawn(self._steps(reader))
+        self._loop.spawn(self._steps(reader))
 
     def stop(self) -> None:
-        """Ignore all signals of ours from now on; the process is about to end.
+        """Ignore these signals from now on; the process is about to end.
 
-        The interpreter gives them their defaults back as it ends: a signal then would end the process with a
+        The interpreter restores their defaults as it ends: a signal then would end the process with a
         failure, though all was answered.
         """
         if self._sockets is None:
             return
-        signal.set_wakeup_fd(-1)
+        signal.set_wakeup_fd(NO_WAKEUP_DESCRIPTOR)
         for number in BLOCKED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
@@ -63,21 +68,25 @@
 
         The loop may be late to read of it, and the grace period counts from the signal.
         """
-        self._shutdown_signal_at_ms = min(self._shutdown_signal_at_ms, self._node.clock.now())
+        self._shutdown_signal_at_ms = min(self._shutdown_signal_at_ms, self._loop.clock.now())
 
     def _steps(self, reader: socket.socket) -> TaskSteps:
         shutdown_begun = False
         while True:
             yield Wait(reader.fileno(), READABLE)
-            received = reader.recv(SIGNALS_PER_READ)
-            if signal.SIGHUP in received:  # also while shutting down: runs go on, and the runtime may move
-                self._reload()
+            received = reader.recv(READ_BYTES)
+            if signal.SIGHUP in received:  # also while shutting down: runs go on, and the runtime may migrate
+                self._try_reload()
             if not shutdown_begun and any(number in received for number in SHUTDOWN_SIGNALS):
                 shutdown_begun = True
-                self._node.shutdown.begin(self._shutdown_signal_at_ms)
+                self._begin_shutdown(self._shutdown_signal_at_ms)
 
-    def _reload(self) -> None:
+    def _try_reload(self) -> None:
         try:
-            reload(self._node)
+            self._reload()
         except Exception:  # whatever is wrong with a file, this task must go on listening
             logger.exception("configuration not taken up")
+
+
+def _ignore(*_: object) -> None:
+    """Handle a signal that only its number in the wakeup socket matters of."""
--- a/tests/node/test_node_shutdown.py
+++ b/tests/node/test_node_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown crosses with messages, signals, completed runs and a runtime that moves."""
+"""Graceful shutdown crosses with messages, signals, completed runs and a runtime that migrates."""
 
 from __future__ import annotations
 
@@ -148,13 +148,13 @@
     harness.assert_silent("1")
 
 
-@pytest.mark.parametrize("first", ["shutdown", "move"])
-def test_runtime_that_moves_during_shutdown_is_heard_to_the_end(harness: NodeHarness, first: str) -> None:
+@pytest.mark.parametrize("first", ["shutdown", "migration"])
+def test_runtime_that_migrates_during_shutdown_is_read_to_the_end(harness: NodeHarness, first: str) -> None:
     harness.connect("1")
     harness.send("1", request(1, "dispense", once="k1"))
     assert read_command(harness)["action"] == "start"
     listener = loopback(socket.SOCK_STREAM)
-    for event in (first, "move" if first == "shutdown" else "shutdown"):
+    for event in (first, "migration" if first == "shutdown" else "shutdown"):
         if event == "shutdown":
             harness.begin_shutdown()
         else:
