--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -15,7 +15,7 @@
 from snowthread.frontends.balancers.connection import BalancerConnection
 from snowthread.frontends.balancers.eviction import eviction_candidates
 from snowthread.frontends.balancers.sweeper import FAREWELL_TIMEOUT_MS, ConnectionSweeper
-from snowthread.net.limits import IDLE_SHARE, SWEEP_INTERVAL_MS
+from snowthread.net.limits import IDLE_CONNECTIONS_RATIO, SWEEP_INTERVAL_MS
 from snowthread.net.listening import adopt_listener, has_pending_connection, open_listener
 from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
 
@@ -94,7 +94,7 @@
     def set_max_connections(self, max_connections: int) -> None:
         """Limit the connections from now on; what is above the limit is evicted as new ones come."""
         self._max_connections = max(MIN_CONNECTION_LIMIT, max_connections)
-        self._sweeper.max_idle_connections = int(self._max_connections * IDLE_SHARE)
+        self._sweeper.max_idle_connections = int(self._max_connections * IDLE_CONNECTIONS_RATIO)
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
         """Send a farewell to connections that are idle for this long, from now on."""
--- a/snowthread/net/clock.py
+++ b/snowthread/net/clock.py
@@ -4,13 +4,15 @@
 
 import time
 
+MS_PER_S = 1000.0
+
 
 class Clock:
-    """The system's Unix clock, which peers state their times by, too."""
+    """The system's Unix clock, by which peers state their times, too."""
 
     def now(self) -> float:
         """Return the milliseconds since the epoch."""
-        return time.time() * 1000.0
+        return time.time() * MS_PER_S
 
 
 class ManualClock(Clock):
--- a/snowthread/net/connect.py
+++ b/snowthread/net/connect.py
@@ -19,7 +19,9 @@
     """
 
     def __init__(self, address: Address, loop: EventLoop, deadline_ms: float) -> None:
-        self.address, self.loop, self.deadline_ms = address, loop, deadline_ms
+        self.address = address
+        self.loop = loop
+        self.deadline_ms = deadline_ms
         self.sock: socket.socket | None = None
         self.failure = Failure(Progress.NOT_CONNECTED, "not tried")
 
--- a/snowthread/net/listening.py
+++ b/snowthread/net/listening.py
@@ -10,9 +10,12 @@
 
 
 def open_listener(address: Address, backlog: int) -> socket.socket:
-    """Return a new socket that listens at an address; OSError where the address is not available.
+    """Return a new socket that listens at an address.
 
     The kernel queues ``backlog`` connections until they are accepted.
+
+    Raises:
+        OSError: the address is not available.
     """
     listener = address.open(socket.SOCK_STREAM)
     try:
@@ -26,9 +29,12 @@
 
 
 def adopt_listener(descriptor: int) -> socket.socket:
-    """Return the listening socket behind an inherited descriptor; OSError where it does not listen.
+    """Return the listening socket behind an inherited descriptor.
 
     It may be closed but never shut down: other processes listen on it too.
+
+    Raises:
+        OSError: the descriptor does not listen.
     """
     listener = socket.socket(fileno=descriptor)
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
--- a/snowthread/net/loop.py
+++ b/snowthread/net/loop.py
@@ -20,10 +20,11 @@
 
 from loguru import logger
 
-from snowthread.net.clock import Clock
+from snowthread.net.clock import MS_PER_S, Clock
 
 CANCELLED_TIMERS_MAX = 256  # cancelled timers that may lie in the heap, however small it is
 POLL_MAX_S = 3600.0  # the longest sleep: epoll takes no infinite timeout as a float
+NO_DESCRIPTOR = -1
 
 READABLE = select.EPOLLIN
 WRITABLE = select.EPOLLOUT
@@ -33,7 +34,7 @@
 class Wait(NamedTuple):
     """What a coroutine waits for: a file descriptor to be ready, a time in milliseconds, or to be woken."""
 
-    fd: int = -1  # none
+    fd: int = NO_DESCRIPTOR
     mask: int = 0
     until_ms: float = math.inf
 
@@ -55,9 +56,11 @@
 
     def __init__(self, steps: TaskSteps) -> None:
         self.steps: TaskSteps | None = steps  # None once it has ended
-        self.fd, self.mask = -1, 0  # what it waits for
+        self.fd = NO_DESCRIPTOR  # what it waits for, and for which of its events
+        self.mask = 0
         self.timer: Timer | None = None  # of the wait's time
-        self.begun = self.woken = False
+        self.begun = False
+        self.woken = False
 
 
 class EventLoop:
@@ -94,7 +97,7 @@
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
-        """Cancel a timer; one that was called already is left alone.
+        """Cancel a timer; one that was called already is left as it is.
 
         Where most of the heap is cancelled it is rebuilt: calls that end early would otherwise leave their
         timeouts behind by the thousand.
@@ -116,7 +119,7 @@
         """Stop watching a descriptor; to be called before it is closed."""
         task = self._task_by_fd.pop(fd, None)
         if task is not None:
-            task.fd = -1
+            task.fd = NO_DESCRIPTOR
             self._epoll.unregister(fd)
 
     def stop(self) -> None:
@@ -152,7 +155,7 @@
         if self._woken_tasks:
             sleep_s = 0.0
         elif self._timers:
-            sleep_s = min(max_sleep_s, max(0.0, (self._timers[0][0] - self.clock.now()) / 1000.0))
+            sleep_s = min(max_sleep_s, max(0.0, (self._timers[0][0] - self.clock.now()) / MS_PER_S))
         for fd, mask in self._epoll.poll(sleep_s):
             watcher = self._task_by_fd.get(fd)
             if watcher is not None:
@@ -191,7 +194,8 @@
             if wait.fd >= 0:
                 self._epoll.register(wait.fd, wait.mask)
                 self._task_by_fd[wait.fd] = task
-            task.fd, task.mask = wait.fd, wait.mask
+            task.fd = wait.fd
+            task.mask = wait.mask
         elif wait.fd >= 0 and wait.mask != task.mask:
             self._epoll.modify(wait.fd, wait.mask)
             task.mask = wait.mask
@@ -202,7 +206,7 @@
         if task.fd >= 0 and self._task_by_fd.get(task.fd) is task:
             del self._task_by_fd[task.fd]
             self._epoll.unregister(task.fd)
-        task.fd = -1
+        task.fd = NO_DESCRIPTOR
 
     def end_task(self, task: Task) -> None:
         """End a task now; its ``finally`` blocks run."""
--- a/snowthread/net/tls_stream.py
+++ b/snowthread/net/tls_stream.py
@@ -14,20 +14,22 @@
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, Wait
 
 READ_BYTES = 16 * 1024  # read in one round, so that a peer that floods gets no more than others
-UNSENT_BYTES_MAX = 256 * 1024  # beyond this the peer counts as gone
+UNSENT_MAX_BYTES = 256 * 1024  # beyond this the connection counts as broken
 
 
 class Stream:
     """One connected socket and what has not been sent on it yet."""
 
     def __init__(self, loop: EventLoop, sock: socket.socket) -> None:
-        self._loop, self._sock = loop, sock
+        self._loop = loop
+        self._sock = sock
         self._unsent = bytearray()
         self._tls: ssl.SSLObject | None = None
-        self._tls_input, self._tls_output = ssl.MemoryBIO(), ssl.MemoryBIO()
+        self._tls_input = ssl.MemoryBIO()
+        self._tls_output = ssl.MemoryBIO()
 
     def write(self, data: bytes) -> None:
-        """Send what the socket takes and keep the rest for ``read``, which reports an error, too."""
+        """Send what the socket takes and buffer the rest for ``read``, which reports an error, too."""
         if self._tls is not None:
             self._tls.write(data)
             self._flush_tls()
@@ -44,7 +46,7 @@
             data = self._decrypt(b"")
             if data:
                 return data
-        if len(self._unsent) > UNSENT_BYTES_MAX:
+        if len(self._unsent) > UNSENT_MAX_BYTES:
             return Failure(Progress.SENT, "the peer reads nothing")
         ready = yield self._wait(deadline_ms)
         if ready & WRITABLE:
@@ -105,7 +107,7 @@
         try:
             while self._unsent:
                 del self._unsent[: self._sock.send(self._unsent)]
-        except OSError:  # full, or broken: the next read tells which
+        except OSError:  # full, or broken: the next read finds out which
             pass
 
     def _flush_tls(self) -> None:
