--- /dev/null
+++ b/snowthread/frontends/balancers/message_handler.py
@@ -0,0 +1,119 @@
+"""What a message on a balancer's connection leads to: an event of the core, or an answer at once.
+
+Invalid messages and cancellations are charged to the connection's abuse budget. Functions and not a class, as
+a connection and an object that refers to it would have to be found by the garbage collector.
+"""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from loguru import logger
+
+from snowthread.core import effects, events
+from snowthread.frontends.balancers.codec import encode
+from snowthread.frontends.balancers.messages import (
+    CancelMessage,
+    DecodedMessage,
+    HealthCheckMessage,
+    InvalidMessage,
+    RequestMessage,
+    Violation,
+)
+from snowthread.frontends.balancers.request_fields import parse_request
+from snowthread.net.clock import Clock
+from snowthread.net.limits import AbuseBudget
+
+MAX_OPEN_REQUESTS = 32  # on one connection
+
+
+class MessageConnection(Protocol):
+    """What handling a message needs of its connection."""
+
+    number: int
+    clock: Clock
+    open_numbers: set[int]  # messages that are still to be answered
+    abuse_budget: AbuseBudget
+    ending: bool  # nothing more is read
+
+    def write(self, data: bytes) -> None:
+        """Send an answer."""
+
+    def post(self, event: events.Event) -> None:
+        """Hand an event to the core."""
+
+    def mark_active(self) -> None:
+        """Restart the connection's idle time, or note that it is busy."""
+
+
+def handle_message(connection: MessageConnection, message: DecodedMessage) -> None:
+    """Post a valid message as an event, or answer an invalid one."""
+    if isinstance(message, RequestMessage):
+        _handle_request(connection, message)
+    elif isinstance(message, CancelMessage):
+        _cancel(connection, message.number)
+    elif isinstance(message, HealthCheckMessage):
+        if message.number in connection.open_numbers:
+            _reject_reused_number(connection, message.number)
+        else:
+            connection.open_numbers.add(message.number)
+            connection.post(events.HealthCheckReceived((connection.number, message.number)))
+    else:
+        reject_invalid(connection, message)
+
+
+def _handle_request(connection: MessageConnection, message: RequestMessage) -> None:
+    open_numbers = connection.open_numbers
+    if message.number in open_numbers:
+        _reject_reused_number(connection, message.number)
+        return
+    if len(open_numbers) >= MAX_OPEN_REQUESTS:
+        reject_invalid(connection, InvalidMessage(message.number, Violation.TOO_MANY_OPEN_REQUESTS))
+        connection.ending = True
+        return
+    request = parse_request(message, (connection.number, message.number), connection.clock.now())
+    if isinstance(request, InvalidMessage):
+        reject_invalid(connection, request)
+        return
+    open_numbers.add(message.number)
+    connection.mark_active()
+    connection.post(request)
+
+
+def _reject_reused_number(connection: MessageConnection, number: int) -> None:
+    """Cancel the open request and close: an answer would be taken for either, so none is given."""
+    connection.open_numbers.discard(number)
+    connection.post(events.RequestCancelled((connection.number, number)))
+    reject_invalid(connection, InvalidMessage(None, Violation.NUMBER_IN_USE))
+
+
+def _cancel(connection: MessageConnection, number: int) -> None:
+    """Cancel an open request and answer it as failed.
+
+    Without an answer a client that cancels all its requests would never receive anything. Cancellations are
+    charged to the abuse budget, so a client that does nothing else is disconnected.
+    """
+    if number in connection.open_numbers:
+        connection.open_numbers.discard(number)
+        connection.write(encode(number, effects.Failed(), None))
+        connection.post(events.RequestCancelled((connection.number, number)))
+        connection.mark_active()
+    _charge_abuse(connection)
+
+
+def reject_invalid(connection: MessageConnection, message: InvalidMessage) -> None:
+    """Answer an invalid message as failed where its number is known, else close.
+
+    Without a number the stream's requests can't be matched to answers, and what is open on it is failed too.
+    """
+    logger.debug("balancer connection {}: {} {}", connection.number, message.violation.value, message.detail)
+    if message.number is None:
+        connection.ending = True
+    else:
+        connection.write(encode(message.number, effects.Failed(), None))
+        _charge_abuse(connection)
+
+
+def _charge_abuse(connection: MessageConnection) -> None:
+    if not connection.abuse_budget.spend(connection.clock.now()):
+        connection.ending = True
--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -139,7 +139,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._last_connection_number += 1
         number = self._last_connection_number
-        connection = BalancerConnection(self, sock, number, self.loop.clock.now())
+        connection = BalancerConnection(self, sock, number)
         self._connections[number] = connection
         self.mark_active(connection)
 
--- a/snowthread/frontends/balancers/sweeper.py
+++ b/snowthread/frontends/balancers/sweeper.py
@@ -15,7 +15,7 @@
 
 
 class ConnectionSweeper:
-    """Closes connections that cost more than they are worth.
+    """Closes connections whose peers stall, are idle too long or leave too much unread.
 
     ``connections`` and ``idle_since_ms`` (the longest idle first) are the server's own tables, by number.
     """
@@ -26,7 +26,8 @@
         idle_since_ms: MutableMapping[int, float],
         max_unsent_bytes: int,
     ) -> None:
-        self._connections, self._idle_since_ms = connections, idle_since_ms
+        self._connections = connections
+        self._idle_since_ms = idle_since_ms
         self._max_unsent_bytes = max_unsent_bytes
         self.idle_timeout_ms = math.inf
         self.max_idle_connections = 0
@@ -47,7 +48,7 @@
     def _has_expired(
         self, connection: BalancerConnection, now_ms: float, closes_after_farewell: bool
     ) -> bool:
-        """Return whether the peer kept the node waiting too long, or stayed idle after its farewell."""
+        """Return whether the peer made the node wait too long, or stayed idle after its farewell."""
         if is_timed_out(
             now_ms,
             connection.incomplete_since_ms(),
@@ -69,19 +70,20 @@
         """
         with_unsent = sorted(
             (connection for connection in self._connections.values() if connection.unsent_bytes),
-            key=lambda connection: len(connection.unsent_bytes),
+            key=lambda connection: connection.unsent_bytes,
         )
-        unsent_bytes = sum(len(connection.unsent_bytes) for connection in with_unsent)
+        unsent_bytes = sum(connection.unsent_bytes for connection in with_unsent)
         while unsent_bytes > self._max_unsent_bytes:
             connection = with_unsent.pop()
-            unsent_bytes -= len(connection.unsent_bytes)
+            unsent_bytes -= connection.unsent_bytes
             connection.abort()
 
     def _retire_idle(self, now_ms: float) -> None:
         """Send a farewell to connections that are idle too long, or too many."""
         excess = len(self._idle_since_ms) - self.max_idle_connections
         for number, since_ms in list(self._idle_since_ms.items()):
-            connection, idle_ms = self._connections[number], now_ms - since_ms
+            connection = self._connections[number]
+            idle_ms = now_ms - since_ms
             if connection.has_partial_message:
                 continue  # a request is arriving in pieces
             if (
--- a/tests/node/test_connection_close.py
+++ b/tests/node/test_connection_close.py
@@ -41,7 +41,8 @@
 def receive_until_closed(harness: NodeHarness, sock: socket.socket) -> bytes:
     """Return what comes until the node closes, or sends nothing for many rounds of the loop."""
     sock.setblocking(False)
-    received, idle_rounds = b"", 0
+    received = b""
+    idle_rounds = 0
     while idle_rounds < IDLE_ROUNDS_MAX:
         harness.node.loop.run_once(0.0005)
         try:
@@ -77,15 +78,15 @@
     assert is_closed_by_node(harness, "1")
 
 
-def test_unsent_answers_go_out_whole_before_their_connection_closes(harness: NodeHarness) -> None:
+def test_unsent_answers_are_sent_completely_before_their_connection_closes(harness: NodeHarness) -> None:
     sock = connect_with_small_buffers(harness)
     (connection,) = harness.node.balancers._connections.values()
     sent = 0
-    while len(connection.unsent_bytes) < UNSENT_WANTED_BYTES and sent < CHECKS_MAX:
+    while connection.unsent_bytes < UNSENT_WANTED_BYTES and sent < CHECKS_MAX:
         sock.sendall(HEALTH_CHECK * 100)
         sent += 100
         harness.settle()
-    assert len(connection.unsent_bytes) >= UNSENT_WANTED_BYTES
+    assert connection.unsent_bytes >= UNSENT_WANTED_BYTES
     sock.sendall(MALFORMED)
     harness.settle()
     unpacker = msgpack.Unpacker()
