--- a/snowthread/frontends/admin/codec.py
+++ b/snowthread/frontends/admin/codec.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """A whole request: its method and its path, without a query."""
+    """A complete request: its method and its path, without a query."""
 
     method: str
     path: str
@@ -48,7 +48,8 @@
         self.expects_continue = False  # the client sends the body only after a 100 (Continue)
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
-        self._head_bytes = self._body_bytes = 0
+        self._head_bytes = 0
+        self._body_bytes = 0
         self._has_head = False
 
     def feed(self, data: bytes) -> None:
@@ -106,7 +107,7 @@
 
 
 def encode(response: AdminResponse, headers: Mapping[str, str] = NO_HEADERS) -> bytes:
-    """Return the bytes of a whole response; the connection closes after it."""
+    """Return the bytes of a complete response; the connection closes after it."""
     body = (response.text + "\n").encode()
     lines = [
         f"HTTP/1.1 {response.status.value} {response.status.phrase}",
--- a/snowthread/frontends/admin/server.py
+++ b/snowthread/frontends/admin/server.py
@@ -15,11 +15,11 @@
 from snowthread.net.loop import READABLE, WRITABLE, EventLoop, Task, TaskSteps, Wait
 
 MAX_CLIENTS = 12  # at once, within the descriptors set aside; beyond it the oldest client is disconnected
-REQUEST_TIMEOUT_MS = 10_000.0  # for the whole request: some clients stop for seconds and go on
+REQUEST_TIMEOUT_MS = 10_000.0  # for the complete request: some clients stop for seconds and go on
 RESPONSE_TIMEOUT_MS = 1_000.0  # for a client to take its response and close
 READ_BYTES = 4 * 1024
 LISTEN_BACKLOG = 64
-ACCEPT_PAUSE_MS = 10.0  # pause in accepting where a connection cannot be taken
+ACCEPT_PAUSE_MS = 10.0  # pause in accepting where a connection cannot be accepted
 
 
 class _Client:
@@ -88,7 +88,8 @@
 
     def _read_request(self, sock: socket.socket) -> Generator[Wait, int, AdminRequest | RequestError | None]:
         """Read one request; return None where the client closes or its time is up."""
-        reader, deadline_ms = RequestReader(), self._loop.clock.now() + REQUEST_TIMEOUT_MS
+        reader = RequestReader()
+        deadline_ms = self._loop.clock.now() + REQUEST_TIMEOUT_MS
         has_sent_continue = False
         while reader.result is None:
             if not (yield Wait(sock.fileno(), READABLE, deadline_ms)):
@@ -130,13 +131,17 @@
             text = f"no such call; there are {', '.join(self._routes)}"
             return encode(AdminResponse(HTTPStatus.NOT_FOUND, text))
         if request.method != route.method:
-            refusal = AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, f"{route.method} is wanted")
-            return encode(refusal, {"Allow": route.method})
+            rejection = AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, f"{route.method} is wanted")
+            return encode(rejection, {"Allow": route.method})
         return encode(route.handler())
 
 
 def _open_listener(address: Address) -> socket.socket:
-    """Return a listening socket; an error names the address, to be told apart from the balancers' one."""
+    """Return a listening socket.
+
+    Raises:
+        OSError: the address is not available; the error names it, as the balancers' one may also fail.
+    """
     try:
         return open_listener(address, LISTEN_BACKLOG)
     except OSError as error:
--- a/snowthread/frontends/balancers/codec.py
+++ b/snowthread/frontends/balancers/codec.py
@@ -25,7 +25,10 @@
 REQUEST_KIND = 0  # [kind, number, method, arguments]
 RESPONSE_KIND = 1  # [kind, number, error, result]
 NOTIFICATION_KIND = 2  # [kind, method, arguments]
-REQUEST_ELEMENTS, NOTIFICATION_ELEMENTS = 4, 3
+REQUEST_ELEMENTS = 4
+NOTIFICATION_ELEMENTS = 3
+MIN_ELEMENTS = 2  # a kind and a number or a method
+REQUEST_ARGUMENTS = 2  # the fields and the body
 
 CANCEL_METHOD = "cancel"
 FAREWELL_METHOD = "farewell"
@@ -43,7 +46,7 @@
 
 def decode(message: object) -> DecodedMessage:
     """Return what an unpacked message says."""
-    if not isinstance(message, list | tuple) or len(message) < 2:
+    if not isinstance(message, list | tuple) or len(message) < MIN_ELEMENTS:
         return InvalidMessage(None, Violation.NOT_A_MESSAGE)
     if (
         message[0] == NOTIFICATION_KIND
@@ -53,17 +56,23 @@
         return _decode_cancel(message[2])
     if message[0] != REQUEST_KIND or not is_message_number(message[1]):
         return InvalidMessage(None, Violation.UNKNOWN_KIND)
-    number = int(message[1])
+    return _decode_request(int(message[1]), message)
+
+
+def _decode_request(
+    number: int, message: list[Any] | tuple[Any, ...]
+) -> HealthCheckMessage | RequestMessage | InvalidMessage:
     if (
         len(message) != REQUEST_ELEMENTS
         or not isinstance(message[2], str)
         or not isinstance(message[3], list)
     ):
         return InvalidMessage(number, Violation.INVALID_REQUEST)
-    method, arguments = message[2], message[3]
+    method = message[2]
+    arguments = message[3]
     if method == HEALTH_METHOD:
         return HealthCheckMessage(number)
-    if len(arguments) != 2:
+    if len(arguments) != REQUEST_ARGUMENTS:
         return InvalidMessage(number, Violation.INVALID_ARGUMENTS)
     fields, body = arguments
     if not isinstance(body, bytes) or len(body) > MAX_BODY_BYTES:
--- a/snowthread/frontends/balancers/framing.py
+++ b/snowthread/frontends/balancers/framing.py
@@ -1,4 +1,4 @@
-"""MessagePack framing: unpackers with limits, and checks of messages that have not arrived whole.
+"""MessagePack framing: unpackers with limits, and checks of messages that have not arrived completely.
 
 Sans-I/O. Nothing here knows what a message means; :mod:`.codec` does.
 """
@@ -8,13 +8,15 @@
 import msgpack
 
 READ_BYTES = 8 * 1024  # read from one connection per turn of the loop, so that a flood delays no other peer
-MAX_MESSAGE_BYTES = 16 * 1024  # one message: a body, its fields and room to spare
+MAX_MESSAGE_BYTES = 16 * 1024  # one message: a body and its fields take less
 MAX_CONTAINER_ITEMS = 64  # elements of one list or map
 MAX_MESSAGE_NUMBER = 2**32 - 1
 
 # Heads of the MessagePack specification that stand alone in the ranges below.
-FIXSTR_FIRST, FIXSTR_LAST = 0xA0, 0xBF  # the string's length is the head's distance from the first one
-EXT8, EXT32 = 0xC7, 0xC9  # a type byte stands between the length and the data
+FIXSTR_FIRST = 0xA0  # the string's length is the head's distance from this one
+FIXSTR_LAST = 0xBF
+EXT8 = 0xC7  # from here to EXT32 a type byte stands between the length and the data
+EXT32 = 0xC9
 ARRAY16 = 0xDC  # this head and those above announce items, the lower ones bytes
 
 # Bytes of the big-endian length that follows a head.
@@ -57,9 +59,9 @@
 def unpacker_for_read() -> msgpack.Unpacker:
     """Return an unpacker for the bytes of one read.
 
-    Each read has its own: a partial message is kept as plain bytes, so hundreds of idle connections hold no
-    buffers. Lengths are checked on the head, before their content is buffered. Strings that are not UTF-8,
-    and map keys of other types, must not end the stream: they only invalidate their own message.
+    Each read has its own: a partial message is buffered as plain bytes, so hundreds of idle connections have
+    no unpackers. Lengths are checked on the head, before their content is buffered. Strings that are not
+    UTF-8, and map keys of other types, must not end the stream: they only invalidate their own message.
     """
     return msgpack.Unpacker(
         max_buffer_size=MAX_MESSAGE_BYTES + READ_BYTES,
--- a/snowthread/frontends/balancers/request_fields.py
+++ b/snowthread/frontends/balancers/request_fields.py
@@ -7,7 +7,7 @@
 from snowthread.core import events
 from snowthread.frontends.balancers.messages import InvalidMessage, RequestMessage, Violation
 
-MAX_KEY_CHARACTERS = 256  # idempotency and partition keys: each is kept for its window
+MAX_KEY_CHARACTERS = 256  # idempotency and partition keys: each is remembered for its window
 MAX_TIMEOUT_MS = 600_000.0  # a longer wait is a mistake
 MAX_REQUEST_AGE_MS = 600_000.0  # an older request is a mistake; ages are learned from
 MAX_CLOCK_LEAD_MS = 60_000.0  # how far the peer's clock may be ahead of this node's
@@ -19,29 +19,51 @@
 _NUMERIC_FIELDS = re.compile(r"(?:[0-9]{1,18}(?:\.[0-9]{1,18})?,){4}[0-9]{1,18}")
 
 
+class FieldError(ValueError):
+    """A field of a request that cannot be used."""
+
+    def __init__(self, field: str, reason: str) -> None:
+        super().__init__(f"{field} {reason}")
+        self.field = field
+        self.reason = reason
+
+
 def parse_request(
     request: RequestMessage, response_address: events.ResponseAddress, now_ms: float
 ) -> events.RequestReceived | InvalidMessage:
     """Check the fields of a request and return its event, or why it is invalid."""
-    fields = request.fields
     try:
-        attempt_id, idempotency_key, partition_key = fields["id"], fields.get("once"), fields.get("key", "")
-        _check_words(attempt_id, idempotency_key, partition_key)
-        wait = fields.get("wait")  # absent where the settings say that deadlines are not passed on
-        digits = ",".join(
-            (fields["at"], "0" if wait is None else wait, fields["kb"], fields["rank"], fields["from"])
-        )
-        if not _NUMERIC_FIELDS.fullmatch(digits):
-            raise ValueError("at, wait, kb, rank or from is not a number")
-        sent_at_ms, timeout_ms, memory_kb, rank, caller_id = map(float, digits.split(","))
-        if not (
-            0.0 <= timeout_ms <= MAX_TIMEOUT_MS and 0.0 < memory_kb < MAX_MEMORY_KB and 0.0 <= rank < MAX_RANK
-        ):
-            raise ValueError("wait, kb or rank is out of range")
-        if not now_ms - MAX_REQUEST_AGE_MS <= sent_at_ms <= now_ms + MAX_CLOCK_LEAD_MS:
-            raise ValueError("at is too far from the present")
+        return _read_fields(request, response_address, now_ms)
     except (KeyError, ValueError, TypeError, AttributeError) as error:
         return InvalidMessage(request.number, Violation.INVALID_FIELD, str(error))
+
+
+def _read_fields(
+    request: RequestMessage, response_address: events.ResponseAddress, now_ms: float
+) -> events.RequestReceived:
+    """Return the event of a request; an absent field, or one of another type, raises what Python raises.
+
+    Raises:
+        FieldError: a field is malformed or out of range.
+    """
+    fields = request.fields
+    attempt_id = fields["id"]
+    idempotency_key = fields.get("once")
+    partition_key = fields.get("key", "")
+    _check_identifiers(attempt_id, idempotency_key, partition_key)
+    wait = fields.get("wait")  # absent where the settings say that deadlines are not passed on
+    digits = ",".join(
+        (fields["at"], "0" if wait is None else wait, fields["kb"], fields["rank"], fields["from"])
+    )
+    if not _NUMERIC_FIELDS.fullmatch(digits):
+        raise FieldError("at, wait, kb, rank or from", "is not a number")
+    sent_at_ms, timeout_ms, memory_kb, rank, caller_id = map(float, digits.split(","))
+    if not (
+        0.0 <= timeout_ms <= MAX_TIMEOUT_MS and 0.0 < memory_kb < MAX_MEMORY_KB and 0.0 <= rank < MAX_RANK
+    ):
+        raise FieldError("wait, kb or rank", "is out of range")
+    if not now_ms - MAX_REQUEST_AGE_MS <= sent_at_ms <= now_ms + MAX_CLOCK_LEAD_MS:
+        raise FieldError("at", "is too far from the present")
     return events.RequestReceived(
         response_address=response_address,
         attempt_id=attempt_id,
@@ -57,13 +79,17 @@
     )
 
 
-def _check_words(attempt_id: str, idempotency_key: str | None, partition_key: str) -> None:
-    """Raise ValueError or TypeError where an identifier is malformed; the peer may have sent any type."""
+def _check_identifiers(attempt_id: str, idempotency_key: str | None, partition_key: str) -> None:
+    """Check the identifiers; the peer may have sent any type, for which the check may raise TypeError, too.
+
+    Raises:
+        FieldError: an identifier is malformed.
+    """
     if not _ATTEMPT_ID.fullmatch(attempt_id):
-        raise ValueError("id is not an attempt's id")
+        raise FieldError("id", "is not an attempt's id")
     if type(partition_key) is not str or len(partition_key) > MAX_KEY_CHARACTERS:
-        raise ValueError("key is not a string or too long")
+        raise FieldError("key", "is not a string or too long")
     if idempotency_key is not None and (
         type(idempotency_key) is not str or len(idempotency_key) > MAX_KEY_CHARACTERS
     ):
-        raise ValueError("once is not a string or too long")
+        raise FieldError("once", "is not a string or too long")
--- a/tests/frontends/test_connection_limits.py
+++ b/tests/frontends/test_connection_limits.py
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize(
     "crowd_sends", [b"", HEALTH_CHECK[:4], HEALTH_CHECK], ids=["silent", "partial", "one message"]
 )
-def test_request_written_over_two_seconds_is_read_whole_among_a_crowd(
+def test_request_written_over_two_seconds_is_read_completely_among_a_crowd(
     start_player: Callable[..., ExchangePlayer], connect: Connect, crowd_sends: bytes
 ) -> None:
     player = start_player(limits={"sockets": 64})
@@ -59,7 +59,7 @@
             player.clock.now_ms += pause_ms
         slow_writer.send(piece)
         player.settle()
-        for _ in range(max_connections // 2):  # the whole table anew with every second piece
+        for _ in range(max_connections // 2):  # the complete table anew with every second piece
             other = connect(player)
             if crowd_sends:
                 other.send(crowd_sends)
@@ -72,7 +72,8 @@
 def test_silent_connections_and_endless_messages_are_closed_in_bounded_time(
     player: ExchangePlayer, connect: Connect
 ) -> None:
-    silent, endless = connect(player), connect(player)
+    silent = connect(player)
+    endless = connect(player)
     endless.send(REQUEST[:20])
     player.settle()
     player.step("clock", str(FIRST_BYTE_TIMEOUT_MS), "")
