--- a/snowthread/clients/database_codec.py
+++ b/snowthread/clients/database_codec.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DatabaseReply:
-    """A whole reply."""
+    """A complete reply."""
 
     status: int
     overloaded: bool  # the database shed this call
@@ -55,7 +55,7 @@
 class ResponseReader:
     """Reads one reply.
 
-    A whole reply is valid whatever follows it. What follows only makes the connection unusable, because it
+    A complete reply is valid whatever follows it. What follows only makes the connection unusable, because it
     would be read as the reply to the next call.
     """
 
@@ -91,7 +91,9 @@
         """Start a head: of an interim response, of the reply, or of what follows it."""
         if self.reply is not None:
             self.has_surplus = True
-        self._status, self._is_shed, self._has_length = 0, False, False
+        self._status = 0
+        self._is_shed = False
+        self._has_length = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Read the fields that matter here."""
@@ -109,7 +111,7 @@
         """Check that the end of the reply can be recognised."""
         self._status = self._parser.get_status_code()
         if self._status >= STATUS_OK and not self._has_length and self.failure is None:
-            self.failure = "a reply without a length: a truncated one would look whole"
+            self.failure = "a reply without a length: a truncated one would look complete"
         self.closes = not self._parser.should_keep_alive()
 
     def on_body(self, body: bytes) -> None:
--- a/tests/node/test_database_call_races.py
+++ b/tests/node/test_database_call_races.py
@@ -19,7 +19,7 @@
 from snowthread.clients.database import IDLE_TIMEOUT_MS
 from snowthread.core import effects
 
-RETRY_DUE_MS = 60.0  # after this a call that found no connection, or lost it, is tried again
+RETRY_DUE_MS = 60.0  # after this a call that found no connection, or lost it, is retried
 IDLE_CONNECTION_MS = 40.0  # after its reply a connection may carry the next call
 
 
@@ -35,7 +35,7 @@
 
 
 def receive_call(harness: NodeHarness, number: int) -> None:
-    """Receive, as the database, the whole call of a request."""
+    """Receive, as the database, the complete call of a request."""
     call = b""
     while not call.endswith(b"\r\n\r\n?"):
         more = harness.receive("index", 1)
@@ -87,7 +87,7 @@
 def test_call_on_a_broken_used_connection_is_retried_by_the_class_as_it_was_read(
     start_node: StartNode,
 ) -> None:
-    """A class turns unsafe to repeat: earlier requests' calls are retried, later ones use new connections."""
+    """A class becomes non-idempotent: earlier requests' calls are retried, later ones use new connections."""
     harness = start_node(settings=example_settings(cores=6, calls_out=200.0))
     harness.connect("1")
 
