--- a/snowthread/address.py
+++ b/snowthread/address.py
@@ -8,6 +8,14 @@
 PORT_MAX = 65535
 
 
+class AddressError(ValueError):
+    """A text that is no address; ``text`` is the text as given."""
+
+    def __init__(self, text: str, message: str) -> None:
+        super().__init__(message)
+        self.text = text
+
+
 class Address(NamedTuple):
     """A numeric IPv4 or IPv6 host (nothing here resolves names) and a port."""
 
@@ -16,16 +24,20 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Parse ``host:port``, an IPv6 host with or without brackets; ValueError says what is wrong."""
+        """Parse ``host:port``, an IPv6 host with or without brackets.
+
+        Raises:
+            AddressError: says what is wrong.
+        """
         host, _, port = text.rpartition(":")
         host = host.strip("[]")
         if not host or not port.isdigit() or not 0 <= int(port) <= PORT_MAX:
-            raise ValueError(f"{text!r} is not an address of the form host:port")
+            raise AddressError(text, f"{text!r} is not an address of the form host:port")
         address = cls(host, int(port))
         try:
             socket.inet_pton(address.family, host)
         except OSError:
-            raise ValueError(f"{text!r}: the host must be a numeric address") from None
+            raise AddressError(text, f"{text!r}: the host must be a numeric address") from None
         return address
 
     @property
--- a/snowthread/cli.py
+++ b/snowthread/cli.py
@@ -18,9 +18,6 @@
 from snowthread.recovery.cli import warm
 from snowthread.tenants.cli import tenants
 
-USAGE_STATUS = 2
-"""Exit status for a configuration that can't be used, as click has it for a wrong command line."""
-
 INTERRUPTED_STATUS = 130
 """Exit status after an interrupt from the keyboard, as shells have it."""
 
@@ -104,5 +101,5 @@
         return INTERRUPTED_STATUS
     except config.ConfigError as error:
         print(f"snowthread: {error}", file=sys.stderr)
-        return USAGE_STATUS
+        return config.CONFIG_ERROR_STATUS
     return status if isinstance(status, int) else 0
--- a/snowthread/config.py
+++ b/snowthread/config.py
@@ -20,10 +20,14 @@
 from snowthread.admission.settings import Dependency, Settings
 from snowthread.admission.settings_parser import parse_settings
 
+CONFIG_ERROR_STATUS = 2
+"""Exit status for a configuration that can't be used, as click has it for a wrong command line."""
+
 DEFAULT_MAX_SOCKETS = 1024  # where the file sets no limit
-DEFAULT_MEMORY_MB = 192.0  # likewise
+DEFAULT_MEMORY_MB = 192.0  # where the file sets no limit
+DEFAULT_GRACE_PERIOD_MS = 3000.0  # where the file states none
 MAX_SOCKETS_MIN = 64  # with fewer a node has none left for balancers
-DEFAULT_STOP_MS = 3000.0
+SEED_BASE = 16
 FIELD_BY_VARIABLE = {"NODE_NAME": "name", "NODE_LISTEN": "listen", "NODE_ADMIN_ADDR": "admin_addr"}
 """The fields of the file that an environment variable replaces."""
 
@@ -37,7 +41,9 @@
 
     def __init__(self, reason: str, *, key: str | None = None, path: str | None = None) -> None:
         super().__init__(": ".join(part for part in (path, key, reason) if part is not None))
-        self.reason, self.key, self.path = reason, key, path
+        self.reason = reason
+        self.key = key
+        self.path = path
 
     def in_file(self, path: str) -> ConfigError:
         """Return the same error with the file that it was found in."""
@@ -61,7 +67,7 @@
 def missing_key(value: object, shape: Shape, prefix: str = "") -> str | None:
     """Return the first key of the shape that the value lacks, with the keys round it, or None.
 
-    A key with an empty value is not missing: what it may hold is checked elsewhere.
+    A key with an empty value is not missing: what it may contain is checked elsewhere.
     """
     if isinstance(value, list):
         return next(filter(None, (missing_key(item, shape, prefix) for item in value)), None)
@@ -102,6 +108,9 @@
 
     It may lack no key that the ``previous`` one had: half a file would else pass for one that leaves things
     out.
+
+    Raises:
+        ConfigError: the file, a field or a variable can't be used.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
@@ -137,7 +146,11 @@
 
 
 def _listen_descriptor(environment: Mapping[str, str]) -> int | None:
-    """Return the descriptor of a listening socket that was passed on."""
+    """Return the descriptor of a listening socket that was passed on, if any.
+
+    Raises:
+        ConfigError: the variable is no number.
+    """
     number = environment.get("NODE_FD")
     if not number:
         return None
@@ -147,12 +160,18 @@
 
 
 def parse(fields: Mapping[str, Any]) -> Config:
-    """Check the fields of a file one by one; ConfigError names the first that can't be used."""
+    """Check the fields of a file one by one and return them as a configuration.
+
+    Raises:
+        ConfigError: names the first field that can't be used.
+    """
     name = _parse_name(fields)
-    listen, runtime, registry = (_parse_address(fields, key) for key in ("listen", "runtime", "roster"))
+    listen = _parse_address(fields, "listen")
+    runtime = _parse_address(fields, "runtime")
+    registry = _parse_address(fields, "roster")
     database = _parse_address(fields, "index") if fields.get("index") else None
     admin = _parse_address(fields, "admin_addr") if fields.get("admin_addr") is not None else None
-    stop_ms = _parse_stop_ms(fields)
+    grace_period_ms = _parse_grace_period_ms(fields)
     sockets, memory_mb = _parse_limits(fields)
     seed = _parse_seed(fields)
     settings, gauge_names = _parse_settings(fields, seed)
@@ -165,7 +184,7 @@
         registry=registry,
         database=database,
         seed=seed,
-        grace_period_ms=stop_ms,
+        grace_period_ms=grace_period_ms,
         sockets=sockets,
         memory_mb=memory_mb,
         settings=settings,
@@ -188,15 +207,19 @@
         raise ConfigError(str(error), key=key) from None
 
 
-def _parse_stop_ms(fields: Mapping[str, Any]) -> float:
-    stop_ms = fields.get("stop_ms", DEFAULT_STOP_MS)
-    if not _is_positive_number(stop_ms):
+def _parse_grace_period_ms(fields: Mapping[str, Any]) -> float:
+    grace_period_ms = fields.get("stop_ms", DEFAULT_GRACE_PERIOD_MS)
+    if not _is_positive_number(grace_period_ms):
         raise ConfigError("a number of milliseconds above 0 is wanted", key="stop_ms")
-    return float(stop_ms)
+    return float(grace_period_ms)
 
 
 def _parse_limits(fields: Mapping[str, Any]) -> tuple[int, float]:
-    """Return the most sockets and the memory in MB."""
+    """Return the most sockets and the memory in MB.
+
+    Raises:
+        ConfigError: one of them can't be used.
+    """
     limits = fields.get("limits") or {}
     sockets = limits.get("sockets", DEFAULT_MAX_SOCKETS) if isinstance(limits, dict) else None
     if isinstance(sockets, bool) or not isinstance(sockets, int) or sockets < MAX_SOCKETS_MIN:
@@ -209,13 +232,17 @@
 
 def _parse_seed(fields: Mapping[str, Any]) -> int:
     try:
-        return int(str(fields.get("seed", "0")), 16)
+        return int(str(fields.get("seed", "0")), SEED_BASE)
     except ValueError:
         raise ConfigError("hex digits are wanted", key="seed") from None
 
 
 def _parse_settings(fields: Mapping[str, Any], seed: int) -> tuple[Settings, tuple[str, ...]]:
-    """Return the admission settings, tried on a controller, and the names of the runtime's gauges."""
+    """Return the admission settings, tried on a controller, and the names of the runtime's gauges.
+
+    Raises:
+        ConfigError: they can't be used.
+    """
     facts = fields.get("settings")
     if not isinstance(facts, dict):
         raise ConfigError("an object is wanted", key="settings")
--- a/snowthread/hcl.py
+++ b/snowthread/hcl.py
@@ -29,33 +29,47 @@
 Parsed = TypeVar("Parsed")
 
 
+class BlockKeyError(ConfigError):
+    """A key of a block that can't be used; ``block`` is the block's name, empty for the file's own keys."""
+
+    def __init__(self, reason: str, *, file: str, block: str, key: str) -> None:
+        where = f"block {block!r}: " if block else ""
+        super().__init__(reason, key=f"{where}key {key!r}", path=file)
+        self.key = key
+        self.block = block
+
+
 def read_file(path: Path) -> Block:
-    """Return the file as one block; ConfigError names what is wrong with it and where."""
+    """Return the file as one block.
+
+    Raises:
+        ConfigError: names what is wrong with the file and where.
+    """
     text = _read_text(path)
     try:
         return Block(str(path), "", hcl2.loads(text if text.endswith("\n") else text + "\n"))
     except UnexpectedInput as error:
-        raise ConfigError(f"{path}: line {error.line}, column {error.column}: not HCL") from None
+        raise ConfigError(f"line {error.line}, column {error.column}: not HCL", path=str(path)) from None
     except (LarkError, RecursionError, ValueError) as error:
-        raise ConfigError(f"{path}: not HCL: {type(error).__name__}") from None
+        raise ConfigError(f"not HCL: {type(error).__name__}", path=str(path)) from None
 
 
 def _read_text(path: Path) -> str:
     try:
         size = path.stat().st_size
         if size > MAX_FILE_BYTES:
-            raise ConfigError(f"{path}: {size} bytes, at most {MAX_FILE_BYTES} are read")
+            raise ConfigError(f"{size} bytes, at most {MAX_FILE_BYTES} are read", path=str(path))
         return path.read_text(encoding="utf-8")
     except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}") from None
+        raise ConfigError(str(error.strerror), path=str(path)) from None
     except UnicodeDecodeError:
-        raise ConfigError(f"{path}: not UTF-8 text") from None
+        raise ConfigError("not UTF-8 text", path=str(path)) from None
 
 
 class Block:
-    """The keys of one block, each read once; ``done`` rejects those that nobody asked for.
+    """The keys of one block, each read once; ``reject_unknown_keys`` rejects those that nobody read.
 
-    Every method that reads a key raises ConfigError if its value can't be used.
+    Every method that reads a key raises BlockKeyError if its value can't be used.
     """
 
     def __init__(self, file: str, name: str, body: dict[str, Any]) -> None:
@@ -63,10 +77,9 @@
         self.name = name
         self._body = {key: value for key, value in body.items() if key not in _PARSER_KEYS}
 
-    def error(self, key: str, what: str) -> ConfigError:
+    def error(self, key: str, reason: str) -> BlockKeyError:
         """Return the error to raise about a key."""
-        where = f"block {self.name!r}: " if self.name else ""
-        return ConfigError(f"{self.file}: {where}key {key!r}: {what}")
+        return BlockKeyError(reason, file=self.file, block=self.name, key=key)
 
     def text(self, key: str, default: str | None = None) -> str:
         """Return a string; without a default the key is required."""
@@ -81,7 +94,8 @@
 
     def choice(self, key: str, among: Iterable[str], default: str) -> str:
         """Return one of several words."""
-        value, words = self.text(key, default), tuple(among)
+        value = self.text(key, default)
+        words = tuple(among)
         if value not in words:
             raise self.error(key, f"one of {', '.join(words)} is wanted")
         return value
@@ -99,7 +113,7 @@
         return float(value)
 
     def integer(self, key: str, default: int, least: int = 0, most: int = 2**31) -> int:
-        """Return a whole number within bounds, both included."""
+        """Return an integer within bounds, both included."""
         value = self.number(key, default, least, most)
         if value != int(value):
             raise self.error(key, "a whole number is wanted")
@@ -163,7 +177,7 @@
         return self.block(key) or Block(self.file, self._name_of(key), {})
 
     def reject_unknown_keys(self) -> None:
-        """Raise ConfigError if a key was not asked for: it is misspelt."""
+        """Raise BlockKeyError if a key was not read: it is misspelt."""
         for key in self._body:
             raise self.error(key, "no such key")
 
@@ -185,7 +199,7 @@
     def _plain(self, key: str, value: Any) -> Any:
         """Return a value as written.
 
-        The parser leaves the quotes of strings; text without quotes is a name, a call or an expression.
+        The parser returns strings with their quotes; text without quotes is a name, a call or an expression.
         """
         if not isinstance(value, str):
             return value
--- a/snowthread/operator/features.py
+++ b/snowthread/operator/features.py
@@ -1,4 +1,4 @@
-"""The features that an operator's file turns on, read and checked as a whole before any is applied.
+"""The features that an operator's file turns on, all read and checked before any is applied.
 
 A feature's package is imported only if the file has its block.
 """
@@ -31,9 +31,9 @@
 
     @classmethod
     def load(cls, path: Path, config: Config) -> Features:
-        """Read the whole file; ConfigError says what can't be used.
+        """Read the complete file; ConfigError says what can't be used.
 
-        Secrets and certificates are read too, so that a reload that needs them can be rejected as a whole.
+        Secrets and certificates are read too, so that a reload is applied completely or not at all.
         """
         file = hcl.read_file(path)
         features = cls(
--- a/snowthread/reload.py
+++ b/snowthread/reload.py
@@ -14,11 +14,11 @@
     from snowthread.operator.features import Features
 
 RESTART_ONLY_FIELDS = ("name", "listen", "admin", "sockets", "memory_mb")
-"""Fields of the configuration that only a new start takes up."""
+"""Fields of the configuration that only a new start applies."""
 
 
 class Reconfigurable(Protocol):
-    """What can go on with a new configuration."""
+    """What a new configuration can be applied to."""
 
     config: Config
     features: Features | None
@@ -28,7 +28,7 @@
 
 
 def reload(node: Reconfigurable, environment: Mapping[str, str] = os.environ) -> None:
-    """Take up the files as they stand now; a file that can't be used changes nothing.
+    """Apply the files as they are now; a file that can't be used changes nothing.
 
     Whoever replaced the file can correct it, while a node that ended over it would end its runs too.
     """
@@ -54,15 +54,16 @@
 
 
 def _load_files(node: Reconfigurable, environment: Mapping[str, str]) -> tuple[Config, Features | None]:
-    """Read the configuration and the operator's file: both are taken up, or neither."""
-    config, features = load(environment, node.config), node.features
+    """Read the configuration and the operator's file: both are applied, or neither."""
+    config = load(environment, node.config)
+    features = node.features
     if features is not None:
         features = features.load(features.path, config)
     return config, features
 
 
 def _restart_only_changes(node: Reconfigurable, config: Config, features: Features | None) -> list[str]:
-    """Return the names of what differs and takes a new start."""
+    """Return the names of what differs and needs a new start."""
     changed = [
         field for field in RESTART_ONLY_FIELDS if getattr(config, field) != getattr(node.config, field)
     ]
--- a/snowthread/serve.py
+++ b/snowthread/serve.py
@@ -12,22 +12,27 @@
 from snowthread.net.clock import Clock
 from snowthread.node import BLOCKED_SIGNALS, Node
 
-COLLECTION_THRESHOLDS = (10_000, 20, 20)
-"""Thresholds of the garbage collector's generations: high, as the node makes few reference cycles."""
+YOUNG_COLLECTION_THRESHOLD_OBJECTS = 10_000  # high, as the node makes few reference cycles
+MIDDLE_COLLECTION_THRESHOLD_RUNS = 20  # collections of the generation below
+OLD_COLLECTION_THRESHOLD_RUNS = 20
 
 
 def main() -> int:
-    """Serve and return the exit status: 2, after one line, for a configuration that can't be used."""
+    """Serve and return the exit status; a configuration that can't be used ends with one line."""
     try:
         serve(None)
     except config.ConfigError as error:
         print(f"snowthread: {error}", file=sys.stderr)
-        return 2
+        return config.CONFIG_ERROR_STATUS
     return 0
 
 
 def serve(operator_file: Path | None) -> None:
-    """Serve as the environment says, with the features of an operator's file where one is named."""
+    """Serve as the environment says, with the features of an operator's file where one is named.
+
+    Raises:
+        config.ConfigError: a file can't be used, or an address where the node should listen.
+    """
     # Blocked until the node listens for them: their defaults would end the program with clients connected.
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     log.set_up(os.environ)
@@ -47,6 +52,8 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Keep what is loaded by now out of collections: looking it through took a noticeable stall each time."""
+    """Exclude what is loaded by now from collections: scanning it stalls the event loop."""
     gc.freeze()
-    gc.set_threshold(*COLLECTION_THRESHOLDS)
+    gc.set_threshold(
+        YOUNG_COLLECTION_THRESHOLD_OBJECTS, MIDDLE_COLLECTION_THRESHOLD_RUNS, OLD_COLLECTION_THRESHOLD_RUNS
+    )
--- a/tests/operator/test_hcl.py
+++ b/tests/operator/test_hcl.py
@@ -1,4 +1,4 @@
-"""The operator's file: each error names file, block and key, and a file is applied as a whole."""
+"""The operator's file: errors name file, block and key, and a file is applied completely or not at all."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 from snowthread import config
 from snowthread.config import ConfigError
+from snowthread.hcl import BlockKeyError
 from snowthread.ldap.messages import Secret, SimpleBindRequest
 from snowthread.operator.features import Features
 
@@ -82,6 +83,15 @@
     assert all(word in line for word in words), line
 
 
+def test_error_about_a_key_has_file_block_and_key_as_attributes(tmp_path: Path) -> None:
+    with pytest.raises(BlockKeyError) as caught:
+        load(tmp_path, f"tenants {{\n {GOOD} removal {{\n share = 2\n }}\n }}")
+    error = caught.value
+    assert error.path == str(tmp_path / "features.hcl")
+    assert (error.block, error.key) == ("tenants.removal", "share")
+    assert str(error) == f"{error.path}: block 'tenants.removal': key 'share': {error.reason}"
+
+
 def test_a_password_in_clear_text_has_to_be_allowed(tmp_path: Path) -> None:
     secret = tmp_path / "password"
     secret.write_text("pw\n")
@@ -99,7 +109,7 @@
         assert tenants is not None and tenants.connection.bind == SimpleBindRequest("cn=a", Secret("pw"))
 
 
-def test_quotas_of_the_platform_and_of_a_directory_do_not_mix_unless_told(tmp_path: Path) -> None:
+def test_quotas_of_the_platform_and_of_a_directory_do_not_mix_unless_allowed(tmp_path: Path) -> None:
     fields = json.loads(EXAMPLE.read_bytes())
     fields["settings"]["projects"] = [{"name": "x", "quota_per_s": 3.0}]
     node = config.parse(fields)
@@ -114,7 +124,8 @@
 
 
 def test_changes_that_need_a_new_start_are_listed(tmp_path: Path) -> None:
-    tenants, records = f"tenants {{\n {GOOD} }}\n", f'records {{\n folder = "{tmp_path}"\n }}\n'
+    tenants = f"tenants {{\n {GOOD} }}\n"
+    records = f'records {{\n folder = "{tmp_path}"\n }}\n'
     both = load(tmp_path, tenants + records)
     assert load(tmp_path, tenants + records).changes_needing_restart(both) == []
     assert load(tmp_path, tenants.replace("3389", "3390") + records).changes_needing_restart(both) == []
