--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -81,7 +81,7 @@
         }
 
     def play(self, text: str) -> None:
-        """Play a whole exchange; AssertionError names the line that went otherwise."""
+        """Play a complete exchange; AssertionError names the line that went otherwise."""
         try:
             for number, line in enumerate(text.splitlines(), 1):
                 if line.strip() and not line.startswith("#"):
@@ -100,7 +100,11 @@
             raise AssertionError(f"line {number}: {line}: {error}") from error
 
     def step(self, who: str, what: str, rest: str) -> None:
-        """Play one step."""
+        """Play one step.
+
+        Raises:
+            ValueError: there is no such step.
+        """
         handler = self._named_steps.get(who) or self._peer_steps.get(what)
         if handler is None:
             raise ValueError(f"no such step: {who} {what}")
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -119,7 +119,9 @@
     def receive(self, who: str, size: int) -> bytes:
         """Return what the node sent, as many bytes as wanted; fewer where it closes or sends no more."""
         self.ended = False
-        peer, data, end = self.peers[who], b"", time.monotonic() + PATIENCE_S
+        peer = self.peers[who]
+        data = b""
+        end = time.monotonic() + PATIENCE_S
         while len(data) < size and time.monotonic() < end:
             try:
                 more = peer.recv(size - len(data))
