--- a/snowthread/admission/backoff.py
+++ b/snowthread/admission/backoff.py
@@ -1,6 +1,6 @@
 """Exponential backoff with decorrelated jitter: ``delay = min(cap, uniform(base, 3 * delay))``.
 
-Those that failed together retry apart. Pure: the random generator is passed in.
+Peers that failed together retry at different times. Pure: the random generator is passed in.
 """
 
 from __future__ import annotations
--- a/snowthread/admission/recovery_pacer.py
+++ b/snowthread/admission/recovery_pacer.py
@@ -5,12 +5,13 @@
     phase       event                                next
     ----------  -----------------------------------  ------------------------------------------
     recovering  the slow start is complete           recovered
-    recovered   the registry tells of cold nodes     recovered, calls still within the budget
-    recovered   the registry tells of none           recovered, nothing is paced
+    recovered   the registry lists cold nodes        recovered, calls still within the budget
+    recovered   the registry lists none              recovered, nothing is paced
     recovered   the slow start takes a loss          recovering
 
-A call that can't be skipped waits for its turn: those of runs that have made most calls go first, as theirs
-would be lost else. One that can be skipped goes only while none waits and there is more than a call's token.
+A call that can't be skipped waits for its turn: those of runs that have made most calls go first, because
+most would be lost with them. One that can be skipped goes only while none waits and the budget has more than
+one token.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 from snowthread.admission.call_budget import CallBudget
 from snowthread.admission.slow_start import SlowStart
 
-SKIPPABLE_LEAVES = 0.3  # tokens that a skippable call leaves for those that can't be skipped
-IDLE_BUDGET_SHARE = 0.8  # of the budget's capacity: so much saved up, it lies idle
+SKIPPABLE_RESERVE_TOKENS = 0.3  # that a skippable call leaves for those that can't be skipped
+IDLE_BUDGET_RATIO = 0.8  # of the budget's capacity, from which it counts as unused
 MAX_QUEUED_CALLS = 64  # more are denied at once
 MIN_RELEASE_INTERVAL_MS = 5.0  # between two looks at the queue
 MAX_RELEASE_INTERVAL_MS = 50.0
-AVERAGED_CALLS = 8.0  # over which the duration of calls is averaged
+AVERAGED_CALLS = 8.0  # that the usual duration of a call is averaged over
 
 
 class CallPermission(Enum):
@@ -59,7 +60,7 @@
 
 @dataclass(slots=True)
 class RecoveryPacer:
-    """The recovery of one node, by what it measures and what the registry tells of the fleet."""
+    """The recovery of one node, by what it measures and what the registry lists of the fleet."""
 
     slow_start: SlowStart
     budget: CallBudget
@@ -83,7 +84,7 @@
 
     @property
     def is_pacing(self) -> bool:
-        """True while calls are kept within the budget."""
+        """True while calls are limited to the budget."""
         return self.cold or self.other_cold_nodes > 0
 
     def update_fleet(self, listed: int, cold: int) -> None:
@@ -93,7 +94,7 @@
         self.budget.set_sharing_nodes(self.sharing_nodes)
 
     def _has_free_slot(self, now_ms: float) -> bool:
-        """Return whether one more call may be in flight; a part of a slot is had that part of the time."""
+        """Return whether one more call may be in flight; half a slot, say, is free half of the time."""
         self._drop_finished_abandoned(now_ms)
         slots = max(1.0, self.database_slots / self.sharing_nodes)
         limit = int(slots) + (self.random.random() < slots % 1.0)
@@ -104,9 +105,9 @@
         self.abandoned_until_ms = [until for until in self.abandoned_until_ms if until > now_ms]
 
     def has_idle_budget(self, now_ms: float) -> bool:
-        """Return whether this node is cold and its budget lies idle: then what warms it goes first."""
+        """Return whether this node is cold and its budget unused: then what warms it up goes first."""
         self.budget.refill(now_ms)
-        return self.cold and self.budget.tokens >= IDLE_BUDGET_SHARE * self.budget.capacity()
+        return self.cold and self.budget.tokens >= IDLE_BUDGET_RATIO * self.budget.capacity()
 
     def request_call(
         self, now_ms: float, attempt_id: str, calls_made: int, skippable: bool, expires_at_ms: float
@@ -115,9 +116,9 @@
         if not self.is_pacing:
             self.calls_in_flight[attempt_id] = now_ms
             return CallPermission.GRANTED
-        # What makes a cold machine warm goes before what a warm one can do without.
+        # Calls that warm up a cold machine go before those that a warm one can skip.
         is_next = not self.queued_calls and (self.cold or not skippable)
-        leave = SKIPPABLE_LEAVES if skippable else 0.0
+        leave = SKIPPABLE_RESERVE_TOKENS if skippable else 0.0
         if is_next and self._has_free_slot(now_ms) and self.budget.try_acquire(now_ms, leave):
             self.calls_in_flight[attempt_id] = now_ms
             return CallPermission.GRANTED
@@ -154,7 +155,7 @@
         called_at_ms = self.calls_in_flight.pop(attempt_id, None)
         if called_at_ms is None:
             return
-        # A warm node asks for no free slot, so nothing else would ever take the old ones out.
+        # A warm node looks for no free slot, so that nothing else would remove the old ones.
         self._drop_finished_abandoned(now_ms)
         duration_ms = self.usual_call_ms or self.budget.prior_ms
         self.abandoned_until_ms.append(max(now_ms, called_at_ms + duration_ms))
@@ -180,7 +181,7 @@
     def run_ended(self, now_ms: float, in_time: bool, objective_ms: float) -> None:
         """Take the end of a run, within its latency objective or not.
 
-        Losses of one moment count once: runs begun before the last cut tell nothing of the window since.
+        Losses of one moment count once: runs begun before the last cut say nothing of the window since.
         """
         if in_time:
             self.slow_start.success(now_ms)
--- a/snowthread/admission/slow_start.py
+++ b/snowthread/admission/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how many runs a cold node lets in, grown on measured success and not by a timer.
+"""Slow start: how many runs a cold node admits, grown on measured success and not by a timer.
 
 Pure: times are passed in, in milliseconds of the one clock. As in TCP, the window doubles every round up to a
 threshold and grows by one a round beyond it::
@@ -60,7 +60,7 @@
             self.is_complete = True
 
     def loss(self, now_ms: float) -> None:
-        """Cut the window: a run was rejected, late or timed out, so too much was let in."""
+        """Cut the window: a run was rejected, late or timed out, so too much was admitted."""
         self.loss_count += 1
         self.is_complete = False
         self.window = max(self.min_window, self.window * self.backoff_factor)
