--- a/tests/support/admission_host.py
+++ b/tests/support/admission_host.py
@@ -16,16 +16,19 @@
 from snowthread.admission.settings import Idempotency, Outcome, RequestClass, Settings
 from support.admission_scenarios import (
     END_S,
-    LEAVE_S,
     LINK_LOST_S,
     SETTINGS_CHANGE_S,
+    SHUTDOWN_S,
+    TENANT_CHANGE,
     TENANTS_CHANGE_S,
     Scenario,
 )
 
 START_S = 100.0  # clock at the start: a controller must not take it for zero
 MEAN_WORK_S = 0.22
-BURST_RATE, USUAL_RATE, LULL_RATE = 38.0, 14.0, 4.0  # arrivals a second
+BURST_RATE_PER_S = 38.0
+USUAL_RATE_PER_S = 14.0
+LULL_RATE_PER_S = 4.0
 TENANT_NAMES = ("", "gold", "gold", "bronze", "blocked", "reader", "unknown")
 RUN_FAILURES = (
     Outcome.FAILURE,
@@ -86,7 +89,7 @@
         self._plan(0.1, self._next_arrival)
         self._plan(SETTINGS_CHANGE_S, self._change_settings)
         self._plan(TENANTS_CHANGE_S, self._change_tenants)
-        self._plan(LEAVE_S, self._leave)
+        self._plan(SHUTDOWN_S, self._notice_shutdown)
         for at_s in LINK_LOST_S:
             self._plan(at_s, events.RunCountUncertain)
         while self._planned and self._planned[0][0] < START_S + END_S:
@@ -115,28 +118,25 @@
         return events.Started()
 
     def _change_settings(self) -> events.Event:
-        change: events.SettingsChanged = self.scenario.changed_settings
-        self.settings = change.settings
-        return change
+        self.settings = self.scenario.changed_settings
+        return events.SettingsChanged(self.settings)
 
     def _change_tenants(self) -> events.Event:
-        change: events.TenantsChanged = self.scenario.changed_tenants
-        return change
+        return TENANT_CHANGE
 
-    def _leave(self) -> events.Event:
-        notice: events.ShutdownNotice = self.scenario.leave
-        return notice
+    def _notice_shutdown(self) -> events.Event:
+        return self.scenario.shutdown_notice
 
     def _arrival_rate(self) -> float:
         elapsed = self._elapsed_s()
         if 6.0 <= elapsed < 10.0 or 20.0 <= elapsed < 27.0 or 50.0 <= elapsed < 53.0:
-            return BURST_RATE
+            return BURST_RATE_PER_S
         if 12.0 <= elapsed < 15.0 or 37.0 <= elapsed < 47.0:
-            return LULL_RATE
-        return USUAL_RATE
+            return LULL_RATE_PER_S
+        return USUAL_RATE_PER_S
 
     def _slowdown(self) -> float:
-        """How much longer runs take: a sick spell, and more runs than cores."""
+        """How much longer runs take: a slow machine for a while, and more runs than cores."""
         stretch = max(1.0, self._running() * self._core_demand() / self.settings.cores)
         elapsed = self._elapsed_s()
         if 37.0 <= elapsed < 44.0:
@@ -161,7 +161,7 @@
         name = "unheard-of" if self._chance(0.01) else request_class.name
         work_s = self._random.lognormvariate(0.0, 0.6) * MEAN_WORK_S
         request = len(self._requests) + 1
-        unread = 0.6 if self._arrival_rate() == BURST_RATE else 0.2
+        unread = 0.6 if self._arrival_rate() == BURST_RATE_PER_S else 0.2
         arrival = events.RequestArrived(
             request_id=request,
             class_name=name,
@@ -284,7 +284,7 @@
         elif self._chance(0.03):
             self._end_after(request, run_s / 2.0, Outcome.CANCELLED)
         elif self._chance(0.03):
-            self._plan(0.2, partial(self._doubt, request, hosted.version, False))
+            self._plan(0.2, partial(self._lose_sight, request, hosted.version, False))
         elif calls and self._chance(0.6):
             self._plan(run_s / 2.0, partial(self._stand_at_call, request, hosted.version))
         else:
@@ -300,11 +300,12 @@
         hosted = self._requests[request]
         if hosted.version != version:
             return None
-        hosted.on_core = hosted.at_call = False
+        hosted.on_core = False
+        hosted.at_call = False
         hosted.answered = hosted.answered or outcome is not Outcome.CANCELLED
         return events.RunFinished(request_id=request, outcome=outcome, duration_s=took_s)
 
-    def _doubt(self, request: int, version: int, at_call: bool) -> events.Event | None:
+    def _lose_sight(self, request: int, version: int, at_call: bool) -> events.Event | None:
         hosted = self._requests[request]
         if hosted.version != version:
             return None
@@ -320,7 +321,8 @@
         if hosted.version != version:
             return None
         hosted.on_core = False
-        hosted.has_called = hosted.at_call = True
+        hosted.has_called = True
+        hosted.at_call = True
         return events.CallNeeded(request_id=request)
 
     def _call(self, request: int, give_up_s: float) -> None:
@@ -330,7 +332,8 @@
         failing = 0.7 if 29.0 <= self._elapsed_s() < 36.0 else 0.2
         outcome = self._random.choice(CALL_FAILURES) if self._chance(failing) else Outcome.SUCCESS
         if self._chance(0.03) or call_s > give_up_s:
-            call_s, outcome = give_up_s, Outcome.TIMED_OUT
+            call_s = give_up_s
+            outcome = Outcome.TIMED_OUT
         self._plan(call_s, partial(self._end_call, request, hosted.version, outcome, call_s))
 
     def _usual_call_s(self) -> float:
@@ -352,9 +355,10 @@
     def _continue(self, request: int) -> None:
         """Let the run go on past its call; now and then the host loses sight of it there."""
         hosted = self._requests[request]
-        hosted.on_core, hosted.at_call = True, False
+        hosted.on_core = True
+        hosted.at_call = False
         if self._chance(0.08):
             hosted.version += 1
-            self._plan(0.1, partial(self._doubt, request, hosted.version, True))
+            self._plan(0.1, partial(self._lose_sight, request, hosted.version, True))
         else:
             self._end_after(request, hosted.work_s / 2.0 * self._slowdown(), Outcome.SUCCESS)
