--- /dev/null
+++ b/tests/admission/test_decisions_page.py
@@ -0,0 +1,155 @@
+"""docs/decisions.md names the rules, constants and values of the code."""
+
+from __future__ import annotations
+
+import ast
+import importlib
+import re
+import tomllib
+from dataclasses import dataclass
+from functools import reduce
+from pathlib import Path
+from types import ModuleType
+
+import pytest
+
+from snowthread.admission.reasons import RejectReason
+
+ROOT = Path(__file__).parents[2]
+PAGE = (ROOT / "docs/decisions.md").read_text()
+POLICY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
+PACKAGE = "snowthread.admission"
+COLUMNS = ("question", "rule", "inputs", "reason", "constants", "seen in")
+CONSTANT = re.compile(r"`([A-Z][A-Z0-9_]+)` (\S+?)(?:,|$)")
+NAME = re.compile(r"`([a-z_]+(?:\.[A-Za-z_]+)+)`")  # a dotted name in code quotes
+
+
+@dataclass(frozen=True)
+class Row:
+    """A row of one of the page's tables."""
+
+    question: str
+    rule: str
+    inputs: str
+    reason: str
+    constants: str
+    seen_in: str
+
+    @property
+    def module(self) -> ModuleType:
+        return module_of(self.rule.strip("`"))
+
+
+def rows(page: str) -> list[Row]:
+    lines = [line for line in page.splitlines() if line.startswith("|")]
+    cells = [tuple(cell.strip() for cell in line[1:-1].split("|")) for line in lines]
+    tables = [row for row in cells if row != COLUMNS and not set("".join(row)) <= set("- |")]
+    return [Row(*row) for row in tables]
+
+
+def module_of(name: str) -> ModuleType:
+    """Return the module of a dotted name: in full, or relative to the package."""
+    parts = name.split(".")
+    if parts[0] != "snowthread":
+        return importlib.import_module(f"{PACKAGE}.{parts[0]}")
+    size = max(n for n in range(1, len(parts) + 1) if is_module(".".join(parts[:n])))
+    return importlib.import_module(".".join(parts[:size]))
+
+
+def is_module(name: str) -> bool:
+    path = ROOT.joinpath(*name.split("."))
+    return path.with_suffix(".py").exists() or path.is_dir()
+
+
+def resolve(name: str) -> object:
+    """Return what a dotted name stands for."""
+    module = module_of(name)
+    full = name if name.startswith("snowthread") else f"{PACKAGE}.{name}"
+    attributes = full.removeprefix(module.__name__).split(".")[1:]
+    return reduce(getattr, attributes, module)
+
+
+def numeric_constants(path: str) -> dict[str, float]:
+    """Return the names and values of a module's numeric constants."""
+    module = importlib.import_module(path.removesuffix(".py").replace("/", "."))
+    tree = ast.parse((ROOT / path).read_text())
+    names = [
+        target.id
+        for node in tree.body
+        if isinstance(node, ast.Assign)
+        for target in node.targets
+        if isinstance(target, ast.Name) and target.id.isupper()
+    ]
+    values = {name: getattr(module, name) for name in names}
+    return {name: value for name, value in values.items() if isinstance(value, int | float)}
+
+
+def errors_of(page: str) -> list[str]:
+    """Return what the page says that the code does not bear out."""
+    errors = []
+    for name in NAME.findall(page):
+        if name.endswith((".py", ".md", ".toml")):
+            continue
+        try:
+            resolve(name)
+        except (ImportError, AttributeError):
+            errors.append(f"{name}: no such module or function")
+    for row in rows(page):
+        if row.constants and not CONSTANT.findall(row.constants):
+            errors.append(f"{row.rule}: constants can't be read: {row.constants}")
+        try:
+            module = row.module
+        except ImportError:
+            errors.append(f"{row.rule}: no such module")
+            continue
+        for name, value in CONSTANT.findall(row.constants):
+            if getattr(module, name, None) != float(value):
+                errors.append(f"{row.rule}: {name} is not {value}")
+    members = re.findall(r"^\| `([A-Z_]+)`:", page, re.MULTILINE)
+    errors += [f"{name}: no such reason" for name in members if name not in RejectReason.__members__]
+    return errors
+
+
+def test_page_names_what_is_in_the_code() -> None:
+    assert len(rows(PAGE)) > 40
+    assert errors_of(PAGE) == []
+
+
+@pytest.mark.parametrize("member", RejectReason, ids=lambda member: member.name)
+def test_each_reject_reason_stands_on_the_page_with_its_text(member: RejectReason) -> None:
+    assert f"| `{member.name}`:" in PAGE
+    assert f"`{member.value}`" in PAGE
+
+
+@pytest.mark.parametrize("path", POLICY)
+def test_each_module_of_the_policy_stands_on_the_page_with_its_constants(path: str) -> None:
+    module = importlib.import_module(path.removesuffix(".py").replace("/", "."))
+    assert any(resolve_module(name) is module for name in NAME.findall(PAGE))
+    shown = {
+        name: float(value)
+        for row in rows(PAGE)
+        if row.module is module
+        for name, value in CONSTANT.findall(row.constants)
+    }
+    assert shown == numeric_constants(path)
+
+
+def resolve_module(name: str) -> ModuleType | None:
+    return None if name.endswith((".py", ".md", ".toml")) else module_of(name)
+
+
+@pytest.mark.parametrize(
+    ("right", "wrong"),
+    [
+        ("`admission_rule.wait_is_too_long`", "`admission_rule.wait_is_long`"),
+        ("`blocking.BlockingRule.is_blocked`", "`blocking.BlockingRule.blocks`"),
+        ("`memory_limit.exceeds_memory_limit`", "`memory_bound.exceeds_memory_limit`"),
+        ("`snowthread.core.key_claims`", "`snowthread.core.key_claim`"),
+        ("`EJECTION_S` 10.0", "`EJECTION_S` 11.0"),
+        ("`EJECTION_S`", "`EJECTED_S`"),
+        ("| `DUE`:", "| `OVERDUE`:"),
+    ],
+)
+def test_a_wrong_name_or_value_is_found(right: str, wrong: str) -> None:
+    assert right in PAGE
+    assert errors_of(PAGE.replace(right, wrong))
