--- a/benchmarks/hot_restart.py
+++ b/benchmarks/hot_restart.py
@@ -27,9 +27,10 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.rig import ROOT, SERVED, LoadGenerator, broken_rules, free_address
+from benchmarks.rig import ROOT, SERVED, LoadGenerator, broken_rules, reserve_address
 from emulators.site import RuntimeEmulator, SiteEmulator, SiteScript
 from snowthread.address import Address
+from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 from snowthread.net.clock import Clock
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
 
@@ -68,6 +69,7 @@
         self.withdrawals = 0  # of the registration
         self.ready_ms: list[float] = []
         self.private_mb: list[float] = []
+        self.addresses = AddressReservation(ANY_HOST)
         self.listening = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.fields = self._configuration()
         self.script = SiteScript(default_run_ms=RUN_MS, cores=CORES, log=self._count_line)
@@ -76,8 +78,8 @@
 
     def _configuration(self) -> dict[str, Any]:
         fields: dict[str, Any] = json.loads((ROOT / "examples" / "node.json").read_bytes())
-        fields |= {name: free_address() for name in ("runtime", "index")}
-        fields["roster"] = free_address(socket.SOCK_DGRAM)
+        fields |= {name: reserve_address(self.addresses) for name in ("runtime", "index")}
+        fields["roster"] = reserve_address(self.addresses, socket.SOCK_DGRAM)
         fields["listen"] = "{}:{}".format(*self.listening.getsockname())
         fields["settings"]["domain"]["cores"] = CORES
         return fields
@@ -90,7 +92,7 @@
         self.withdrawals += line.startswith("roster:") and line.endswith("off")
 
     def _start_process(self, runtime: str) -> NodeProcess:
-        admin = free_address()
+        admin = reserve_address(self.addresses)
         path = self.folder / f"node{len(self.ready_ms)}{os.urandom(2).hex()}.json"
         path.write_text(json.dumps(self.fields | {"runtime": runtime, "admin_addr": admin}))
         variables = {
@@ -114,7 +116,7 @@
 
     def _restart(self) -> TaskSteps:
         """Replace the process that serves by a new one with a runtime of its own."""
-        runtime = free_address()
+        runtime = reserve_address(self.addresses)
         RuntimeEmulator(self.loop, Address.parse(runtime), self.script)
         old, began_ms = self.processes[-1].process, self.loop.clock.now()
         new = self._start_process(runtime)
@@ -179,6 +181,7 @@
             node.process.kill()
             node.process.wait()
         self.listening.close()
+        self.addresses.close()
 
 
 def _ask(load: LoadGenerator, source: str, class_name: str, key: str) -> None:
--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -25,6 +25,7 @@
 
 from benchmarks import rig
 from benchmarks.command import run_benchmark
+from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 from snowthread.records.frame import encode
 from snowthread.records.model import Fields, Record, RecordKind
 from snowthread.records.reader import Findings, merge
@@ -73,7 +74,8 @@
 
 def start_node(stack: ExitStack, folder: Path, with_records: bool) -> Node:
     """Start a node and what it needs; records go to the folder ``kept``."""
-    config = rig.configuration(folder, CORES)
+    addresses = stack.enter_context(AddressReservation(ANY_HOST))
+    config = rig.configuration(folder, addresses, CORES)
     stack.enter_context(
         rig.run_program("-m", "emulators.site", str(config), str(CORES), "1.0", ready="ready")
     )
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -4,7 +4,6 @@
 
 import json
 import os
-import random
 import socket
 import subprocess
 import sys
@@ -15,34 +14,28 @@
 from typing import IO, Any
 
 from emulators.load_generator import FAILED, REJECTED, SERVED, LoadGenerator, SentRequest
+from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 
 __all__ = ["FAILED", "REJECTED", "SERVED", "SentRequest", "LoadGenerator"]
 
 ROOT = Path(__file__).parent.parent
-FREE_PORTS = range(20_000, 32_000)  # below those that the system gives to outgoing connections
 LATE_SLACK_MS = 110.0  # beyond its timeout, until an answer counts as late
 MIN_REQUESTS_PER_SECOND = 5  # of a second whose share is told
 
 
-def free_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> str:
-    """Return a loopback address with a free port that no outgoing connection is given."""
-    while True:
-        with socket.socket(socket.AF_INET, kind) as sock:
-            try:
-                sock.bind(("0.0.0.0", random.choice(FREE_PORTS)))
-            except OSError:
-                continue
-            return f"127.0.0.1:{sock.getsockname()[1]}"
+def reserve_address(addresses: AddressReservation, kind: socket.SocketKind = socket.SOCK_STREAM) -> str:
+    """Return an address on loopback that is reserved, as host:port."""
+    return f"127.0.0.1:{addresses.reserve(kind).port}"
 
 
-def configuration(folder: Path, cores: int, **changes: Any) -> Path:
-    """Write the example's configuration on free ports and return its path."""
+def configuration(folder: Path, addresses: AddressReservation, cores: int, **changes: Any) -> Path:
+    """Write the example's configuration on reserved addresses and return its path."""
     fields = json.loads((ROOT / "examples" / "node.json").read_bytes())
     for name in ("listen", "runtime", "index"):
-        fields[name] = free_address()
-    fields["roster"] = free_address(socket.SOCK_DGRAM)
+        fields[name] = reserve_address(addresses)
+    fields["roster"] = reserve_address(addresses, socket.SOCK_DGRAM)
     fields["settings"]["domain"]["cores"] = cores
-    fields |= {"listen": fields["listen"].replace("127.0.0.1", "0.0.0.0")} | changes
+    fields |= {"listen": fields["listen"].replace("127.0.0.1", ANY_HOST)} | changes
     path = folder / "node.json"
     path.write_text(json.dumps(fields))
     return path
--- a/benchmarks/tenant_costs.py
+++ b/benchmarks/tenant_costs.py
@@ -18,6 +18,7 @@
 from emulators.directory import Entry, protocol
 from snowthread import config
 from snowthread.core import events
+from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 from snowthread.ldap import filters
 from snowthread.ldap.messages import Scope, SearchRequest
 from snowthread.ldap.session import Session
@@ -118,10 +119,11 @@
 def full_sync(tenant_count: int, networks: int) -> dict[str, float]:
     """Measure a full refresh from a directory in another process, and how long the loop stood still."""
     loop = EventLoop(Clock())
-    address = rig.free_address()
     size = (str(tenant_count), str(networks // tenant_count))
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
+        addresses = stack.enter_context(AddressReservation(ANY_HOST))
+        address = rig.reserve_address(addresses)
         stack.enter_context(
             rig.run_program("-m", "emulators.directory", address, *size, ready=f"{tenant_count} tenants")
         )
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -28,6 +28,7 @@
 
 from benchmarks import rig
 from benchmarks.tenant_costs import codec, full_sync, gate, look_up, operator_file
+from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 
 BEFORE = "4b467b1"  # the version that the part ``off`` compares with
 PACKAGES_BEFORE = ("snowthread", "clovertack")  # the program's top-level packages, then or now
@@ -51,7 +52,8 @@
         tenants: bool = True,
         cwd: Path = rig.ROOT,
     ) -> None:
-        config_path = rig.configuration(folder, cores)
+        addresses = stack.enter_context(AddressReservation(ANY_HOST))
+        config_path = rig.configuration(folder, addresses, cores)
         self.listen: str = json.loads(config_path.read_text())["listen"]
         stack.enter_context(
             rig.run_program("-m", "emulators.site", str(config_path), str(cores), str(run_ms), ready="ready")
@@ -59,7 +61,7 @@
         command = ["-m", "snowthread"]
         self.directory: subprocess.Popen[str] | None = None
         if tenants:
-            address = rig.free_address()
+            address = rig.reserve_address(addresses)
             self.directory = stack.enter_context(
                 rig.run_program("-m", "emulators.directory", address, ready="5 tenants")
             )
--- a/emulators/fleet_registry.py
+++ b/emulators/fleet_registry.py
@@ -15,9 +15,9 @@
 from __future__ import annotations
 
 import contextlib
-import socket
 from dataclasses import dataclass
 
+from emulators.servers import bind_datagrams
 from snowthread.address import Address
 from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
 
@@ -46,8 +46,7 @@
         self._loop = loop
         self._registrations: dict[str, _Registration] = {}
         self._incarnations: dict[str, int] = {}  # the latest known
-        self._sock = address.open(socket.SOCK_DGRAM)
-        self._sock.bind(address)
+        self._sock = bind_datagrams(address)
         loop.spawn(self._serve())
 
     def _listed(self) -> dict[str, bool]:
--- a/emulators/node_under_faults.py
+++ b/emulators/node_under_faults.py
@@ -26,6 +26,8 @@
 from emulators.site import RegistryEmulator, SiteScript
 from emulators.strict_runtime import MachineModel, StrictRuntime
 from snowthread.address import Address
+from snowthread.lab.address_reservation import AddressReservation
+from snowthread.lab.processes import format_address
 from snowthread.lab.relay import Relay
 from snowthread.net.clock import Clock
 from snowthread.net.loop import EventLoop
@@ -34,7 +36,7 @@
 EXAMPLE = ROOT / "examples" / "node.json"
 START_TIMEOUT_MS = 30_000.0
 LOOP_STEP_S = 0.02
-ANY_PORT = Address("127.0.0.1", 0)
+HOST = "127.0.0.1"
 SOURCES = ("127.0.0.2", "127.0.0.3", "127.0.0.4")  # of the balancers
 
 
@@ -88,27 +90,30 @@
         self.process: subprocess.Popen[bytes] | None = None
         self.log_path = folder / "node.log"
         self._resources = ExitStack()
-        addresses = _free_addresses(4)
-        runtime, database, registry, self.listen_address = addresses
+        addresses = self._resources.enter_context(AddressReservation(HOST))
+        runtime = addresses.reserve()
+        database = addresses.reserve()
+        registry = addresses.reserve(socket.SOCK_DGRAM)
+        self.listen_address = addresses.reserve()
         self.runtime = StrictRuntime(self.loop, runtime, scenario.model, self.generator)
         self.database = MeteredDatabase(self.loop, database, scenario.database_ms)
         RegistryEmulator(self.loop, registry, SiteScript())
-        self.runtime_link = Relay(self.loop, ANY_PORT, runtime, self.generator, "runtime")
-        self.database_link = Relay(self.loop, ANY_PORT, database, self.generator, "database")
+        self.runtime_link = Relay(self.loop, addresses.reserve(), runtime, self.generator, "runtime")
+        self.database_link = Relay(self.loop, addresses.reserve(), database, self.generator, "database")
         self._config_path = folder / "node.json"
         self._config_path.write_text(json.dumps(self._fields(registry)))
         self.load = LoadGenerator(
-            _format(self.listen_address), SOURCES, scenario.wait_ms, loop=self.loop, caller=1
+            format_address(self.listen_address), SOURCES, scenario.wait_ms, loop=self.loop, caller=1
         )
         self.load.keyed_bodies = True
 
     def _fields(self, registry: Address) -> dict[str, Any]:
         example: dict[str, Any] = json.loads(EXAMPLE.read_bytes())
         return example | {
-            "listen": _format(self.listen_address),
-            "runtime": _format(self.runtime_link.address),
-            "index": _format(self.database_link.address),
-            "roster": _format(registry),
+            "listen": format_address(self.listen_address),
+            "runtime": format_address(self.runtime_link.address),
+            "index": format_address(self.database_link.address),
+            "roster": format_address(registry),
             "stop_ms": self.scenario.stop_ms,
             "settings": self.scenario.settings(),
         }
@@ -162,16 +167,3 @@
     def log(self) -> str:
         """Return what the node has logged so far."""
         return self.log_path.read_text() if self.log_path.exists() else ""
-
-
-def _free_addresses(count: int) -> list[Address]:
-    """Return loopback addresses that nobody listens at; all are held at once, so that they differ."""
-    with ExitStack() as stack:
-        sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for sock in sockets:
-            sock.bind(ANY_PORT)
-        return [Address(*sock.getsockname()) for sock in sockets]
-
-
-def _format(address: Address) -> str:
-    return f"{address.host}:{address.port}"
--- a/emulators/servers.py
+++ b/emulators/servers.py
@@ -1,4 +1,4 @@
-"""Listening sockets of the emulators on the project's event loop."""
+"""Sockets of the emulators on the project's event loop."""
 
 from __future__ import annotations
 
@@ -23,6 +23,14 @@
     return sock
 
 
+def bind_datagrams(address: Address) -> socket.socket:
+    """Return a socket that receives the datagrams to an address, also one that a run has reserved."""
+    sock = address.open(socket.SOCK_DGRAM)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind(address)
+    return sock
+
+
 def accept_connections(
     loop: EventLoop, listener: socket.socket, serve: Callable[[socket.socket], TaskSteps]
 ) -> TaskSteps:
--- a/emulators/site.py
+++ b/emulators/site.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from emulators.core_queue import CoreQueue
-from emulators.servers import accept_connections, listen, read_json_lines
+from emulators.servers import accept_connections, bind_datagrams, listen, read_json_lines
 from emulators.stdin_commands import handle_commands
 from snowthread.address import Address
 from snowthread.net.clock import Clock
@@ -207,8 +207,7 @@
         """Receive at the address."""
         self._loop = loop
         self._script = script
-        self._sock = address.open(socket.SOCK_DGRAM)
-        self._sock.bind(address)
+        self._sock = bind_datagrams(address)
         loop.spawn(self._read_reports())
 
     def _read_reports(self) -> TaskSteps:
--- a/snowthread/lab/demo_fleet.py
+++ b/snowthread/lab/demo_fleet.py
@@ -10,12 +10,13 @@
 from pathlib import Path
 
 from emulators.load_generator import LoadGenerator
+from snowthread.lab.address_reservation import AddressReservation
 from snowthread.lab.processes import (
+    FLEET_HOST,
     EmulatorProcess,
     NodeProcess,
     StartError,
     format_address,
-    free_addresses,
     read_example_configuration,
     stop_nodes,
 )
@@ -48,6 +49,7 @@
         self.records.mkdir(parents=True, exist_ok=True)
         self._features = folder / "demo.hcl"
         self._features.write_text(f'records {{\n  folder = "{self.records}"\n}}\n')
+        self._reservation = AddressReservation(FLEET_HOST)
         self.nodes = [self._create_node(number) for number in range(NODES)]
         self._sites = [
             EmulatorProcess("emulators.site", str(self._config_file(node.number)), str(CORES), str(RUN_MS))
@@ -65,16 +67,15 @@
 
     def _create_node(self, number: int) -> NodeProcess:
         name = f"n{number + 1}"
-        listen, runtime, database = free_addresses(3)
-        registry = free_addresses(1, socket.SOCK_DGRAM)[0]
+        listen = self._reservation.reserve()
         fields = read_example_configuration()
         fields["settings"]["domain"]["cores"] = CORES
         fields |= {
             "name": name,
             "listen": format_address(listen),
-            "runtime": format_address(runtime),
-            "index": format_address(database),
-            "roster": format_address(registry),
+            "runtime": format_address(self._reservation.reserve()),
+            "index": format_address(self._reservation.reserve()),
+            "roster": format_address(self._reservation.reserve(socket.SOCK_DGRAM)),
             "stop_ms": SHUTDOWN_TIMEOUT_MS,
         }
         config = self._config_file(number)
@@ -138,3 +139,4 @@
         stop_nodes(self.nodes)
         for site in self._sites:
             site.stop()
+        self._reservation.close()
--- a/snowthread/lab/fleet.py
+++ b/snowthread/lab/fleet.py
@@ -17,6 +17,7 @@
 from pathlib import Path
 
 from snowthread.address import Address
+from snowthread.lab.address_reservation import AddressReservation
 from snowthread.lab.cores import CoreAllocation
 from snowthread.lab.deployment import (
     FOREIGN_BALANCER,
@@ -38,7 +39,6 @@
     NodeProcess,
     StartError,
     format_address,
-    free_addresses,
     read_example_configuration,
     require_repository,
     stop_nodes,
@@ -95,10 +95,11 @@
         self.ready_ms: dict[str, list[float]] = {}  # from each start of a node until it accepts
         self._cores = cores
         folder.mkdir(parents=True, exist_ok=True)
+        self._reservation = AddressReservation(FLEET_HOST)
         addresses = _ServiceAddresses(
-            runtimes=free_addresses(scenario.nodes),
-            database=free_addresses(1)[0],
-            registry=free_addresses(1, socket.SOCK_DGRAM)[0],
+            runtimes=[self._reservation.reserve() for _ in range(scenario.nodes)],
+            database=self._reservation.reserve(),
+            registry=self._reservation.reserve(socket.SOCK_DGRAM),
         )
         self.services = self._start_services(addresses)
         self.links: dict[str, NodeLinks] = {}
@@ -146,17 +147,18 @@
 
     def _create_nodes(self, addresses: _ServiceAddresses) -> None:
         generator = random.Random(self.scenario.seed)
-        listens = free_addresses(self.scenario.nodes)
-        any_port = Address(FLEET_HOST, 0)
         for number, name in enumerate(self.scenario.node_names()):
-            database = Relay(self.loop, any_port, addresses.database, random.Random(generator.random()), name)
-            front = Relay(self.loop, any_port, listens[number], random.Random(generator.random()), name)
+            listen = self._reservation.reserve()
+            database = self._create_relay(name, addresses.database, generator)
+            front = self._create_relay(name, listen, generator)
             front.close()
             links = NodeLinks(front, database, DatagramRelay(self.loop, addresses.registry, name))
             self.links[name] = links
-            self.nodes[name] = self._create_node(
-                name, number, listens[number], addresses.runtimes[number], links
-            )
+            self.nodes[name] = self._create_node(name, number, listen, addresses.runtimes[number], links)
+
+    def _create_relay(self, name: str, target: Address, generator: random.Random) -> Relay:
+        listen = self._reservation.reserve()
+        return Relay(self.loop, listen, target, random.Random(generator.random()), name)
 
     def _create_node(
         self, name: str, number: int, listen: Address, runtime: Address, links: NodeLinks
@@ -245,6 +247,7 @@
         self.services.stop()
         for links in self.links.values():
             links.close()
+        self._reservation.close()
 
 
 def state_folder(node_folder: Path) -> Path:
--- a/snowthread/lab/processes.py
+++ b/snowthread/lab/processes.py
@@ -28,7 +28,7 @@
 CONNECT_TIMEOUT_S = 0.2
 ACCEPT_POLL_MS = 25.0  # between two attempts to connect to a node that was started
 # The loopback network of this process: .1 is the host of nodes and emulators, .2 and on are those of the
-# balancers. Fleets that run side by side and bind the free ports they found a moment later never collide.
+# balancers. Fleets that run side by side never collide.
 LOOPBACK_NETWORK = f"127.{1 + os.getpid() // 250 % 250}.{os.getpid() % 250}"
 FLEET_HOST = f"{LOOPBACK_NETWORK}.1"
 
@@ -49,18 +49,6 @@
         raise ConfigError(f"the {command} needs the repository round it: run it from a clone")
 
 
-def free_addresses(count: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[Address]:
-    """Return addresses of the fleet's host with free ports, all different."""
-    sockets = [socket.socket(socket.AF_INET, kind) for _ in range(count)]
-    try:
-        for sock in sockets:
-            sock.bind((FLEET_HOST, 0))
-        return [Address(*sock.getsockname()[:2]) for sock in sockets]
-    finally:
-        for sock in sockets:
-            sock.close()
-
-
 def format_address(address: Address) -> str:
     """Return ``host:port``, as configurations have it."""
     return f"{address.host}:{address.port}"
--- a/tests/emulators/test_strict_runtime.py
+++ b/tests/emulators/test_strict_runtime.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 import pytest
+from support.program import reserve_address
 
 from emulators.strict_runtime import MachineModel, StrictRuntime
 from snowthread.address import Address
@@ -62,9 +63,7 @@
 
 
 def make_runtime(loop: EventLoop, can_stop_runs: bool = True) -> Address:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        address = Address(*probe.getsockname())
+    address = reserve_address()
     model = MachineModel(mean_run_ms=FOREVER_MS, can_stop_runs=can_stop_runs)
     StrictRuntime(loop, address, model, random.Random(1))
     return address
--- a/tests/hot_restart/test_hot_restart_program.py
+++ b/tests/hot_restart/test_hot_restart_program.py
@@ -19,7 +19,7 @@
 import msgpack
 from support.exchange import address, loopback
 from support.hot_restart import packed_request
-from support.program import PATIENCE_S, ROOT, configuration, environment, site
+from support.program import PATIENCE_S, ROOT, configuration, environment, reserve_address, site
 
 BALANCERS = 6
 POLL_S = 0.02
@@ -133,15 +133,11 @@
         return process
 
 
-def free_ports() -> tuple[int, int]:
-    with loopback(socket.SOCK_STREAM) as one, loopback(socket.SOCK_STREAM) as two:
-        return one.getsockname()[1], two.getsockname()[1]
-
-
 def test_program_is_replaced_under_load_without_a_failed_request(tmp_path: Path) -> None:
     shared_directory = tmp_path / "shared"
     shared_directory.mkdir()
-    old_admin, new_admin = free_ports()
+    old_admin = reserve_address().port
+    new_admin = reserve_address().port
     with ExitStack() as stack:
         listening = stack.enter_context(loopback(socket.SOCK_STREAM))
         listening.listen(128)
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -8,14 +8,19 @@
 import subprocess
 import sys
 from collections.abc import Iterator
-from contextlib import ExitStack, contextmanager
+from contextlib import contextmanager
 from pathlib import Path
 from typing import Any
 
-from support.node_harness import EXAMPLE, address, loopback
+from snowthread.address import Address
+from snowthread.lab.address_reservation import AddressReservation
+from snowthread.lab.processes import format_address
+from support.node_harness import EXAMPLE
 
 ROOT = Path(__file__).parents[2]
 PATIENCE_S = 30.0  # until what does not come counts as missing
+RESERVATION = AddressReservation("127.0.0.1")
+"""The addresses given to programs, reserved until this process ends."""
 SOCKET_KINDS = {
     "listen": socket.SOCK_STREAM,
     "runtime": socket.SOCK_STREAM,
@@ -25,12 +30,18 @@
 """The addresses in a configuration, by key, each with the kind of its socket."""
 
 
+def reserve_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> Address:
+    """Return a loopback address that no other program of these tests is given."""
+    return RESERVATION.reserve(kind)
+
+
 def configuration(folder: Path, **changes: Any) -> Path:
-    """Write the example's configuration on free ports, with changes; return its path."""
-    with ExitStack() as stack:  # all are bound at once, so that they differ
-        ports = {key: address(stack.enter_context(loopback(kind))) for key, kind in SOCKET_KINDS.items()}
+    """Write the example's configuration on reserved addresses, with changes; return its path."""
+    addresses = {
+        key: format_address(reserve_address(kind)) for key, kind in SOCKET_KINDS.items() if key not in changes
+    }
     path = folder / "node.json"
-    path.write_text(json.dumps(json.loads(EXAMPLE.read_bytes()) | ports | changes))
+    path.write_text(json.dumps(json.loads(EXAMPLE.read_bytes()) | addresses | changes))
     return path
 
 
--- a/tests/tenants/test_tenants_program.py
+++ b/tests/tenants/test_tenants_program.py
@@ -5,7 +5,6 @@
 import json
 import os
 import signal
-import socket
 import subprocess
 import sys
 import time
@@ -16,8 +15,18 @@
 
 import pytest
 from ask import ask
-from support.exchange import address, loopback
-from support.program import PATIENCE_S, ROOT, configuration, environment, listen_address, site, started
+from support.program import (
+    PATIENCE_S,
+    ROOT,
+    configuration,
+    environment,
+    listen_address,
+    reserve_address,
+    site,
+    started,
+)
+
+from snowthread.lab.processes import format_address
 
 SERVED = "served"
 REJECTED = "Throttled"
@@ -28,8 +37,7 @@
 
     def __init__(self, folder: Path, stack: ExitStack, more: str = "") -> None:
         self.folder, self.stack = folder, stack
-        with loopback(socket.SOCK_STREAM) as sock:
-            self.directory_address = address(sock)
+        self.directory_address = format_address(reserve_address())
         self.node_config = configuration(folder, stop_ms=1000)
         self.operator_file = folder / "tenants.hcl"
         self.more = more
@@ -184,8 +192,7 @@
     line = read_log_until(process, "the old one stays")
     assert "tenants.hcl" in line and "key" in line
     old, setup.directory_address = setup.directory_address, ""
-    with loopback(socket.SOCK_STREAM) as sock:
-        setup.directory_address = address(sock)
+    setup.directory_address = format_address(reserve_address())
     assert old != setup.directory_address
     setup.start_directory()  # another server
     setup.write(setup.directory_address, "default {\n refuse = true\n }")
