--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -1,8 +1,10 @@
-"""The balancers' server: accepts connections, sends answers on them and closes them in good order."""
+"""The balancers' server: owns the connections, sends answers on them and closes them in good order.
+
+:mod:`.acceptor` accepts the connections and :mod:`.sweeper` checks their timeouts.
+"""
 
 from __future__ import annotations
 
-import errno
 import socket
 from collections import OrderedDict
 from collections.abc import Callable
@@ -11,24 +13,20 @@
 
 from snowthread.address import Address
 from snowthread.core import effects, events
+from snowthread.frontends.balancers.acceptor import LISTEN_BACKLOG, ConnectionAcceptor
 from snowthread.frontends.balancers.codec import encode
 from snowthread.frontends.balancers.connection import BalancerConnection
 from snowthread.frontends.balancers.eviction import eviction_candidates
 from snowthread.frontends.balancers.sweeper import FAREWELL_TIMEOUT_MS, ConnectionSweeper
 from snowthread.net.limits import IDLE_CONNECTIONS_RATIO, SWEEP_INTERVAL_MS
-from snowthread.net.listening import adopt_listener, has_pending_connection, open_listener
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.listening import adopt_listener, open_listener
+from snowthread.net.loop import EventLoop, TaskSteps, Wait
 
-LISTEN_BACKLOG = 1024
 MIN_CONNECTION_LIMIT = 8  # connections that are allowed however low the limit is set
-ACCEPTS_PER_ROUND = 64  # connections accepted in one round of the loop
-ACCEPT_PAUSE_MS = 50.0  # pause in accepting where no connection can be taken
-
-_OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class BalancerServer:
-    """Owns the listening socket and all balancers' connections."""
+    """Owns all balancers' connections."""
 
     def __init__(
         self,
@@ -43,34 +41,31 @@
 
         ``max_unsent_bytes`` limits the unsent answers of all connections together.
         """
-        self.loop, self.post = loop, post
+        self.loop = loop
+        self.post = post
         self._connections: dict[int, BalancerConnection] = {}
         self._idle_since_ms: OrderedDict[int, float] = OrderedDict()  # the longest idle first
         self._sweeper = ConnectionSweeper(self._connections, self._idle_since_ms, max_unsent_bytes)
         self.set_max_connections(max_connections)
-        self._listener: socket.socket | None = (
+        self._last_connection_number = 0
+        self._draining = False  # connections are sent a farewell as soon as they are idle
+        listener = (
             open_listener(address, LISTEN_BACKLOG)
             if listen_descriptor is None
             else adopt_listener(listen_descriptor)
         )
-        self._last_connection_number = 0
-        self._draining = False  # connections are sent a farewell as soon as they are idle
-        self._paused = False  # new connections are left to another process
-        self._acceptor = loop.spawn(self._accept())
+        self.acceptor = ConnectionAcceptor(loop, listener, self)
         loop.spawn(self._sweep())
 
     @property
     def address(self) -> tuple[str, int]:
         """Where the server listens; ValueError after it stopped."""
-        if self._listener is None:
-            raise ValueError("the server no longer listens")
-        host, port = self._listener.getsockname()[:2]
-        return host, port
+        return self.acceptor.address
 
     @property
     def accepting(self) -> bool:
-        """Whether new connections are accepted and kept."""
-        return self._listener is not None and not self._draining and not self._paused
+        """Whether new connections are accepted and stay open."""
+        return not self.acceptor.stopped and not self._draining and not self.acceptor.paused
 
     @property
     def busy(self) -> bool:
@@ -84,7 +79,7 @@
         return len(self._connections)
 
     def peer_address(self, connection_number: int) -> str:
-        """Return the peer's host, or an empty string where the connection is gone."""
+        """Return the peer's host, or an empty string where the connection is closed."""
         connection = self._connections.get(connection_number)
         try:
             return "" if connection is None else str(connection.sock.getpeername()[0])
@@ -100,50 +95,22 @@
         """Send a farewell to connections that are idle for this long, from now on."""
         self._sweeper.idle_timeout_ms = timeout_ms
 
-    # Accepting.
-
-    def _accept(self) -> TaskSteps:
-        while self._listener is not None:
-            ready = yield Wait() if self._paused else Wait(self._listener.fileno(), READABLE)
-            if ready and self._listener is not None and not self.accept_pending(ACCEPTS_PER_ROUND):
-                yield Wait(until_ms=self.loop.clock.now() + ACCEPT_PAUSE_MS)
+    # What the acceptor calls (ConnectionTable).
 
-    def accept_pending(self, max_accepts: int) -> bool:
-        """Accept pending connections; return False where none can be accepted for now.
+    def is_full(self) -> bool:
+        """Return whether a new connection is above the limit."""
+        return len(self._connections) >= self._max_connections
 
-        Where the table is full, an idle connection is evicted for each new one: connections that send nothing
-        must not keep out those that have a request.
-        """
-        for _ in range(max_accepts):
-            if self._listener is None:
-                break
-            if len(self._connections) >= self._max_connections:
-                if not has_pending_connection(self._listener):
-                    return True
-                if not self._evict_idle_connection():
-                    return False
-            try:
-                sock, _address = self._listener.accept()
-            except BlockingIOError:
-                return True
-            except OSError as error:
-                if error.errno in _OUT_OF_RESOURCES:
-                    logger.warning("balancers: accept: {}", error)
-                    return False
-                continue  # the peer has closed this connection already
-            self._add_connection(sock)
-        return True
-
-    def _add_connection(self, sock: socket.socket) -> None:
+    def add_connection(self, sock: socket.socket) -> None:
+        """Take over an accepted connection."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._last_connection_number += 1
-        number = self._last_connection_number
-        connection = BalancerConnection(self, sock, number)
-        self._connections[number] = connection
+        connection = BalancerConnection(self, sock, self._last_connection_number)
+        self._connections[connection.number] = connection
         self.mark_active(connection)
 
-    def _evict_idle_connection(self) -> bool:
+    def evict_idle_connection(self) -> bool:
         """Close the best candidate on which no request lies unread; return False where there is none."""
         now_ms = self.loop.clock.now()
         for connection in eviction_candidates(self._connections, self._idle_since_ms, now_ms):
@@ -195,7 +162,7 @@
         if isinstance(effect.response, effects.Served | effects.Rejected):
             connection.abuse_budget.refund()
         if isinstance(effect.response, effects.Rejected | effects.Failed):
-            _log_refusal(effect.response)
+            _log_without_result(effect.response)
         connection.write(encode(number, effect.response, effect.load_report))
         if self._draining and not connection.open_numbers:
             connection.send_farewell()
@@ -207,7 +174,7 @@
         while True:
             yield Wait(until_ms=self.loop.clock.now() + SWEEP_INTERVAL_MS)
             self._sweeper.sweep(
-                self.loop.clock.now(), closes_after_farewell=self._paused or not self._draining
+                self.loop.clock.now(), closes_after_farewell=self.acceptor.paused or not self._draining
             )
 
     # Draining and stopping.
@@ -220,13 +187,12 @@
 
     def pause_accepting(self) -> None:
         """Accept nothing for now: pending connections belong to another process."""
-        self._paused = True
-        self.loop.wake(self._acceptor)
+        self.acceptor.pause()
 
     def resume_accepting(self) -> None:
-        """Accept connections and keep them again."""
-        self._paused = self._draining = False
-        self.loop.wake(self._acceptor)
+        """Accept connections again and stop draining."""
+        self._draining = False
+        self.acceptor.resume()
 
     def stop_accepting(self) -> None:
         """Accept what is pending and stop listening.
@@ -234,10 +200,8 @@
         Connections are refused from then on, which proves to their peers that nothing ran.
         """
         self._max_connections = max(self._max_connections, len(self._connections) + LISTEN_BACKLOG)
-        self.accept_pending(LISTEN_BACKLOG)
-        if self._listener is not None:
-            self.loop.close(self._listener)
-            self._listener = None
+        self.acceptor.accept_pending(LISTEN_BACKLOG)
+        self.acceptor.stop()
         self.send_farewell_to_all()
 
     def has_pending_work(self) -> bool:
@@ -259,7 +223,7 @@
             connection.read_pending()
 
 
-def _log_refusal(response: effects.Rejected | effects.Failed) -> None:
+def _log_without_result(response: effects.Rejected | effects.Failed) -> None:
     """Log, as a detail, which request gets no result, and why."""
     if isinstance(response, effects.Rejected):
         logger.debug("request {}: rejected: {}", response.attempt_id, response.reason)
--- a/tests/node/test_idle_connections.py
+++ b/tests/node/test_idle_connections.py
@@ -31,27 +31,27 @@
     serve_request(harness, "1", 1, 1)
 
 
-def test_request_unread_on_the_connection_that_would_make_room_is_served(harness: NodeHarness) -> None:
+def test_request_unread_on_the_connection_that_would_be_evicted_is_served(harness: NodeHarness) -> None:
     harness.node.balancers.set_max_connections(MIN_CONNECTION_LIMIT)
     harness.connect(*(str(n) for n in range(MIN_CONNECTION_LIMIT)))
     harness.clock.now_ms += FRESH_IDLE_MS
     new = socket.create_connection(harness.node.balancers.address)  # before the request is sent
     harness.send("0", request(1, "match"))
     serve_request(harness, "0", 1, 1)
-    assert harness.node.balancers.count() == MIN_CONNECTION_LIMIT  # another made room, and only one
+    assert harness.node.balancers.count() == MIN_CONNECTION_LIMIT  # another was evicted, and only one
     assert harness.node.balancers.peer_address(
         MIN_CONNECTION_LIMIT + 1
     ) and harness.node.balancers.peer_address(1)
     new.close()
 
 
-def test_connection_with_a_partial_request_is_not_closed_as_idle_or_to_make_room(
+def test_connection_with_a_partial_request_is_not_closed_as_idle_or_evicted(
     harness: NodeHarness,
 ) -> None:
     harness.node.balancers.set_max_connections(MIN_CONNECTION_LIMIT)
     harness.connect(*(str(n) for n in range(MIN_CONNECTION_LIMIT)))
-    whole = request(1, "match")
-    harness.send("0", whole[:40])
+    message = request(1, "match")
+    harness.send("0", message[:40])
     harness.settle()
     harness.node.balancers.set_idle_timeout(100.0)
     harness.advance(SWEEP_INTERVAL_MS + 1.0)
@@ -61,21 +61,21 @@
     new = socket.create_connection(harness.node.balancers.address)
     harness.settle()
     harness.advance(FAREWELL_TIMEOUT_MS + SWEEP_INTERVAL_MS)
-    harness.send("0", whole[40:])
+    harness.send("0", message[40:])
     serve_request(harness, "0", 1, 1)
     new.close()
 
 
 def test_partial_request_that_crossed_a_farewell_is_served(harness: NodeHarness) -> None:
     harness.connect("1")
-    whole = request(1, "match")
+    message = request(1, "match")
     harness.node.balancers.set_idle_timeout(100.0)
     harness.advance(SWEEP_INTERVAL_MS)
     assert read_answer(harness, "1") == FAREWELL_MESSAGE
-    harness.send("1", whole[:-1])  # it crossed; its last byte comes after the farewell period
+    harness.send("1", message[:-1])  # it crossed; its last byte comes after the farewell period
     harness.settle()
     harness.advance(FAREWELL_TIMEOUT_MS + SWEEP_INTERVAL_MS)
-    harness.send("1", whole[-1:])
+    harness.send("1", message[-1:])
     serve_request(harness, "1", 1, 1)
 
 
@@ -89,9 +89,9 @@
         harness.send(name, request(100 + n, "match"))
     harness.settle()
     first, second = (socket.create_connection(balancers.address) for _ in range(2))
-    assert balancers.accept_pending(1)
+    assert balancers.acceptor.accept_pending(1)
     harness.clock.now_ms += FRESH_IDLE_MS
-    assert balancers.accept_pending(1)
+    assert balancers.acceptor.accept_pending(1)
     assert balancers.count() == MIN_CONNECTION_LIMIT
     unpacker = msgpack.Unpacker()
     first.settimeout(5.0)
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -255,7 +255,7 @@
         hot_restart = player.node.hot_restart
         assert hot_restart is not None
         player.node._stopped = hot_restart._closed = True
-        for listening in (hot_restart._listener, player.node.balancers._listener):
+        for listening in (hot_restart._listener, player.node.balancers.acceptor._listener):
             if listening is not None:
                 player.node.loop.close(listening)
         return hot_restart
