--- a/snowthread/clients/registry.py
+++ b/snowthread/clients/registry.py
@@ -1,4 +1,4 @@
-"""The registry's client: reports in datagrams that the node is there and whether it accepts work.
+"""The registry's client: reports in datagrams that the node is alive and whether it accepts work.
 
 A registry that serves a fleet answers the reports; another one does not.
 """
@@ -28,7 +28,9 @@
     """Reports regularly, and at once after a change."""
 
     def __init__(self, loop: EventLoop, address: Address, name: str) -> None:
-        self._loop, self._address, self._name = loop, address, name
+        self._loop = loop
+        self._address = address
+        self._name = name
         self._report_suffix: Callable[[], str] = lambda: ""  # none outside a fleet
         self._on_answer: Callable[[bytes], None] | None = None
         self._accepts_work = True
@@ -38,8 +40,9 @@
         self._answer_task: Task | None = None
 
     def join_fleet(self, report_suffix: Callable[[], str], on_answer: Callable[[bytes], None]) -> None:
-        """Add a suffix to the reports and pass the registry's answers on."""
-        self._report_suffix, self._on_answer = report_suffix, on_answer
+        """Add a suffix to the reports and hand on the registry's answers."""
+        self._report_suffix = report_suffix
+        self._on_answer = on_answer
         self._answer_task = self._loop.spawn(self._receive_answers(self._sock))
 
     def set_registration(self, accepts_work: bool) -> None:
@@ -59,7 +62,8 @@
                 self._loop.end_task(self._answer_task)
                 self._answer_task = self._loop.spawn(self._receive_answers(sock))
             self._sock.close()
-            self._sock, self._address = sock, address
+            self._sock = sock
+            self._address = address
             self.report_now()
 
     def report_now(self) -> None:
--- a/snowthread/clients/runtime_codec.py
+++ b/snowthread/clients/runtime_codec.py
@@ -61,7 +61,11 @@
 
 
 def decode(line: bytes) -> Notice:
-    """Return what a line from the runtime says; NoticeError where it is no notice."""
+    """Return what a line from the runtime says.
+
+    Raises:
+        NoticeError: it is no notice.
+    """
     try:
         fields = orjson.loads(line)
     except orjson.JSONDecodeError as error:
@@ -78,7 +82,11 @@
 
 
 def _event(fields: dict[str, Any]) -> events.Event | None:
-    """Return the event of a notice, or None for a kind that is not known."""
+    """Return the event of a notice, or None for a kind that is not known.
+
+    Raises:
+        TypeError: a field has another type; KeyError and ValueError are possible, too.
+    """
     match fields.get("action"):
         case "ready":
             age_ms = max(0.0, float(fields.get("wall_ms") or 0.0))
--- a/tests/node/test_runtime_link.py
+++ b/tests/node/test_runtime_link.py
@@ -1,4 +1,4 @@
-"""The link to the runtime goes silent, breaks or moves while commands are under way."""
+"""The link to the runtime goes silent, breaks or migrates while commands are in flight."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     send_notice,
 )
 
-from snowthread.clients.runtime import (
-    LOAD_SAMPLE_QUEUE_LIMIT,
-    MOVE_TIMEOUT_MS,
-    PROBE_AFTER_SILENCE_MS,
-    PROBE_TIMEOUT_MS,
+from snowthread.clients.runtime import LOAD_SAMPLE_QUEUE_LIMIT
+from snowthread.clients.runtime_link import (
+    KEEPALIVE_AFTER_SILENCE_MS,
+    KEEPALIVE_TIMEOUT_MS,
+    MIGRATION_TIMEOUT_MS,
 )
 from snowthread.core import effects
 
@@ -37,11 +37,11 @@
 
 def pass_silence_timeout(harness: NodeHarness) -> None:
     """Let the runtime say nothing more, on a link that does not break, until the node gives the link up."""
-    harness.advance(PROBE_AFTER_SILENCE_MS)
+    harness.advance(KEEPALIVE_AFTER_SILENCE_MS)
     command = read_command(harness)
     while command != {"action": "gauges", "echo": "alive"}:
         command = read_command(harness)
-    harness.advance(PROBE_TIMEOUT_MS)
+    harness.advance(KEEPALIVE_TIMEOUT_MS)
     harness.settle()
 
 
@@ -109,35 +109,38 @@
     harness.accept("runtime")
     assert read_command(harness) == {"action": "sync", "pos": 0}
     for _ in range(5):
-        harness.advance(PROBE_AFTER_SILENCE_MS + PROBE_TIMEOUT_MS)
+        harness.advance(KEEPALIVE_AFTER_SILENCE_MS + KEEPALIVE_TIMEOUT_MS)
     harness.assert_silent("runtime")
     send_notice(harness, "ready", code="fresh", wall_ms=0)
     assert read_command(harness) == {"action": "gauges", "echo": "sync-1"}
 
 
-def test_echo_unread_at_the_end_of_the_wait_is_heard(harness: NodeHarness) -> None:
-    harness.advance(PROBE_AFTER_SILENCE_MS)
-    harness.advance_late(PROBE_TIMEOUT_MS)
+def test_echo_unread_at_the_end_of_the_wait_is_read(harness: NodeHarness) -> None:
+    harness.advance(KEEPALIVE_AFTER_SILENCE_MS)
+    harness.advance_late(KEEPALIVE_TIMEOUT_MS)
     send_notice(harness, "load", echo="alive", meters=[0.1, 0, 0.1, 1])
     harness.settle()
     assert harness.node.state.runtime_connected and harness.node.state.link_number == 1
 
 
-def test_link_with_many_unread_commands_moves_after_their_echo_and_loses_none(harness: NodeHarness) -> None:
+def test_link_with_many_unread_commands_migrates_after_their_echo_and_loses_none(
+    harness: NodeHarness,
+) -> None:
     link = harness.peers["runtime"]
     sent = 0
-    while len(harness.node.runtime._unsent_lines) < LOAD_SAMPLE_QUEUE_LIMIT:
+    while len(harness.node.runtime._commands) < LOAD_SAMPLE_QUEUE_LIMIT:
         harness.node.runtime.send(effects.DeliverReply(attempt_id(sent), b"r" * 4000))
         sent += 1
         assert sent < 5000
     listener = loopback(socket.SOCK_STREAM)
     harness.reload(runtime=address(listener))
     harness.settle()
-    got, rounds = b"", 0
+    got = b""
+    rounds = 0
     while b"move-1" not in got:
         harness.node.loop.run_once(0.0)
         rounds += 1
-        assert rounds < 50_000, f"{got.count(b'give')} of {sent} read, and no question before the move"
+        assert rounds < 50_000, f"{got.count(b'give')} of {sent} read, and no marker before the migration"
         try:
             got += link.recv(1 << 16)
         except BlockingIOError:
@@ -151,7 +154,7 @@
 
 
 def test_starts_sent_to_an_address_that_never_answered_are_resent(harness: NodeHarness) -> None:
-    """The runtime moves; whoever listens at the new address reads nothing, and it moves once more."""
+    """The link migrates to an address whose listener reads nothing, and migrates once more."""
     harness.connect("1")
     listener = loopback(socket.SOCK_STREAM)
     harness.reload(runtime=address(listener))
@@ -166,7 +169,7 @@
     back = loopback(socket.SOCK_STREAM)
     harness.reload(runtime=address(back))
     harness.settle()
-    harness.advance(MOVE_TIMEOUT_MS)
+    harness.advance(MIGRATION_TIMEOUT_MS)
     harness.listeners["runtime"] = back
     reconnect_runtime(harness, 0, "sync-2")
     assert read_command(harness) == start_command(1, "match")
