--- a/emulators/directory/__init__.py
+++ b/emulators/directory/__init__.py
@@ -5,8 +5,9 @@
 
 - ``ber``: encode and decode BER as generic nodes; ``protocol``: the LDAP messages made of them.
 - ``entries``: the entries and the filters that select them; ``content``: all entries, with their history.
-- ``faults``: what goes wrong, and what the server is capable of.
-- ``requests``: answer bind, search and synchronisation requests; ``connection``: one client's connection.
+- ``faults``: what goes wrong, and what the server is capable of; ``state``: these and the content.
+- ``responses``: encode responses; ``searches``: answer searches; ``requests``: answer all requests.
+- ``link``: the bytes and TLS of one connection; ``connection``: the requests in them.
 - ``server``: the listener; ``__main__``: the command line.
 """
 
--- a/emulators/directory/__main__.py
+++ b/emulators/directory/__main__.py
@@ -88,8 +88,8 @@
 def suspend(directory: Directory, name: str) -> None:
     """Set a tenant's status to suspended; its other attributes stay."""
     old = directory.entries[directory.dn(name)].attributes
-    kept: dict[str, Any] = {key: values for key, values in old.items() if key.startswith("snowthread")}
-    directory.put(name, **kept | {"snowthreadStatus": "suspended"})
+    unchanged: dict[str, Any] = {key: values for key, values in old.items() if key.startswith("snowthread")}
+    directory.put(name, **unchanged | {"snowthreadStatus": "suspended"})
 
 
 if __name__ == "__main__":
--- a/emulators/directory/ber.py
+++ b/emulators/directory/ber.py
@@ -10,7 +10,13 @@
 APPLICATION = asn1.Classes.Application
 CONTEXT = asn1.Classes.Context
 
-BOOLEAN, INTEGER, OCTET_STRING, ENUMERATED, SEQUENCE, SET = 1, 2, 4, 10, 16, 17  # universal tag numbers
+BOOLEAN = 1  # universal tag numbers
+INTEGER = 2
+OCTET_STRING = 4
+ENUMERATED = 10
+SEQUENCE = 16
+SET = 17
+SEQUENCE_OCTET = 0x30  # the identifier octet of a constructed SEQUENCE
 LONG_FORM = 0x80  # of a length: the low bits count the octets that follow
 
 
@@ -86,9 +92,9 @@
 def wrap_sequence(content: bytes) -> bytes:
     """Return a SEQUENCE of elements that are encoded already."""
     if len(content) < LONG_FORM:
-        return bytes((0x30, len(content))) + content
+        return bytes((SEQUENCE_OCTET, len(content))) + content
     length = len(content).to_bytes((len(content).bit_length() + 7) // 8)
-    return bytes((0x30, LONG_FORM | len(length))) + length + content
+    return bytes((SEQUENCE_OCTET, LONG_FORM | len(length))) + length + content
 
 
 def frame_length(data: bytes | bytearray) -> int | None:
--- a/emulators/directory/content.py
+++ b/emulators/directory/content.py
@@ -1,4 +1,4 @@
-"""All entries of a directory. Each change has a number; a cookie is the number up to which a client knows."""
+"""All entries of a directory. Each change has a number; a cookie is the number of the last one it covers."""
 
 from __future__ import annotations
 
@@ -91,4 +91,4 @@
         other.removed = dict(self.removed)
 
     def _changed(self, entry: Entry, state: EntryState) -> None:
-        """Take note of a change; a subclass tells its clients."""
+        """React to a change; a subclass reports it to its clients."""
--- a/emulators/directory/entries.py
+++ b/emulators/directory/entries.py
@@ -62,10 +62,9 @@
     """Return whether a filter matches an entry; one of an unknown kind does not."""
     _, kind, value = test
     match kind:
-        case FilterKind.AND:
-            return all(matches(inner, entry) for inner in value)
-        case FilterKind.OR:
-            return any(matches(inner, entry) for inner in value)
+        case FilterKind.AND | FilterKind.OR:
+            quantifier = all if kind == FilterKind.AND else any
+            return quantifier(matches(inner, entry) for inner in value)
         case FilterKind.NOT:
             return not matches(value[0], entry)
         case FilterKind.PRESENT:
--- /dev/null
+++ b/emulators/directory/link.py
@@ -0,0 +1,124 @@
+"""The bytes of one client's connection: sending, TLS, and the faults of the link."""
+
+from __future__ import annotations
+
+import socket
+import ssl
+import struct
+from collections.abc import Generator
+
+from emulators.directory.state import DirectoryState
+from snowthread.net.clock import Clock
+from snowthread.net.loop import READABLE, WRITABLE, Wait
+
+READ_BYTES = 65536
+NEVER_MS = 1e12
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, with no time
+
+
+class Link:
+    """The socket of one connection, what is not sent yet, and TLS once there was a handshake."""
+
+    def __init__(self, directory: DirectoryState, clock: Clock, sock: socket.socket) -> None:
+        self._directory = directory
+        self._clock = clock
+        self._sock = sock
+        self._unsent = bytearray()
+        self._sent_bytes = 0
+        self._tls: ssl.SSLObject | None = None
+        self._tls_in = ssl.MemoryBIO()
+        self._tls_out = ssl.MemoryBIO()
+
+    @property
+    def all_sent(self) -> bool:
+        """Whether nothing is left to be sent."""
+        return not self._unsent
+
+    def queue(self, data: bytes) -> None:
+        """Add bytes to those to be sent, encrypted if there was a handshake."""
+        if self._tls is not None:
+            self._tls.write(data)
+            data = self._tls_out.read()
+        self._unsent += data
+
+    def flush(self) -> None:
+        """Send what the faults and the socket allow.
+
+        Raises:
+            ConnectionResetError: A fault resets the connection.
+        """
+        faults = self._directory.faults
+        if faults.stall:
+            return
+        size = len(self._unsent)
+        for limit in (faults.stall_at, faults.reset_at):
+            if limit is not None:
+                size = min(size, max(0, limit - self._sent_bytes))
+        if faults.drip_ms:
+            size = min(size, 1)
+        if size:
+            try:
+                sent = self._sock.send(self._unsent[:size])
+            except BlockingIOError:
+                return
+            del self._unsent[:sent]
+            self._sent_bytes += sent
+        if faults.reset_at is not None and self._sent_bytes >= faults.reset_at:
+            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            raise ConnectionResetError("by script")
+
+    def receive(self) -> bytes:
+        """Return the bytes that wait at the socket; none at the end of the stream."""
+        return self._sock.recv(READ_BYTES)
+
+    def next_wait(self) -> Wait:
+        """Return what to wait for, as the faults have it."""
+        faults = self._directory.faults
+        stalled = faults.stall_at is not None and self._sent_bytes >= faults.stall_at
+        wants_to_send = bool(self._unsent) and not faults.stall and not stalled and not faults.drip_ms
+        mask = (0 if faults.stall else READABLE) | (WRITABLE if wants_to_send else 0)
+        delay_ms = faults.drip_ms if faults.drip_ms and self._unsent else NEVER_MS
+        return Wait(self._sock.fileno(), mask, self._clock.now() + delay_ms)
+
+    def handshake(self) -> Generator[Wait, int, None]:
+        """Shake hands for TLS.
+
+        Raises:
+            ValueError: The directory has no certificate.
+            ConnectionResetError: The client left.
+        """
+        context = self._directory.capabilities.tls
+        if context is None:
+            raise ValueError("no context")
+        tls = context.wrap_bio(self._tls_in, self._tls_out, server_side=True)
+        while True:
+            try:
+                tls.do_handshake()
+            except ssl.SSLWantReadError:
+                done = False
+            else:
+                done = True
+            self._unsent += self._tls_out.read()
+            self.flush()
+            if done:
+                self._tls = tls
+                return
+            ready = yield Wait(self._sock.fileno(), READABLE)
+            if ready:
+                data = self.receive()
+                if not data:
+                    raise ConnectionResetError("the client left")
+                self._tls_in.write(data)
+
+    def decrypt(self, data: bytes) -> bytes:
+        """Return the clear text of received bytes: themselves before a handshake."""
+        if self._tls is None:
+            return data
+        self._tls_in.write(data)
+        clear_text = b""
+        try:
+            while more := self._tls.read(READ_BYTES):
+                clear_text += more
+        except ssl.SSLWantReadError:
+            pass
+        return clear_text
--- /dev/null
+++ b/emulators/directory/responses.py
@@ -0,0 +1,46 @@
+"""Encode the responses of one connection, as far as the faults let them through."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+
+from emulators.directory import ber, protocol
+from emulators.directory.ber import Node
+from emulators.directory.entries import Entry
+from emulators.directory.protocol import EntryState
+from emulators.directory.state import DirectoryState
+
+
+class ResponseWriter:
+    """Encodes responses; ``transmit`` takes the bytes of each, or None where a fault ends the connection."""
+
+    def __init__(self, directory: DirectoryState, transmit: Callable[[bytes | None], None]) -> None:
+        self._directory = directory
+        self._transmit = transmit
+        self._message_count = 0
+
+    def send(self, message_id: int, operation: Node, controls: Iterable[Node] = ()) -> None:
+        """Send one message, unless a fault changes or prevents it."""
+        self.send_encoded(message_id, ber.encode(operation), controls)
+
+    def send_encoded(self, message_id: int, operation: bytes, controls: Iterable[Node] = ()) -> None:
+        """Send one message whose operation is encoded already."""
+        faults = self._directory.faults
+        data: bytes | None = protocol.message(message_id, operation, controls)
+        self._message_count += 1
+        if faults.mangle is not None and data is not None:
+            data = faults.mangle(self._message_count, data)
+        is_cut = faults.cut_at is not None and self._message_count > faults.cut_at
+        self._transmit(None if is_cut else data)
+
+    def send_entry_state(
+        self, message_id: int, entry: Entry, state: EntryState, cookie: bytes | None = None
+    ) -> None:
+        """Send an entry with its synchronisation state; only its name if it is deleted or unchanged."""
+        fields = [ber.enumerated(state), ber.octets(entry.uuid)]
+        if cookie is not None:
+            fields.append(ber.octets(cookie))
+        only_name = state in (EntryState.PRESENT, EntryState.DELETE)
+        operation = ber.encode(entry.name_node()) if only_name else entry.encode()
+        control = protocol.control(protocol.SYNC_STATE, ber.sequence(*fields))
+        self.send_encoded(message_id, operation, [control])
--- a/emulators/directory/server.py
+++ b/emulators/directory/server.py
@@ -1,4 +1,4 @@
-"""The directory server: its content, its listener and the open connections."""
+"""The directory server: its listener and the open connections."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 from emulators.directory import protocol
 from emulators.directory.connection import Connection
-from emulators.directory.content import Content
-from emulators.directory.entries import Entry, matches
-from emulators.directory.faults import Capabilities, Faults
+from emulators.directory.entries import Entry
+from emulators.directory.faults import Capabilities
 from emulators.directory.protocol import EntryState, ResultCode
+from emulators.directory.state import DirectoryState
 from snowthread.address import Address
 from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
 
@@ -17,7 +17,7 @@
 BACKLOG = 64
 
 
-class Directory(Content):
+class Directory(DirectoryState):
     """A directory server on an event loop."""
 
     def __init__(
@@ -27,14 +27,10 @@
         base: str = DEFAULT_BASE,
         capabilities: Capabilities | None = None,
     ) -> None:
-        super().__init__(base)
+        super().__init__(base, capabilities or Capabilities())
         self.loop = loop
-        self.capabilities = capabilities or Capabilities()
-        self.faults = Faults()
         self.connections: list[Connection] = []  # that are open
         self.accepted_at: list[float] = []
-        self.searches = 0
-        self.binds = 0
         self._listener = address.open(socket.SOCK_STREAM)
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._listener.bind(address)
@@ -64,17 +60,14 @@
             self.loop.wake(connection.task)
 
     def disconnect_all(self, code: int = ResultCode.UNAVAILABLE) -> None:
-        """Send each client a notice of disconnection, and close."""
+        """Send each client a notice of disconnection (RFC 4511, section 4.4.1), and close."""
         notice = protocol.extended_response(code, "going down", protocol.NOTICE_OF_DISCONNECTION)
         for connection in list(self.connections):
-            connection.send(0, notice)
-            connection.closing = True
+            connection.close_with(notice)
 
     def _changed(self, entry: Entry, state: EntryState) -> None:
         for connection in self.connections:
-            for message_id, test in connection.persistent_searches.items():
-                if state is EntryState.DELETE or matches(test, entry):
-                    connection.send_entry_state(message_id, entry, state, self.cookie())
+            connection.notify_change(entry, state)
 
     def _accept(self) -> TaskSteps:
         while True:
@@ -86,4 +79,4 @@
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.accepted_at.append(self.loop.clock.now())
-            self.connections.append(Connection(self, sock))
+            self.connections.append(Connection(self, self.loop, sock, self.connections.remove))
