--- a/snowthread/records/frame.py
+++ b/snowthread/records/frame.py
@@ -3,8 +3,8 @@
     0xB7 0x52   length, 4 bytes   CRC32C of length and payload, 4 bytes   payload, msgpack
 
 Numbers are little-endian. The payload is a list: format, node, boot, number, time, kind, fields. A reader
-that meets an invalid frame searches for the next start of a frame whose checksum holds, and reports the bytes
-that it skipped as one InvalidFrame.
+that meets an invalid frame searches for the next start of a frame whose checksum matches, and reports the
+bytes that it skipped as one InvalidFrame.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 START = b"\xb7R"
 HEADER = struct.Struct("<2sII")  # start, length of the payload, checksum
 LENGTH_FIELD = slice(len(START), len(START) + 4)
-PAYLOAD_MAX = 256 * 1024  # bytes
+PAYLOAD_MAX_BYTES = 256 * 1024
 
 
 class RecordTooLongError(ValueError):
     """A record does not fit into a frame that could be read back."""
 
     def __init__(self, payload_bytes: int) -> None:
-        super().__init__(f"a record of {payload_bytes} bytes, at most {PAYLOAD_MAX} are read back")
+        super().__init__(f"a record of {payload_bytes} bytes, at most {PAYLOAD_MAX_BYTES} are read back")
         self.payload_bytes = payload_bytes
 
 
 class InvalidPayloadError(ValueError):
-    """A payload whose checksum holds is not a record."""
+    """A payload whose checksum matches is not a record."""
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidFrame:
-    """A stretch of bytes that holds no valid frame; ``offset`` and ``size`` are in bytes."""
+    """A stretch of bytes without a valid frame; ``offset`` and ``size`` are in bytes."""
 
     offset: int
     size: int
@@ -45,18 +45,26 @@
 
 
 def encode(record: Record) -> bytes:
-    """Encode a record as a frame; raise RecordTooLongError if it could not be read back."""
+    """Encode a record as a frame.
+
+    Raises:
+        RecordTooLongError: It could not be read back.
+    """
     payload = msgpack.packb(
         [FORMAT, record.node, record.boot, record.number, record.at, record.kind, record.fields]
     )
-    if len(payload) > PAYLOAD_MAX:
+    if len(payload) > PAYLOAD_MAX_BYTES:
         raise RecordTooLongError(len(payload))
     size = struct.pack("<I", len(payload))
     return START + size + struct.pack("<I", crc32c(payload, crc32c(size))) + bytes(payload)
 
 
 def decode(payload: bytes) -> Record:
-    """Decode the payload of a frame whose checksum holds; raise InvalidPayloadError if it is not a record."""
+    """Decode the payload of a frame whose checksum matches.
+
+    Raises:
+        InvalidPayloadError: It is not a record.
+    """
     try:
         version, node, boot, number, at, kind, fields = msgpack.unpackb(payload, strict_map_key=False)[:7]
     except (ValueError, TypeError, msgpack.UnpackException) as error:
@@ -77,7 +85,7 @@
 class FrameReader:
     """Decode a stream of frames: bytes in, records and invalid stretches out.
 
-    It holds the bytes of one unfinished frame at most.
+    It buffers the bytes of one unfinished frame at most.
     """
 
     def __init__(self) -> None:
@@ -107,33 +115,35 @@
     def _read_frame(self, items: list[Record | InvalidFrame], *, at_end: bool) -> bool:
         """Decode one frame or skip bytes that are none; return False if more data is needed first."""
         buffer = self._buffer
-        if not buffer:
-            return False
         if not buffer.startswith(START[: len(buffer)]):
             return self._skip_to_start()
         if len(buffer) < HEADER.size:
             return False
         _, size, checksum = HEADER.unpack_from(buffer)
-        if size > PAYLOAD_MAX:
+        if size > PAYLOAD_MAX_BYTES:
             self._skip(1, "a length that can't be")
-            return True
-        if len(buffer) < HEADER.size + size:
-            if at_end:  # the length itself may be corrupt, and whole frames may follow
-                self._skip(1, "cut short")
-            return at_end
-        payload = bytes(buffer[HEADER.size : HEADER.size + size])
-        if crc32c(payload, crc32c(bytes(buffer[LENGTH_FIELD]))) != checksum:
+        elif len(buffer) < HEADER.size + size:
+            if not at_end:
+                return False
+            self._skip(1, "cut short")  # the length itself may be corrupt, and complete frames may follow
+        else:
+            self._read_payload(items, size, checksum)
+        return True
+
+    def _read_payload(self, items: list[Record | InvalidFrame], size: int, checksum: int) -> None:
+        """Decode the frame at the start of the buffer, which is complete, or skip it."""
+        payload = bytes(self._buffer[HEADER.size : HEADER.size + size])
+        if crc32c(payload, crc32c(bytes(self._buffer[LENGTH_FIELD]))) != checksum:
             self._skip(1, "the checksum does not hold")
-            return True
+            return
         try:
             record = decode(payload)
         except InvalidPayloadError as error:
             self._skip(HEADER.size + size, str(error))
-            return True
+            return
         self._report_skipped(items)
         items.append(record)
         self._consume(HEADER.size + size)
-        return True
 
     def _skip_to_start(self) -> bool:
         """Skip to the next possible start of a frame; return False if more data is needed first."""
@@ -160,4 +170,5 @@
         if self._skipped_bytes:
             start = self._offset - self._skipped_bytes
             items.append(InvalidFrame(start, self._skipped_bytes, self._skip_reason))
-            self._skipped_bytes, self._skip_reason = 0, ""
+            self._skipped_bytes = 0
+            self._skip_reason = ""
--- a/snowthread/records/model.py
+++ b/snowthread/records/model.py
@@ -2,7 +2,7 @@
 
 Every record has its node's name, the boot it belongs to (a random word, new with each start), a number that
 goes up by one within the boot, and the node's own time in Unix milliseconds. A number that is missing belongs
-to a record that was lost. ``fields`` hold only plain values, so that an older reader can show fields that it
+to a record that was lost. ``fields`` has only plain values, so that an older reader can show fields that it
 does not know. Kinds and names of fields are stored: they never change their meaning.
 """
 
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import Any, NamedTuple
+from typing import Any, ClassVar, NamedTuple
 
 FORMAT = 1  # version of the fields; a reader takes older ones, and newer ones as far as it knows them
 
@@ -101,7 +101,7 @@
     left: int = 0  # cancelled by the caller
     runs: int = 0  # runs started
 
-    NAMES = (
+    NAMES: ClassVar[tuple[str, ...]] = (
         "read",
         "served",
         "late",
@@ -159,7 +159,7 @@
         "gauges": "the runtime's own load sample",
         "say": "the load report sent to balancers",
         "connections": "open connections",
-        "keys": "idempotency keys kept",
+        "keys": "idempotency keys remembered",
         "memory_mb": "memory of the process",
         "floors": "of each balancer: the least age of its requests in ms",
     },
--- a/snowthread/records/observer.py
+++ b/snowthread/records/observer.py
@@ -1,6 +1,6 @@
 """Count what the reducer does and turn it into records. Free of I/O.
 
-The observer looks at events and effects only, never decides, and holds one small entry for each open request.
+The observer looks at events and effects only, never decides, and has one small entry for each open request.
 """
 
 from __future__ import annotations
@@ -12,54 +12,34 @@
 from snowthread.core import effects, events
 from snowthread.core.state import State
 from snowthread.records.model import Fields, RecordDraft, RecordKind, Totals
+from snowthread.records.open_request import OpenRequest
 from snowthread.records.second import Second, count_duration, second_fields
 
-TENANTS_MAX = 200  # rows of a second; tenants beyond that are counted under one name
+MS_PER_S = 1000.0
+MAX_TENANT_ROWS = 200  # of a second; tenants beyond that are counted under one name
 OTHER_TENANTS = "(others)"
-RUNS_MAX = 4096  # runs whose end is awaited
-CALLERS_MAX = 16  # balancers whose youngest request is recorded each second
+MAX_AWAITED_RUNS = 4096  # whose end is still to come
+MAX_CALLERS = 16  # balancers whose youngest request is recorded each second
 
 _NO_RECORDS: tuple[RecordDraft, ...] = ()
 _EventT = TypeVar("_EventT")
 _EffectT = TypeVar("_EffectT")
 
 
-class _OpenRequest:
-    """A request that is not answered yet. No dataclass: one is made for each request."""
-
-    __slots__ = (
-        "attempt_id",
-        "call_in_flight",
-        "class_name",
-        "counted_in",
-        "received_at_ms",
-        "run_started",
-        "tenant",
-        "totals",
-    )
-
-    def __init__(self, attempt_id: str, class_name: str, tenant: str, received_at_ms: float) -> None:
-        self.attempt_id, self.class_name, self.tenant = attempt_id, class_name, tenant
-        self.received_at_ms = received_at_ms  # when it reached the machine
-        self.run_started = self.call_in_flight = False
-        self.totals: Totals | None = None  # its row in the second where it was counted last
-        self.counted_in: Second | None = None
-
-
 class Observer:
     """Counts of one node."""
 
     def __init__(self, settings: Settings, now: float) -> None:
         self._latency_objectives_ms: dict[str, float] = {}
         self.apply_settings(settings)
-        self._open: dict[events.ResponseAddress, _OpenRequest] = {}
-        self._by_attempt: dict[str, _OpenRequest] = {}
+        self._open: dict[events.ResponseAddress, OpenRequest] = {}
+        self._by_attempt: dict[str, OpenRequest] = {}
         self._second = Second(now)
         self._runtime_connected = False
         self._run_classes: dict[str, str] = {}  # by attempt id; its caller may be gone already
-        self._just_received: _OpenRequest | None = None  # by the event that is being observed
-        self._event_handlers: dict[type, Callable[[Any, list[RecordDraft], float], None]] = {}
-        self._effect_handlers: dict[type, Callable[[Any, list[RecordDraft], State, float], None]] = {}
+        self._just_received: OpenRequest | None = None  # by the event that is being observed
+        self._event_handlers: dict[type, Callable[[Any, float], RecordDraft | None]] = {}
+        self._effect_handlers: dict[type, Callable[[Any, State, float], RecordDraft | None]] = {}
         self._register_handlers()
 
     def __len__(self) -> int:
@@ -69,7 +49,7 @@
     def apply_settings(self, settings: Settings) -> None:
         """Take the classes that there are from now on, and their latency objectives."""
         self._latency_objectives_ms = {
-            request_class.name: request_class.latency_objective_s * 1000.0
+            request_class.name: request_class.latency_objective_s * MS_PER_S
             for request_class in settings.classes
         }
 
@@ -83,17 +63,22 @@
         drafts: list[RecordDraft] = []
         self._just_received = None
         if handle_event is not None:
-            handle_event(event, drafts, now)
+            draft = handle_event(event, now)
+            if draft is not None:
+                drafts.append(draft)
         handlers = self._effect_handlers
         for effect in produced:
             handle_effect = handlers.get(type(effect))
             if handle_effect is not None:
-                handle_effect(effect, drafts, state, now)
+                draft = handle_effect(effect, state, now)
+                if draft is not None:
+                    drafts.append(draft)
         return drafts
 
     def take_totals(self, state: State, now: float) -> Fields:
         """Return the fields of a ``second``: the counts since the last call, and the current figures."""
-        second, self._second = self._second, Second(now)
+        second = self._second
+        self._second = Second(now)
         return second_fields(second, state, now)
 
     # Dispatch.
@@ -112,79 +97,70 @@
         self._on_effect(effects.SetRegistration, self._registration_set)
 
     def _on_event(
-        self, event_type: type[_EventT], handler: Callable[[_EventT, list[RecordDraft], float], None]
+        self, event_type: type[_EventT], handler: Callable[[_EventT, float], RecordDraft | None]
     ) -> None:
         """Register a handler; the types of event and handler are checked against each other here."""
         self._event_handlers[event_type] = handler
 
     def _on_effect(
-        self,
-        effect_type: type[_EffectT],
-        handler: Callable[[_EffectT, list[RecordDraft], State, float], None],
+        self, effect_type: type[_EffectT], handler: Callable[[_EffectT, State, float], RecordDraft | None]
     ) -> None:
         """Register a handler; the types of effect and handler are checked against each other here."""
         self._effect_handlers[effect_type] = handler
 
     # Events.
 
-    def _request_received(self, event: events.RequestReceived, drafts: list[RecordDraft], now: float) -> None:
-        # A class that the settings don't name is a caller's word: it gets no row of its own.
+    def _request_received(self, event: events.RequestReceived, now: float) -> None:
+        # A class that the settings don't name is whatever a caller wrote: it gets no row of its own.
         name = event.class_name if event.class_name in self._latency_objectives_ms else ""
         sent_at = event.sent_at_ms
-        request = _OpenRequest(event.attempt_id, name, event.tenant, sent_at if sent_at < now else now)
+        request = OpenRequest(event.attempt_id, name, event.tenant, sent_at if sent_at < now else now)
         self._open[event.response_address] = request
         self._by_attempt[event.attempt_id] = request
         self._just_received = request
         self._totals_of(request).read += 1
-        ages, caller = self._second.least_age_ms, event.caller_id
+        ages = self._second.least_age_ms
+        caller = event.caller_id
         least = ages.get(caller)
         if least is None:
-            if len(ages) < CALLERS_MAX:
+            if len(ages) < MAX_CALLERS:
                 ages[caller] = now - sent_at
         elif now - sent_at < least:
             ages[caller] = now - sent_at
 
-    def _run_completed(self, event: events.RunCompleted, drafts: list[RecordDraft], now: float) -> None:
+    def _run_completed(self, event: events.RunCompleted, _now: float) -> None:
         class_name = self._run_classes.pop(event.attempt_id, None)
         if class_name is not None:
             count_duration(self._second.run_durations, class_name, event.duration_ms)
 
-    def _call_completed(self, event: events.CallCompleted, drafts: list[RecordDraft], now: float) -> None:
+    def _call_completed(self, event: events.CallCompleted, _now: float) -> None:
         count_duration(self._second.call_durations, event.outcome.value, event.duration_ms)
         request = self._by_attempt.get(event.attempt_id)
         if request is not None:
             request.call_in_flight = False
 
-    def _request_cancelled(
-        self, event: events.RequestCancelled, drafts: list[RecordDraft], now: float
-    ) -> None:
+    def _request_cancelled(self, event: events.RequestCancelled, _now: float) -> None:
         request = self._remove(event.response_address)
         if request is not None:
             self._totals_of(request).left += 1
 
-    def _runtime_connected_event(
-        self, event: events.RuntimeConnected, drafts: list[RecordDraft], now: float
-    ) -> None:
-        drafts.append(RecordDraft(RecordKind.LINK, {"peer": "runtime", "up": True}))
+    def _runtime_connected_event(self, _event: events.RuntimeConnected, _now: float) -> RecordDraft:
         self._runtime_connected = True
+        return RecordDraft(RecordKind.LINK, {"peer": "runtime", "up": True})
 
     def _runtime_disconnected_event(
-        self, event: events.RuntimeDisconnected, drafts: list[RecordDraft], now: float
-    ) -> None:
-        if self._runtime_connected:
-            drafts.append(RecordDraft(RecordKind.LINK, {"peer": "runtime", "up": False}))
+        self, _event: events.RuntimeDisconnected, _now: float
+    ) -> RecordDraft | None:
+        was_connected = self._runtime_connected
         self._runtime_connected = False
+        return RecordDraft(RecordKind.LINK, {"peer": "runtime", "up": False}) if was_connected else None
 
-    def _shutdown_requested(
-        self, event: events.ShutdownRequested, drafts: list[RecordDraft], now: float
-    ) -> None:
-        drafts.append(RecordDraft(RecordKind.DRAIN, {"left_ms": event.time_left_ms}))
+    def _shutdown_requested(self, event: events.ShutdownRequested, _now: float) -> RecordDraft:
+        return RecordDraft(RecordKind.DRAIN, {"left_ms": event.time_left_ms})
 
     # Effects.
 
-    def _response_sent(
-        self, effect: effects.SendResponse, drafts: list[RecordDraft], state: State, now: float
-    ) -> None:
+    def _response_sent(self, effect: effects.SendResponse, state: State, now: float) -> None:
         request = self._remove(effect.response_address)
         if request is None:
             return  # a health check
@@ -212,48 +188,44 @@
                 else:
                     totals.failed += 1
 
-    def _run_started(
-        self, effect: effects.StartRun, drafts: list[RecordDraft], state: State, now: float
-    ) -> None:
+    def _run_started(self, effect: effects.StartRun, _state: State, _now: float) -> None:
         request = self._by_attempt.get(effect.attempt_id)
         if request is not None and not request.run_started:
             request.run_started = True
             self._totals_of(request).runs += 1
         self._run_classes[effect.attempt_id] = effect.class_name
-        if len(self._run_classes) > RUNS_MAX:  # runs lost with a broken connection never end here
+        if len(self._run_classes) > MAX_AWAITED_RUNS:  # runs lost with a broken connection never end here
             del self._run_classes[next(iter(self._run_classes))]
 
-    def _call_started(
-        self, effect: effects.StartCall, drafts: list[RecordDraft], state: State, now: float
-    ) -> None:
+    def _call_started(self, effect: effects.StartCall, _state: State, _now: float) -> None:
         request = self._by_attempt.get(effect.attempt_id)
         if request is not None:
             request.call_in_flight = True
 
-    def _registration_set(
-        self, effect: effects.SetRegistration, drafts: list[RecordDraft], state: State, now: float
-    ) -> None:
-        drafts.append(RecordDraft(RecordKind.REGISTRATION, {"taking": effect.accepts_work}))
+    def _registration_set(self, effect: effects.SetRegistration, _state: State, _now: float) -> RecordDraft:
+        return RecordDraft(RecordKind.REGISTRATION, {"taking": effect.accepts_work})
 
     # Open requests.
 
-    def _remove(self, response_address: events.ResponseAddress) -> _OpenRequest | None:
+    def _remove(self, response_address: events.ResponseAddress) -> OpenRequest | None:
         request = self._open.pop(response_address, None)
         if request is not None and self._by_attempt.get(request.attempt_id) is request:
             del self._by_attempt[request.attempt_id]
         return request
 
-    def _totals_of(self, request: _OpenRequest) -> Totals:
+    def _totals_of(self, request: OpenRequest) -> Totals:
         """Return the row of this second where the request is counted."""
         second = self._second
         if request.counted_in is second and request.totals is not None:
             return request.totals
         rows = second.totals
         key = (request.class_name, request.tenant)
-        if key not in rows and len(rows) >= TENANTS_MAX:
+        if key not in rows and len(rows) >= MAX_TENANT_ROWS:
             key = (request.class_name, OTHER_TENANTS)
         row = rows.get(key)
         if row is None:
-            row = rows[key] = Totals()
-        request.counted_in, request.totals = second, row
+            row = Totals()
+            rows[key] = row
+        request.counted_in = second
+        request.totals = row
         return row
--- /dev/null
+++ b/snowthread/records/open_request.py
@@ -0,0 +1,31 @@
+"""A request that the observer has seen arrive and not end."""
+
+from __future__ import annotations
+
+from snowthread.records.model import Totals
+from snowthread.records.second import Second
+
+
+class OpenRequest:
+    """A request that is not answered yet. No dataclass: one is made for each request."""
+
+    __slots__ = (
+        "attempt_id",
+        "call_in_flight",
+        "class_name",
+        "counted_in",
+        "received_at_ms",
+        "run_started",
+        "tenant",
+        "totals",
+    )
+
+    def __init__(self, attempt_id: str, class_name: str, tenant: str, received_at_ms: float) -> None:
+        self.attempt_id = attempt_id
+        self.class_name = class_name
+        self.tenant = tenant
+        self.received_at_ms = received_at_ms  # when it reached the machine
+        self.run_started = False
+        self.call_in_flight = False
+        self.totals: Totals | None = None  # its row in the second where it was counted last
+        self.counted_in: Second | None = None
--- a/snowthread/records/outbox.py
+++ b/snowthread/records/outbox.py
@@ -1,4 +1,4 @@
-"""A bounded queue of batches that wait to be written, with a count of those dropped. Free of I/O.
+"""A bounded queue of batches that wait to be written, with a count of the records dropped. Free of I/O.
 
 The newest batch is dropped while the queue is full, so that losses are consecutive; the next record that goes
 through is preceded by a ``gap`` that says how many are missing.
@@ -16,22 +16,27 @@
         self._capacity = capacity
         self._batches: deque[bytes] = deque()
         self.size = 0  # bytes that wait
-        self.dropped = 0  # since ``take_dropped`` was last called
-        self.dropped_total = 0
+        self.dropped = 0  # records, since ``take_dropped`` was last called
+        self.dropped_total = 0  # records, since the start
 
-    def add(self, batch: bytes) -> bool:
-        """Queue a batch; return False if there is no room and it was dropped."""
+    def add(self, batch: bytes, records: int = 1) -> bool:
+        """Queue a batch of so many records; return False if it exceeds the capacity and was dropped."""
         if self.size + len(batch) > self._capacity:
-            self.dropped += 1
-            self.dropped_total += 1
+            self.drop(records)
             return False
         self._batches.append(batch)
         self.size += len(batch)
         return True
 
+    def drop(self, records: int) -> None:
+        """Count records that are not queued."""
+        self.dropped += records
+        self.dropped_total += records
+
     def take_dropped(self) -> int:
-        """Return how many were dropped since the last call, and start counting anew."""
-        dropped, self.dropped = self.dropped, 0
+        """Return how many records were dropped since the last call, and start counting anew."""
+        dropped = self.dropped
+        self.dropped = 0
         return dropped
 
     def first(self) -> bytes | None:
--- a/snowthread/records/reader.py
+++ b/snowthread/records/reader.py
@@ -13,14 +13,14 @@
 from dataclasses import dataclass, field
 from operator import itemgetter
 from pathlib import Path
-from typing import NamedTuple
+from typing import ClassVar, NamedTuple
 
 from snowthread.records.frame import FrameReader, InvalidFrame
 from snowthread.records.model import BootId, Record, RecordKey
 from snowthread.records.writer import SUFFIX
 
 CHUNK_BYTES = 64 * 1024
-SEEN_MAX = 4096  # records of a boot whose copies are recognised
+MAX_SEEN_RECORDS = 4096  # of a boot, whose copies are recognised
 _FILE_NAME = re.compile(
     r"(?P<node>.+)-(?P<at>[0-9]+)-(?P<boot>[0-9a-f]+)-(?P<count>[0-9]+)" + re.escape(SUFFIX)
 )
@@ -55,9 +55,9 @@
     unreadable: list[str] = field(default_factory=list)
     records: int = 0
     files: int = 0
-    findings_left_out: int = 0  # gaps and corrupt frames beyond those kept
+    findings_left_out: int = 0  # gaps and corrupt frames beyond those listed
 
-    FINDINGS_MAX = 1000  # gaps and corrupt frames that are kept
+    MAX_LISTED: ClassVar[int] = 1000  # gaps and corrupt frames
 
     @property
     def problems(self) -> int:
@@ -65,8 +65,8 @@
         return len(self.unreadable) + len(self.corrupt_frames) + len(self.gaps) + self.findings_left_out
 
     def add(self, found: Gap | CorruptFrame) -> None:
-        """Keep a finding as far as there is room, else only count it."""
-        if len(self.gaps) + len(self.corrupt_frames) >= self.FINDINGS_MAX:
+        """List a finding, or only count it beyond the bound."""
+        if len(self.gaps) + len(self.corrupt_frames) >= self.MAX_LISTED:
             self.findings_left_out += 1
         elif isinstance(found, Gap):
             self.gaps.append(found)
@@ -93,10 +93,10 @@
     seen: OrderedDict[int, None] = field(default_factory=OrderedDict)  # the latest numbers
 
     def add(self, number: int) -> None:
-        """Note that a record was read."""
+        """Remember that a record was read."""
         self.highest_number = max(self.highest_number, number)
         self.seen[number] = None
-        if len(self.seen) > SEEN_MAX:
+        if len(self.seen) > MAX_SEEN_RECORDS:
             self.seen.popitem(last=False)
 
 
@@ -113,7 +113,7 @@
     """Yield the records of all files and folders, each once, by time as their nodes' clocks have it.
 
     A node whose clock steps back stays in the order of its numbers: until its clock has caught up, its
-    records come as of the latest time it has told. What is wrong is added to ``findings`` on the way.
+    records come as of the latest time it has shown. What is wrong is added to ``findings`` on the way.
     """
     progress: dict[BootId, _BootProgress] = {}
     streams = [_read_chain(chain, findings) for chain in _chains(find_files(places))]
@@ -121,7 +121,8 @@
         boot_id = record.boot_id
         boot = progress.get(boot_id)
         if boot is None:
-            boot = progress[boot_id] = _BootProgress()
+            boot = _BootProgress()
+            progress[boot_id] = boot
         if record.number in boot.seen:
             findings.duplicates += 1
             continue
@@ -160,13 +161,13 @@
     try:
         with path.open("rb") as source:
             while data := source.read(CHUNK_BYTES):
-                yield from _keep_records(path, reader.feed(data), findings)
+                yield from _records_of(path, reader.feed(data), findings)
     except OSError as error:
         findings.unreadable.append(f"{path}: {error.strerror}")
-    yield from _keep_records(path, reader.end(), findings)
+    yield from _records_of(path, reader.end(), findings)
 
 
-def _keep_records(path: Path, items: Iterable[Record | InvalidFrame], findings: Findings) -> Iterator[Record]:
+def _records_of(path: Path, items: Iterable[Record | InvalidFrame], findings: Findings) -> Iterator[Record]:
     for item in items:
         if isinstance(item, InvalidFrame):
             findings.add(CorruptFrame(path, item))
--- a/snowthread/records/recorder.py
+++ b/snowthread/records/recorder.py
@@ -4,10 +4,8 @@
 
 import os
 import secrets
-import socket
 from collections.abc import Callable
 from contextlib import suppress
-from dataclasses import dataclass
 from pathlib import Path
 from typing import TYPE_CHECKING
 
@@ -20,11 +18,14 @@
 from snowthread.core.state import State
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
 from snowthread.records import writer
+from snowthread.records.batch import RecordBatch
 from snowthread.records.frame import encode
+from snowthread.records.log_lines import draft_of
 from snowthread.records.model import FORMAT, Fields, Record, RecordKind
 from snowthread.records.observer import Observer
 from snowthread.records.outbox import Outbox
-from snowthread.records.retention import Retention
+from snowthread.records.settings import RecordSettings
+from snowthread.records.writer_link import WriterLink
 
 if TYPE_CHECKING:
     from loguru import Message
@@ -32,29 +33,10 @@
     from snowthread.config import Config
 
 SECOND_MS = 1000.0
-CLOSE_TIMEOUT_MS = 300.0  # the longest wait at the end for the writer to take what is left
-CLOSE_SEND_TIMEOUT_S = 0.05  # of one send during that wait
-LOG_TEXT_MAX = 500  # characters of a log line that are recorded
-CONFIG_EVENTS = {"config.read": True, "config.refused": False}  # and whether the configuration was accepted
-LINK_EVENTS = {
-    "runtime.link_lost",
-    "runtime.link_moved",
-}  # the observer records the runtime's connection itself
+BOOT_ID_BYTES = 6
+BYTES_PER_MB = 2**20
 _MEMORY_FILE = Path("/proc/self/statm")
-_PLAIN_TYPES = (str, int, float, bool)
-
-
-@dataclass(frozen=True, slots=True)
-class RecordSettings:
-    """The block ``records`` of the operator's file; ``waiting_bytes`` bounds what waits for the disk."""
-
-    folder: Path
-    retention: Retention
-    waiting_bytes: int
-
-    def summary(self) -> str:
-        """Return one line for people that says what is on."""
-        return f"records in {self.folder}, at most {self.retention.total_bytes // 2**20} MB"
+_RESIDENT_FIELD = 1  # of the memory file, in pages
 
 
 class Recorder:
@@ -64,17 +46,16 @@
         self._loop = loop
         self._state = state
         self._node = config.name
-        self._boot = secrets.token_hex(6)
+        self._boot = secrets.token_hex(BOOT_ID_BYTES)
         self._last_number = 0
         self._started_at_ms = loop.clock.now()
         self._observer = Observer(config.settings, self._started_at_ms)
         self._outbox = Outbox(settings.waiting_bytes)
-        self._batch = bytearray()
-        self._batch_records = 0
+        self._batch = RecordBatch()
         self._count_connections: Callable[[], int] = lambda: 0
         self._page_bytes = os.sysconf("SC_PAGE_SIZE")
         child = writer.start(settings.folder, config.name, self._boot, settings.retention)
-        self._socket: socket.socket | None = child.socket  # None once the writer has ended
+        self._link = WriterLink(loop.clock, child.socket, self._outbox)
         self.record(RecordKind.START, _start_fields(config.settings))
         self._log_sink = logger.add(
             self._record_log, level="INFO", format="{message}", backtrace=False, diagnose=False
@@ -108,95 +89,51 @@
         logger.remove(self._log_sink)
         now = self._loop.clock.now()
         self.record(RecordKind.SECOND, self._second_fields(now))
-        seconds = round((now - self._started_at_ms) / 1000.0, 1)
+        seconds = round((now - self._started_at_ms) / SECOND_MS, 1)
         self.record(RecordKind.END, {"how": how, "seconds": seconds})
         self._close_batch()
-        deadline = now + CLOSE_TIMEOUT_MS
-        while not self._send() and self._loop.clock.now() < deadline and self._socket is not None:
-            self._socket.settimeout(CLOSE_SEND_TIMEOUT_S)
-        self._close_socket()
-
-    # Once a second.
+        self._link.close(now)
 
     def _record_seconds(self) -> TaskSteps:
         while True:
             now = self._loop.clock.now()
-            yield Wait(
-                until_ms=now + SECOND_MS - now % SECOND_MS
-            )  # so that the seconds of all nodes coincide
+            # At full seconds of the clock, so that the seconds of all nodes coincide.
+            yield Wait(until_ms=now + SECOND_MS - now % SECOND_MS)
             self.record(RecordKind.SECOND, self._second_fields(self._loop.clock.now()))
             self._close_batch()
-            self._send()
+            self._link.send()
 
     def _second_fields(self, now: float) -> Fields:
         fields = self._observer.take_totals(self._state, now)
         fields["connections"] = self._count_connections()
         with suppress(OSError, ValueError, IndexError):
-            resident_pages = int(_MEMORY_FILE.read_bytes().split()[1])
-            fields["memory_mb"] = round(resident_pages * self._page_bytes / 2**20, 1)
+            resident_pages = int(_MEMORY_FILE.read_bytes().split()[_RESIDENT_FIELD])
+            fields["memory_mb"] = round(resident_pages * self._page_bytes / BYTES_PER_MB, 1)
         return fields
 
-    # Batches.
+    def _record_log(self, message: Message) -> None:
+        draft = draft_of(message.record)
+        if draft is not None:
+            self.record(draft.kind, draft.fields)
 
     def _add_to_batch(self, kind: RecordKind, fields: Fields) -> None:
         self._last_number += 1
         record = Record(self._node, self._boot, self._last_number, self._loop.clock.now(), kind, fields)
         try:
             frame = encode(record)
-        except ValueError:
+        except ValueError:  # it is too long, or has a value that can't be encoded
             frame = b""
-        if not frame or len(frame) > writer.BATCH_MAX:
-            self._outbox.dropped += 1
+        if not frame or len(frame) > writer.BATCH_MAX_BYTES:
+            self._outbox.drop(1)
             return
-        if len(self._batch) + len(frame) > writer.BATCH_MAX:
+        if not self._batch.has_capacity_for(frame):
             self._close_batch()
-        self._batch += frame
-        self._batch_records += 1
+        self._batch.add(frame)
 
     def _close_batch(self) -> None:
-        if not self._batch_records:
-            return
-        if not self._outbox.add(writer.encode_batch(self._batch_records, self._batch)):
-            self._outbox.dropped += self._batch_records - 1  # the outbox counted the batch as one
-        self._batch.clear()
-        self._batch_records = 0
-
-    def _send(self) -> bool:
-        """Send what the writer takes now; return True if nothing is left."""
-        while self._socket is not None and (batch := self._outbox.first()) is not None:
-            try:
-                self._socket.send(batch)
-            except (BlockingIOError, TimeoutError):
-                return False
-            except OSError as error:  # nothing is recorded any more, but the node goes on
-                self._close_socket()
-                logger.error("records: the writer has ended: {}", error)
-                return True
-            self._outbox.remove_first()
-        return True
-
-    def _close_socket(self) -> None:
-        if self._socket is not None:
-            self._socket.close()
-            self._socket = None
-
-    # The log.
-
-    def _record_log(self, message: Message) -> None:
-        """Record a line of the log that has an event."""
-        record = message.record
-        event = record["extra"].get("event")
-        if not isinstance(event, str) or event in LINK_EVENTS:
-            return
-        text = record["message"][:LOG_TEXT_MAX]
-        if event in CONFIG_EVENTS:
-            self.record(RecordKind.CONFIG, {"taken": CONFIG_EVENTS[event], "text": text})
-            return
-        fields: Fields = {"event": event, "text": text}
-        for name, value in record["extra"].items():
-            if name not in fields and isinstance(value, _PLAIN_TYPES):
-                fields[name] = value
-        self.record(RecordKind.NOTE, fields)
+        records = self._batch.records
+        if records:
+            self._outbox.add(self._batch.take(), records)
 
 
 def _start_fields(settings: Settings) -> Fields:
--- a/snowthread/records/retention.py
+++ b/snowthread/records/retention.py
@@ -5,15 +5,18 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+HOUR_MS = 3_600_000.0
+DAY_MS = 24 * HOUR_MS
+
 
 @dataclass(frozen=True, slots=True)
 class Retention:
     """Bounds of one file (bytes and milliseconds) and of all files of a node (bytes and age)."""
 
     file_bytes: int = 8 * 2**20
-    file_ms: float = 3_600_000.0
+    file_ms: float = HOUR_MS
     total_bytes: int = 256 * 2**20
-    keep_ms: float = 14 * 86_400_000.0
+    max_age_ms: float = 14 * DAY_MS
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +45,7 @@
     for segment in sorted(segments, key=lambda segment: (segment.at, segment.name)):
         if segment.name == current:
             continue
-        if total <= retention.total_bytes and now - segment.at <= retention.keep_ms:
+        if total <= retention.total_bytes and now - segment.at <= retention.max_age_ms:
             continue
         names.append(segment.name)
         total -= segment.size
--- a/snowthread/records/second.py
+++ b/snowthread/records/second.py
@@ -38,7 +38,8 @@
     """
     counts = durations.get(name)
     if counts is None:
-        counts = durations[name] = {}
+        counts = {}
+        durations[name] = counts
     if duration_ms < COARSE_FROM_MS:
         value = int(duration_ms)
     else:
--- a/snowthread/records/settings.py
+++ b/snowthread/records/settings.py
@@ -1,30 +1,44 @@
-"""Read the block ``records`` of the operator's file."""
+"""The block ``records`` of the operator's file."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from pathlib import Path
 
 from snowthread.hcl import Block
-from snowthread.records.recorder import RecordSettings
 from snowthread.records.retention import Retention
 
 BYTES_PER_KB = 1024
 BYTES_PER_MB = 2**20
+MIN_FILES = 2  # a full one and the current one
+
+
+@dataclass(frozen=True, slots=True)
+class RecordSettings:
+    """What the block sets; ``waiting_bytes`` bounds what waits for the disk."""
+
+    folder: Path
+    retention: Retention
+    waiting_bytes: int
+
+    def summary(self) -> str:
+        """Return one line for people that says what is on."""
+        return f"records in {self.folder}, at most {self.retention.total_bytes // BYTES_PER_MB} MB"
 
 
 def read_record_settings(block: Block) -> RecordSettings:
-    """Return the checked settings; raise ConfigError, which names the key, if one is invalid."""
+    """Return the checked settings; ConfigError names the key if one is invalid."""
     settings = RecordSettings(
         folder=Path(block.text("folder")),
         retention=Retention(
             file_bytes=int(block.number("file_mb", 8.0, 0.01, 1024.0) * BYTES_PER_MB),
             file_ms=block.duration_ms("file_for", "1h", 1000.0),
             total_bytes=int(block.number("total_mb", 256.0, 0.1, 1e6) * BYTES_PER_MB),
-            keep_ms=block.duration_ms("keep", "336h", 60_000.0),
+            max_age_ms=block.duration_ms("keep", "336h", 60_000.0),
         ),
         waiting_bytes=int(block.number("waiting_kb", 1024.0, 64.0, 65_536.0) * BYTES_PER_KB),
     )
-    if settings.retention.total_bytes < 2 * settings.retention.file_bytes:
+    if settings.retention.total_bytes < MIN_FILES * settings.retention.file_bytes:
         raise block.error("total_mb", "at least twice file_mb is wanted")
     block.reject_unknown_keys()
     return settings
--- a/snowthread/records/writer.py
+++ b/snowthread/records/writer.py
@@ -20,14 +20,17 @@
 from snowthread.records.model import Record, RecordKind
 from snowthread.records.retention import Retention, Segment, files_to_delete, is_full
 
-BATCH_MAX = 64 * 1024  # bytes of one message between node and writer
+BATCH_MAX_BYTES = 64 * 1024  # of one message between node and writer
 COUNT_BYTES = 4  # each message begins with its number of records, little-endian
 SUFFIX = ".records"
-LABEL_MAX = 100  # characters of a node's name that go into the name of a file
-RETRY_S = 1.0  # between two attempts to open a file after an error
+LABEL_MAX_CHARS = 100  # of a node's name in the name of a file
+RETRY_MS = 1000.0  # between two attempts to open a file after an error
 SOCKET_BUFFER_BATCHES = 4
-DESCRIPTORS_MAX = 4096  # descriptors of the node that are closed in the child
+FIRST_CLOSED_DESCRIPTOR = 3  # after the standard streams
+CLOSED_DESCRIPTORS_END = 4096
+MS_PER_S = 1000.0
 FILE_MODE = 0o640
+NO_FILE = -1  # no descriptor has this number
 
 
 class WriterProcess(NamedTuple):
@@ -46,11 +49,11 @@
         self._boot = boot
         self._retention = retention
         # A node's name may hold characters that a path must not.
-        self._label = re.sub(r"[^A-Za-z0-9._-]|^\.+", "_", node)[:LABEL_MAX]
-        # The whole name is matched, as the name of one node may begin with another's.
+        self._label = re.sub(r"[^A-Za-z0-9._-]|^\.+", "_", node)[:LABEL_MAX_CHARS]
+        # The entire name is matched, as the name of one node may begin with another's.
         self._own_name = re.compile(re.escape(self._label) + r"-[0-9]+-[0-9a-f]+-[0-9]+" + re.escape(SUFFIX))
         self._file_count = 0
-        self._fd = -1
+        self._fd = NO_FILE
         self._name = ""
         self._size = 0
         self._started_at_ms = 0.0
@@ -60,7 +63,10 @@
         self._retry_at_ms = 0.0
 
     def append(self, batch: bytes, records: int, now: float) -> None:
-        """Write a batch of whole frames; count its records as lost if that fails."""
+        """Write a batch of complete frames; count its records as lost if that fails.
+
+        ``now`` is in Unix milliseconds.
+        """
         try:
             self._ensure_open(len(batch), now)
             if self._lost_records:
@@ -70,23 +76,29 @@
             self._lost_records += records
             self._error_text = error.strerror or str(error)
             if now >= self._retry_at_ms:
-                self._retry_at_ms = now + RETRY_S * 1000.0
+                self._retry_at_ms = now + RETRY_MS
             self.close()  # the file may end in an incomplete frame: the next batch goes into a new one
 
     def close(self) -> None:
         """Close the file that is open, if any."""
-        if self._fd < 0:
+        if self._fd == NO_FILE:
             return
-        fd, self._fd = self._fd, -1
+        fd = self._fd
+        self._fd = NO_FILE
         with suppress(OSError):
             os.fsync(fd)
         os.close(fd)
 
     def _ensure_open(self, batch_bytes: int, now: float) -> None:
-        """Open a file if none is open or the open one is full; raise OSError if that is not possible yet."""
-        if self._fd >= 0 and is_full(self._size, self._started_at_ms, now, batch_bytes, self._retention):
+        """Open a file if none is open or the open one is full.
+
+        Raises:
+            OSError: The last attempt failed, and it is too early for the next one.
+        """
+        full = is_full(self._size, self._started_at_ms, now, batch_bytes, self._retention)
+        if full and self._fd != NO_FILE:
             self.close()
-        if self._fd < 0:
+        if self._fd == NO_FILE:
             if now < self._retry_at_ms:
                 raise OSError(0, self._error_text)
             self._open(now)
@@ -126,7 +138,7 @@
                 stat = path.stat()
             except OSError:
                 continue
-            segments.append(Segment(path.name, stat.st_size, stat.st_mtime * 1000.0))
+            segments.append(Segment(path.name, stat.st_size, stat.st_mtime * MS_PER_S))
         for name in files_to_delete(segments, self._name, now, self._retention):
             (self._folder / name).unlink(missing_ok=True)
 
@@ -136,7 +148,7 @@
     files = RecordFiles(folder, node, boot, retention)
     node_end, writer_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     node_end.setblocking(False)
-    node_end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_BATCHES * BATCH_MAX)
+    node_end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_BATCHES * BATCH_MAX_BYTES)
     pid = os.fork()
     if pid == 0:
         _run_child(node_end, writer_end, files)
@@ -155,8 +167,8 @@
     try:
         node_end.close()
         fd = writer_end.fileno()
-        os.closerange(3, fd)
-        os.closerange(fd + 1, DESCRIPTORS_MAX)  # what else the node has open stays the node's alone
+        os.closerange(FIRST_CLOSED_DESCRIPTOR, fd)
+        os.closerange(fd + 1, CLOSED_DESCRIPTORS_END)  # what else the node has open stays the node's alone
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, signal.SIG_IGN)  # the child ends with its node, not before
         _serve(writer_end, files)
@@ -167,7 +179,7 @@
 
 def _serve(source: socket.socket, files: RecordFiles) -> None:
     """Write batches until the socket is closed."""
-    while message := source.recv(COUNT_BYTES + BATCH_MAX):
+    while message := source.recv(COUNT_BYTES + BATCH_MAX_BYTES):
         records = int.from_bytes(message[:COUNT_BYTES], "little")
-        files.append(message[COUNT_BYTES:], records, time.time() * 1000.0)
+        files.append(message[COUNT_BYTES:], records, time.time() * MS_PER_S)
     files.close()
--- a/tests/records/test_record_files.py
+++ b/tests/records/test_record_files.py
@@ -16,10 +16,10 @@
 from snowthread.records.retention import Retention, Segment, files_to_delete, is_full
 from snowthread.records.writer import SUFFIX, RecordFiles
 
-RETENTION = Retention(file_bytes=1000, file_ms=10_000.0, total_bytes=3000, keep_ms=60_000.0)
+RETENTION = Retention(file_bytes=1000, file_ms=10_000.0, total_bytes=3000, max_age_ms=60_000.0)
 ANY_AGE_MS = 1e15  # of files: the times in these tests are not those of the file system
-ANY_AGE = replace(RETENTION, keep_ms=ANY_AGE_MS)
-UNBOUNDED = Retention(keep_ms=ANY_AGE_MS)
+ANY_AGE = replace(RETENTION, max_age_ms=ANY_AGE_MS)
+UNBOUNDED = Retention(max_age_ms=ANY_AGE_MS)
 
 
 def test_a_file_is_full_by_size_or_age() -> None:
@@ -56,8 +56,8 @@
         own = RecordFiles(tmp_path, "n1", "cd", RETENTION)
         own.append(encode(note(number, boot="cd", text="x" * 900)), 1, START_MS + number)
         own.close()
-    kept = [record for record in merge([tmp_path], Findings()) if record.node == "n1-5"]
-    assert len(kept) == 1
+    others = [record for record in merge([tmp_path], Findings()) if record.node == "n1-5"]
+    assert len(others) == 1
     escaping = RecordFiles(tmp_path / "in", "../../out", "ef", UNBOUNDED)
     escaping.append(encode(note(1, "../../out", "ef")), 1, START_MS)
     escaping.close()
@@ -67,7 +67,8 @@
 def test_records_lost_to_a_full_disk_are_reported_once_there_is_space(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    files, real_write = RecordFiles(tmp_path, "n1", "b0", UNBOUNDED), os.write
+    files = RecordFiles(tmp_path, "n1", "b0", UNBOUNDED)
+    real_write = os.write
     files.append(encode(note(1)), 1, START_MS)
 
     def write_to_full_disk(fd: int, data: bytes) -> int:
@@ -110,3 +111,4 @@
     assert outbox.first() == b"x" * 40
     outbox.remove_first()
     assert outbox.size == 40 and outbox.add(b"y" * 60) and not outbox.add(b"z")
+    assert not outbox.add(b"z" * 3, records=3) and outbox.take_dropped() == 1 + 3
--- a/tests/records/test_record_frame.py
+++ b/tests/records/test_record_frame.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from support.record_files import encode_all, note
 
-from snowthread.records.frame import PAYLOAD_MAX, FrameReader, InvalidFrame, encode
+from snowthread.records.frame import PAYLOAD_MAX_BYTES, FrameReader, InvalidFrame, encode
 from snowthread.records.model import Record
 
 THREE = [note(1, text="one"), note(2, text="zwei ü", deep={"a": [1, 2.5, None]}), note(3)]
@@ -16,7 +16,7 @@
 
 
 def read(data: bytes) -> tuple[list[Record], list[InvalidFrame]]:
-    """Decode a whole stream into its records and its invalid stretches."""
+    """Decode a complete stream into its records and its invalid stretches."""
     reader = FrameReader()
     items = reader.feed(data) + reader.end()
     records = [item for item in items if isinstance(item, Record)]
@@ -31,9 +31,9 @@
     ends = [SIZES[0], SIZES[0] + SIZES[1], len(STREAM)]
     for size in range(len(STREAM)):
         records, invalid = read(STREAM[:size])
-        whole = sum(end <= size for end in ends)
-        assert records == THREE[:whole]
-        assert sum(frame.size for frame in invalid) == size - ([0, *ends][whole])
+        complete = sum(end <= size for end in ends)
+        assert records == THREE[:complete]
+        assert sum(frame.size for frame in invalid) == size - ([0, *ends][complete])
 
 
 def test_a_flipped_byte_costs_its_own_record_only() -> None:
@@ -66,10 +66,10 @@
 
 
 def test_a_length_beyond_the_limit_is_not_waited_for() -> None:
-    huge = b"\xb7R" + (PAYLOAD_MAX + 1).to_bytes(4, "little") + b"\0\0\0\0"
+    huge = b"\xb7R" + (PAYLOAD_MAX_BYTES + 1).to_bytes(4, "little") + b"\0\0\0\0"
     assert read(huge + STREAM)[0] == THREE
     with pytest.raises(ValueError, match="at most"):
-        encode(note(1, text="x" * PAYLOAD_MAX))
+        encode(note(1, text="x" * PAYLOAD_MAX_BYTES))
 
 
 def test_older_and_newer_formats_are_read_as_far_as_they_are_known(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/records/test_record_observer.py
+++ b/tests/records/test_record_observer.py
@@ -12,7 +12,7 @@
 from snowthread.core.reducer import reduce
 from snowthread.core.state import AdmissionClock, State
 from snowthread.records.model import FIELD_DESCRIPTIONS, KINDS, RecordDraft, RecordKind, Totals
-from snowthread.records.observer import OTHER_TENANTS, TENANTS_MAX, Observer
+from snowthread.records.observer import MAX_TENANT_ROWS, OTHER_TENANTS, Observer
 
 START_MS = 1_800_000_000_000.0
 ROOT = Path(__file__).parents[2]
@@ -50,7 +50,8 @@
         """Receive a request and return its attempt id."""
         attempt_id = f"{number:016x}"
         sent_at = self.now - 5.0
-        address, caller = (1, number), number % 3
+        address = (1, number)
+        caller = number % 3
         self.post(
             events.RequestReceived(
                 address, attempt_id, class_name, b"b", sent_at, 5000.0, caller, 20.0, 0.5, key, tenant=tenant
@@ -112,7 +113,9 @@
 
 
 def test_each_request_ends_exactly_once_whatever_comes() -> None:
-    rng, reducer, sums = random.Random(4), ObservedReducer(), Totals()
+    rng = random.Random(4)
+    reducer = ObservedReducer()
+    sums = Totals()
     running: list[str] = []
     for number in range(1, 600):
         reducer.now += rng.expovariate(1.0) * 20.0
@@ -137,11 +140,11 @@
 
 def test_a_seconds_tenants_are_bounded_and_none_is_lost() -> None:
     reducer = ObservedReducer()
-    for number in range(1, TENANTS_MAX + 100):
+    for number in range(1, MAX_TENANT_ROWS + 100):
         reducer.request(number, tenant=f"t{number}")
     totals = reducer.take_totals()
-    assert len(totals) == TENANTS_MAX + 1
-    assert sum(counts["read"] for counts in totals.values()) == TENANTS_MAX + 99
+    assert len(totals) == MAX_TENANT_ROWS + 1
+    assert sum(counts["read"] for counts in totals.values()) == MAX_TENANT_ROWS + 99
     assert totals["match", OTHER_TENANTS]["read"] == 99
 
 
@@ -167,7 +170,8 @@
 
 
 def test_effects_come_out_unchanged() -> None:
-    plain, observed = State(SETTINGS, 7, (), AdmissionClock(START_MS)), ObservedReducer()
+    plain = State(SETTINGS, 7, (), AdmissionClock(START_MS))
+    observed = ObservedReducer()
     observed.state.gauge_names = ()
     reduce(plain, events.RuntimeConnected(False, 0.0), START_MS)
     for number in range(1, 30):
--- a/tests/records/test_record_program.py
+++ b/tests/records/test_record_program.py
@@ -26,12 +26,13 @@
 
 def records_file(folder: Path, line: str = "") -> Path:
     path = folder / "records.hcl"
-    path.write_text(f'records {{\n folder = "{folder}/kept"\n {line}\n}}\n')
+    path.write_text(f'records {{\n folder = "{folder}/written"\n {line}\n}}\n')
     return path
 
 
 def test_a_killed_program_loses_at_most_its_last_second(tmp_path: Path) -> None:
-    path, file = configuration(tmp_path, stop_ms=1000), records_file(tmp_path)
+    path = configuration(tmp_path, stop_ms=1000)
+    file = records_file(tmp_path)
     with ExitStack() as stack:
         stack.enter_context(site(path))
         node = stack.enter_context(
@@ -43,13 +44,13 @@
         time.sleep(1.2)
         node.kill()
         node.wait()
-        kept = wait_for_served(tmp_path / "kept", 5)
-    assert kept[0].kind == "start" and kept[0].fields["pid"] == node.pid
-    assert not [record for record in kept if record.kind == "end"]
+        records = wait_for_served(tmp_path / "written", 5)
+    assert records[0].kind == "start" and records[0].fields["pid"] == node.pid
+    assert not [record for record in records if record.kind == "end"]
     status = serve_and_stop(path, file)
-    kept = wait_for_served(tmp_path / "kept", 5)
-    assert len({record.boot for record in kept}) == 2 and {record.node for record in kept} == {"n1"}
-    (end,) = [record for record in kept if record.kind == "end"]
+    records = wait_for_served(tmp_path / "written", 5)
+    assert len({record.boot for record in records}) == 2 and {record.node for record in records} == {"n1"}
+    (end,) = [record for record in records if record.kind == "end"]
     assert end.fields["how"] == "left" and status == 0
 
 
@@ -71,7 +72,7 @@
 
 
 def wait_for_served(folder: Path, wanted: int) -> list[Record]:
-    """Wait until the records tell of so many served requests, and return them."""
+    """Wait until the records show so many served requests, and return them."""
     deadline = time.monotonic() + PATIENCE_S
     while True:
         records = list(merge([folder], Findings()))
@@ -82,8 +83,9 @@
 
 
 def test_a_writer_that_fails_or_is_killed_does_not_stop_the_node(tmp_path: Path) -> None:
-    path, file = configuration(tmp_path, stop_ms=1000), records_file(tmp_path)
-    (tmp_path / "kept").write_text("a file where a folder should be")
+    path = configuration(tmp_path, stop_ms=1000)
+    file = records_file(tmp_path)
+    (tmp_path / "written").write_text("a file where a folder should be")
     with ExitStack() as stack:
         stack.enter_context(site(path))
         node = stack.enter_context(
@@ -116,7 +118,8 @@
 
 
 def test_the_commands_show_what_was_recorded(tmp_path: Path) -> None:
-    path, file = configuration(tmp_path, stop_ms=1000), records_file(tmp_path)
+    path = configuration(tmp_path, stop_ms=1000)
+    file = records_file(tmp_path)
     assert serve_and_stop(path, file) == 0
 
     def run(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -129,15 +132,15 @@
             timeout=PATIENCE_S,
         )
 
-    kept = str(tmp_path / "kept")
-    lines = [json.loads(line) for line in run("cat", "--json", kept).stdout.splitlines()]
+    records = str(tmp_path / "written")
+    lines = [json.loads(line) for line in run("cat", "--json", records).stdout.splitlines()]
     assert lines[0]["kind"] == "start" and lines[-1]["kind"] == "end"
-    assert run("cat", "--kind", "end", kept).stdout.count("\n") == 1
-    whole = run("verify", kept)
-    assert whole.returncode == 0 and "nothing wrong" in whole.stdout
-    assert "n1" in run("stats", kept).stdout and "left" in run("stats", kept).stdout
-    (file_of_records,) = Path(kept).iterdir()
+    assert run("cat", "--kind", "end", records).stdout.count("\n") == 1
+    complete = run("verify", records)
+    assert complete.returncode == 0 and "nothing wrong" in complete.stdout
+    assert "n1" in run("stats", records).stdout and "left" in run("stats", records).stdout
+    (file_of_records,) = Path(records).iterdir()
     file_of_records.write_bytes(file_of_records.read_bytes()[:-7])
-    truncated = run("verify", kept)
+    truncated = run("verify", records)
     assert truncated.returncode == 1 and "cut short" in truncated.stdout
-    assert "no end is recorded" in run("stats", kept).stdout
+    assert "no end is recorded" in run("stats", records).stdout
