--- a/snowthread/operator/features.py
+++ b/snowthread/operator/features.py
@@ -13,7 +13,7 @@
 from snowthread.config import Config
 
 if TYPE_CHECKING:
-    from snowthread.records.recorder import RecordSettings
+    from snowthread.records.settings import RecordSettings
     from snowthread.recovery.settings import RecoverySettings
     from snowthread.sites.settings import SiteSettings
     from snowthread.tenants.settings import TenantSettings
