--- a/snowthread/tenants/connection_settings.py
+++ b/snowthread/tenants/connection_settings.py
@@ -22,11 +22,9 @@
     connect_timeout_ms = block.duration_ms("connect", "2s")
     bind_timeout_ms = block.duration_ms("bind_within", "3s")
     tls = block.block_or_empty("tls")
-    ca_file, cert_file, key_file = (
-        tls.optional_text("ca_file"),
-        tls.optional_text("cert_file"),
-        tls.optional_text("key_file"),
-    )
+    ca_file = tls.optional_text("ca_file")
+    cert_file = tls.optional_text("cert_file")
+    key_file = tls.optional_text("key_file")
     server_name = tls.text("server_name", "")
     tls_context = None
     if start_tls or any(server.scheme == "ldaps" for server in servers):
@@ -93,7 +91,8 @@
 
 
 def _read_password(bind: Block) -> str:
-    file, variable = bind.optional_text("password_file"), bind.optional_text("password_env")
+    file = bind.optional_text("password_file")
+    variable = bind.optional_text("password_env")
     if (file is None) == (variable is None):
         raise bind.error("password_file", "either this or password_env is wanted")
     password = _read_password_file(bind, file) if file is not None else os.environ.get(variable or "", "")
--- a/snowthread/tenants/directory_session.py
+++ b/snowthread/tenants/directory_session.py
@@ -1,40 +1,30 @@
 """The work of one connection to the directory: its search, its probes and its lookups.
 
-What a message of the search means is decided by ``sync``, what is believed by ``state``. Every wait has a
+What a message of the search means is decided by ``sync``, what it changes by ``state``. Every wait has a
 deadline, so a directory that stalls at any byte is given up in time.
 """
 
 from __future__ import annotations
 
 import math
-import random
 from collections.abc import Callable, Generator
-from dataclasses import dataclass
 
 from loguru import logger
 
 from snowthread.ldap.client import ConnectionFailure, LdapConnection
 from snowthread.ldap.health import Reaction, reaction_to
-from snowthread.ldap.messages import (
-    AbandonRequest,
-    Message,
-    Response,
-    Scope,
-    SearchRequest,
-    SearchResultDone,
-)
+from snowthread.ldap.messages import AbandonRequest, Message, Response, SearchResultDone
 from snowthread.net.attempt import Progress
-from snowthread.net.loop import EventLoop, TaskSteps, Wait
-from snowthread.tenants.changes import TenantChanges
+from snowthread.net.loop import TaskSteps, Wait
 from snowthread.tenants.lookups import ClientLookups
-from snowthread.tenants.settings import TenantSettings
-from snowthread.tenants.state import TenantState
-from snowthread.tenants.sync import (
-    DirectorySync,
+from snowthread.tenants.refresh_application import apply_with_pauses, log_refresh
+from snowthread.tenants.replication_context import ReplicationContext
+from snowthread.tenants.server_probe import ServerProbe
+from snowthread.tenants.sync import DirectorySync, ReplicationState
+from snowthread.tenants.sync_events import (
     EntriesChanged,
     NextPage,
     RefreshCompleted,
-    ReplicationState,
     SearchEnded,
     SyncEvent,
 )
@@ -42,21 +32,9 @@
 MAX_SEARCH_RESTARTS = 4  # on one connection, between two refreshes
 RESTART_REACTIONS = frozenset({Reaction.FULL_REFRESH, Reaction.FALL_BACK, Reaction.REDUCE_PAGE_SIZE})
 LOOKUP_POLL_MS = 50.0  # between two checks whether a waiting lookup may be sent
-POLL_JITTER = (0.8, 1.2)  # factors of the poll interval
-NO_ATTRIBUTES = ("1.1",)  # RFC 4511, section 4.5.1.8
-NO_MESSAGE = 0  # no message sent has this id
-
-
-@dataclass(slots=True)
-class _Probe:
-    """A cheap search that checks whether a silent server still answers."""
-
-    message_id: int = NO_MESSAGE
-    deadline: float = math.inf
-
-    @property
-    def in_flight(self) -> bool:
-        return self.message_id != NO_MESSAGE
+MIN_POLL_JITTER_RATIO = 0.8  # of the poll interval
+MAX_POLL_JITTER_RATIO = 1.2
+NO_SEARCH = 0  # no message sent has this id
 
 
 class DirectorySession:
@@ -64,45 +42,41 @@
 
     def __init__(
         self,
-        loop: EventLoop,
+        context: ReplicationContext,
         connection: LdapConnection,
-        settings: TenantSettings,
-        tenants: TenantState,
         sync: DirectorySync,
-        rng: random.Random,
-        publish: Callable[[TenantChanges], None],
         on_refresh: Callable[[], None],
     ) -> None:
         self.server = connection.server
         self.accepts_lookups = False
-        self._loop = loop
+        self._context = context
         self._connection = connection
-        self._settings = settings
-        self._tenants = tenants
         self._sync = sync
-        self._rng = rng
-        self._publish = publish
         self._on_refresh = on_refresh
-        self._lookups = ClientLookups(connection, settings, tenants, sync.base, publish)
-        self._search_id = NO_MESSAGE
+        self._lookups = ClientLookups(context, connection, sync.base)
+        self._probe = ServerProbe(
+            connection, context.settings.query.base, context.settings.operation_timeout_ms
+        )
+        self._search_id = NO_SEARCH
         self._search_started_at = 0.0
         self._last_received_at = 0.0
-        self._probe = _Probe()
         self._poll_at = math.inf
         self._search_restarts = 0
 
     def run(self) -> Generator[Wait, int, ConnectionFailure]:
         """Follow the directory and return why that ended."""
-        self._start_refresh(self._loop.clock.now())
+        clock = self._context.loop.clock
+        self._start_refresh(clock.now())
         while True:
-            now = self._loop.clock.now()
-            failure = self._send_what_is_due(now)
+            now = clock.now()
+            failure = self._detect_stall(now)
             if failure is not None:
                 return failure
+            self._send_what_is_due(now)
             received = yield from self._connection.receive(self._next_deadline())
             if isinstance(received, ConnectionFailure):
                 return received
-            now = self._loop.clock.now()
+            now = clock.now()
             for message in received:
                 self._last_received_at = now
                 failure = yield from self._receive(message, now)
@@ -111,52 +85,53 @@
 
     # What is due.
 
-    def _send_what_is_due(self, now: float) -> ConnectionFailure | None:
-        settings = self._settings
-        since_received_ms = now - self._last_received_at
+    def _detect_stall(self, now: float) -> ConnectionFailure | None:
+        settings = self._context.settings
         if self._sync.state is ReplicationState.REFRESHING:
-            refresh_ms = now - self._search_started_at
-            if (
-                since_received_ms >= settings.operation_timeout_ms
-                or refresh_ms >= settings.refresh_timeout_ms
-            ):
+            is_silent = now - self._last_received_at >= settings.operation_timeout_ms
+            is_slow = now - self._search_started_at >= settings.refresh_timeout_ms
+            if is_silent or is_slow:
                 return ConnectionFailure(Progress.REPLY_BEGUN, "the refresh stalls")
         elif now >= self._probe.deadline:
             return ConnectionFailure(Progress.REPLY_BEGUN, "a probe is not answered")
-        elif now >= self._poll_at or self._full_refresh_due(now):
-            if self._sync.state is ReplicationState.FOLLOWING:
-                self._connection.send(AbandonRequest(self._search_id))
-            self._start_refresh(now)
-        elif not self._probe.in_flight and since_received_ms >= settings.probe_interval_ms:
-            self._send_probe(now)
+        return None
+
+    def _send_what_is_due(self, now: float) -> None:
+        if self._sync.state is not ReplicationState.REFRESHING:
+            self._send_due_search(now)
         self._lookups.abandon_overdue(now)
         self.accepts_lookups = self._sync.state is not ReplicationState.REFRESHING
         if self.accepts_lookups:
             self._lookups.start(now)
-        return None
+
+    def _send_due_search(self, now: float) -> None:
+        """Send the next refresh or a probe, if one is due."""
+        since_received_ms = now - self._last_received_at
+        if now >= self._poll_at or self._full_refresh_due(now):
+            if self._sync.state is ReplicationState.FOLLOWING:
+                self._connection.send(AbandonRequest(self._search_id))
+            self._start_refresh(now)
+        elif not self._probe.in_flight and since_received_ms >= self._context.settings.probe_interval_ms:
+            self._probe.send(now)
 
     def _start_refresh(self, now: float) -> None:
         search = self._sync.start_refresh(self.server, full=self._full_refresh_due(now))
         self._search_id = self._connection.send(search)
-        self._search_started_at = self._last_received_at = now
-        self._probe = _Probe()
+        self._search_started_at = now
+        self._last_received_at = now
+        self._probe.clear()
         self._poll_at = math.inf
 
-    def _send_probe(self, now: float) -> None:
-        search = SearchRequest(
-            self._settings.query.base, Scope.BASE, ("present", b"objectClass"), NO_ATTRIBUTES
-        )
-        message_id = self._connection.send(search)
-        self._probe = _Probe(message_id, now + self._settings.operation_timeout_ms)
-
     def _full_refresh_due(self, now: float) -> bool:
-        """Return whether it is time for the refresh that confirms a held removal."""
-        due_at = self._tenants.guard.confirmation_due_at()
+        """Return whether it is time for the refresh that confirms a pending removal."""
+        due_at = self._context.tenants.guard.confirmation_due_at()
         return due_at is not None and now >= due_at
 
     def _next_deadline(self) -> float:
         """Return when something is due next, whatever is received."""
-        settings, deadline = self._settings, self._lookups.next_deadline()
+        settings = self._context.settings
+        tenants = self._context.tenants
+        deadline = self._lookups.next_deadline()
         if self._sync.state is ReplicationState.REFRESHING:
             return min(
                 deadline,
@@ -167,12 +142,12 @@
             probe_at = self._probe.deadline
         else:
             probe_at = self._last_received_at + settings.probe_interval_ms
-        confirmation_at = self._tenants.guard.confirmation_due_at()
+        confirmation_at = tenants.guard.confirmation_due_at()
         deadline = min(deadline, self._poll_at, probe_at)
         if confirmation_at is not None:
             deadline = min(deadline, confirmation_at)
-        if self._tenants.unknown_clients.waiting:
-            deadline = min(deadline, self._loop.clock.now() + LOOKUP_POLL_MS)
+        if tenants.unknown_clients.waiting:
+            deadline = min(deadline, self._context.loop.clock.now() + LOOKUP_POLL_MS)
         return deadline
 
     # What is received.
@@ -192,13 +167,13 @@
     def _receive_probe_response(self, response: Response, now: float) -> ConnectionFailure | None:
         if not isinstance(response, SearchResultDone):
             return None
-        self._probe = _Probe()
+        self._probe.clear()
         code = response.result.code
         reaction = reaction_to(code)
         if reaction is not Reaction.DONE:
             return ConnectionFailure(Progress.REPLY_BEGUN, f"a probe ends with code {code}", reaction)
         if self._sync.state is ReplicationState.FOLLOWING:
-            self._tenants.staleness.confirm(now)
+            self._context.tenants.staleness.confirm(now)
         return None
 
     def _handle(self, event: SyncEvent, now: float) -> Generator[Wait, int, ConnectionFailure | None]:
@@ -206,7 +181,7 @@
             case RefreshCompleted():
                 yield from self._complete_refresh(event, now)
             case EntriesChanged():
-                self._publish(self._tenants.apply_change(event, self.server, now))
+                self._context.publish(self._context.tenants.apply_change(event, self.server, now))
             case NextPage():
                 self._search_id = self._connection.send(event.search)
             case SearchEnded():
@@ -227,45 +202,12 @@
         return None
 
     def _complete_refresh(self, refresh: RefreshCompleted, now: float) -> TaskSteps:
-        changes = yield from self._apply_in_slices(refresh, now)
-        duration_ms = now - self._search_started_at
-        table = self._tenants.table
-        logger.bind(
-            event="tenants.refreshed",
-            peer="directory",
-            server=self.server,
-            ms=round(duration_ms, 1),
-            mode=self._sync.mode.name.lower(),
-            tenants=len(table),
-            networks=table.network_count,
-            changed=len(changes.quotas),
-            removed=len(changes.removed_ids),
-        ).info(
-            "directory {}: refreshed in {:.0f} ms, {} tenants, {} networks",
-            self.server,
-            duration_ms,
-            len(table),
-            table.network_count,
-        )
-        self._publish(changes)
+        context = self._context
+        changes = yield from apply_with_pauses(context, self._sync, refresh, self.server, now)
+        log_refresh(context, self._sync, self.server, changes, now - self._search_started_at)
+        context.publish(changes)
         self._on_refresh()
         self._search_restarts = 0
         if self._sync.state is ReplicationState.IDLE:
-            self._poll_at = now + self._settings.poll_interval_ms * self._rng.uniform(*POLL_JITTER)
-
-    def _apply_in_slices(self, refresh: RefreshCompleted, now: float) -> Generator[Wait, int, TenantChanges]:
-        """Apply a refresh, with a turn for other tasks after each slice."""
-        slices = self._tenants.apply_refresh_in_slices(refresh, self.server, now)
-        changes: TenantChanges | None = None
-        try:
-            while changes is None:
-                try:
-                    next(slices)
-                except StopIteration as finished:
-                    changes = finished.value
-                else:
-                    yield Wait(until_ms=self._loop.clock.now())
-        finally:
-            if changes is None:  # given up half way: the cookie must not say that this is known
-                self._sync.forget_cookie()
-        return changes
+            jitter = context.rng.uniform(MIN_POLL_JITTER_RATIO, MAX_POLL_JITTER_RATIO)
+            self._poll_at = now + context.settings.poll_interval_ms * jitter
--- a/snowthread/tenants/entry.py
+++ b/snowthread/tenants/entry.py
@@ -19,6 +19,8 @@
 MAX_BALANCER_RANGES = 1024
 MAX_CLASSES = 256
 MAX_QUOTA_PER_S = 1e9
+MAX_QUOTED_CHARS = 40  # of a value that can't be read, in the reason
+MAX_QUOTED_NETWORK_CHARS = 60
 NAME_ATTRIBUTE = "cn"
 _QUOTA = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 _BALANCER_RANGE = re.compile(r"([0-9]{1,18})(?:\s*-\s*([0-9]{1,18}))?")
@@ -68,13 +70,15 @@
     base: dn.DistinguishedName,
     uuid: str = "",
 ) -> Tenant | BadEntry:
-    """Return the tenant that an entry describes; ``uuid`` (hex) is the synchronisation's, if it gave one."""
+    """Return the tenant that an entry describes, or why it describes none.
+
+    ``uuid`` (hex) is the synchronisation's, if it gave one; else the id is read from the attributes.
+    """
     tenant_id = uuid
     try:
         if not tenant_id:
             tenant_id = _read_id(entry_dn, attributes, names)
-        if not dn.is_plainly_below(entry_dn, base) and not dn.parse(entry_dn).is_below(base):
-            raise ValueError("it lies outside the base")
+        _check_base(entry_dn, base)
         return Tenant(
             id=tenant_id,
             name=_read_name(attributes, names.name),
@@ -89,6 +93,11 @@
         return BadEntry(entry_dn[:MAX_NAME_LENGTH], tenant_id, str(error))
 
 
+def _check_base(entry_dn: str, base: dn.DistinguishedName) -> None:
+    if not dn.is_plainly_below(entry_dn, base) and not dn.parse(entry_dn).is_below(base):
+        raise ValueError("it lies outside the base")
+
+
 def _values(attributes: Attributes, name: str) -> list[str]:
     return [value.decode().strip() for value in attributes.get(name, ())]
 
@@ -121,7 +130,7 @@
     if text is None:
         return TenantStatus.ACTIVE
     if text.lower() not in _STATUS:
-        raise ValueError(f"{name}: {text[:40]!r} is no status")
+        raise ValueError(f"{name}: {text[:MAX_QUOTED_CHARS]!r} is no status")
     return _STATUS[text.lower()]
 
 
@@ -130,7 +139,7 @@
     if text is None:
         return 0.0
     if not _QUOTA.fullmatch(text) or not float(text) <= MAX_QUOTA_PER_S:
-        raise ValueError(f"{name}: {text[:40]!r} is no number of requests a second")
+        raise ValueError(f"{name}: {text[:MAX_QUOTED_CHARS]!r} is no number of requests a second")
     return float(text)
 
 
@@ -143,7 +152,7 @@
         try:
             networks.add(ip_network(text, strict=False))
         except ValueError:
-            raise ValueError(f"{name}: {text[:60]!r} is no network") from None
+            raise ValueError(f"{name}: {text[:MAX_QUOTED_NETWORK_CHARS]!r} is no network") from None
     return tuple(sorted(networks, key=lambda n: (n.version, int(n.network_address), n.prefixlen)))
 
 
@@ -160,7 +169,7 @@
         balancers = BalancerRange(int(match[1]), int(match[2] or match[1]))
         if balancers.first <= balancers.last:
             return balancers
-    raise ValueError(f"{name}: {text[:40]!r} is no number and no range")
+    raise ValueError(f"{name}: {text[:MAX_QUOTED_CHARS]!r} is no number and no range")
 
 
 def _read_classes(attributes: Attributes, name: str) -> frozenset[str]:
--- a/snowthread/tenants/identification.py
+++ b/snowthread/tenants/identification.py
@@ -15,19 +15,16 @@
 
 from snowthread.core import events
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
-from snowthread.tenants import snapshot as tenant_snapshot
 from snowthread.tenants.changes import TenantChanges
 from snowthread.tenants.model import IdentifiedBy
 from snowthread.tenants.replication import DirectoryReplicator
 from snowthread.tenants.settings import TenantSettings
-from snowthread.tenants.snapshot_writer import SnapshotWriter
+from snowthread.tenants.snapshot_schedule import SnapshotSchedule
 from snowthread.tenants.state import TenantState
 
-MIN_SNAPSHOT_INTERVAL_MS = 1000.0
 HOUSEKEEPING_INTERVAL_MS = 500.0
 MS_PER_S = 1000.0
 SEED_SALT = 0x7E4A47
-UNKNOWN_VERSION = -1  # of the table: the last snapshot was not written
 _WARNING_EVENTS = frozenset({"tenants.conflict", "tenants.bad_entry", "tenants.removal_held"})
 
 
@@ -42,12 +39,10 @@
         self.replicator: DirectoryReplicator | None = None
         self._loop = loop
         self._post = post
-        self._peer_address: Callable[[int], str] = lambda connection: ""
+        self._peer_address: Callable[[int], str] = lambda _connection: ""
         # The node's seed is new with each start and each node, so these draws are spread over a fleet.
         self._rng = random.Random(seed ^ SEED_SALT)
-        self._writer: SnapshotWriter | None = None
-        self._last_snapshot_ms = loop.clock.now()
-        self._last_snapshot_version = 0
+        self._snapshots = SnapshotSchedule(loop.clock, settings, self.tenants, self.publish)
 
     def start(self, peer_address: Callable[[int], str]) -> None:
         """Restore the snapshot, then follow the directory; ``peer_address`` maps a connection to its peer."""
@@ -60,9 +55,7 @@
         self.replicator = DirectoryReplicator(
             self._loop, self.settings, self.tenants, self._rng, self.publish
         )
-        if self.settings.snapshot_path is not None:
-            self._restore_snapshot(self.replicator)
-            self._writer = SnapshotWriter(self.settings.snapshot_path)
+        self._snapshots.start(self.replicator.sync)
         self._loop.spawn(self._run_housekeeping())
 
     def handle(self, message: events.Event) -> None:
@@ -81,7 +74,7 @@
         self._post(message)
 
     def publish(self, changes: TenantChanges) -> None:
-        """Log what a step changed and tell admission control the new quotas."""
+        """Log what a step changed and report the new quotas to admission control."""
         for line in changes.log_lines:
             bound = logger.bind(event=line.event, peer="directory")
             log = bound.warning if line.event in _WARNING_EVENTS else bound.info
@@ -91,12 +84,11 @@
 
     def apply_settings(self, settings: TenantSettings) -> None:
         """Apply other settings; the connection to the directory stays if they don't concern it."""
-        old, self.settings = self.settings, settings
+        old = self.settings
+        self.settings = settings
         self.publish(self.tenants.apply_rules(settings.rules))
         self._post(events.TenantQuotasChanged(over_quota_weight=settings.over_quota_weight))
-        path = settings.snapshot_path
-        if path != old.snapshot_path:
-            self._writer = None if path is None else SnapshotWriter(path)
+        self._snapshots.apply_settings(settings)
         if self.replicator is not None and not _same_replication(old, settings):
             self.replicator.apply_settings(settings)
 
@@ -107,16 +99,17 @@
             yield Wait(until_ms=clock.now() + HOUSEKEEPING_INTERVAL_MS)
             now = clock.now()
             self.publish(self.tenants.report_staleness(now))
-            self._write_snapshot_if_due(now)
+            self._snapshots.write_if_due(now)
             if now >= report_at:
                 report_at = now + self.settings.report_interval_ms
                 self._log_state(now)
 
     def _log_state(self, now: float) -> None:
-        tenants, replicator = self.tenants, self.replicator
+        tenants = self.tenants
+        replicator = self.replicator
         stage = tenants.staleness.stage(now).value
         age_s = tenants.staleness.age_ms(now) / MS_PER_S
-        held = tenants.guard.held
+        removal = tenants.guard.pending
         logger.bind(
             event="tenants.state",
             peer="directory",
@@ -129,7 +122,7 @@
             age_s=round(age_s, 1) if math.isfinite(age_s) else None,
             lookups_pending=len(tenants.unknown_clients),
             negative_cache=tenants.unknown_clients.negative_cache_size,
-            held=len(held.tenant_ids) if held else 0,
+            held=len(removal.tenant_ids) if removal else 0,  # the name that the tenants page gives
             **asdict(tenants.counters),
         ).info(
             "tenants: {} known, {}, {} requests of known clients, {} of unknown ones",
@@ -139,70 +132,6 @@
             tenants.counters.unknown_requests,
         )
 
-    # The snapshot.
-
-    def _restore_snapshot(self, replicator: DirectoryReplicator) -> None:
-        path = self.settings.snapshot_path
-        if path is None:
-            return
-        if not path.exists():
-            logger.bind(event="tenants.no_snapshot").info("tenants: no snapshot at {} yet", path)
-            return
-        try:
-            snapshot = tenant_snapshot.read(path, self.settings.source)
-        except tenant_snapshot.SnapshotError as error:
-            logger.bind(event="tenants.no_snapshot").warning(
-                "tenants: snapshot {} not used: {}; waiting for the directory", path, error
-            )
-            return
-        now = self._loop.clock.now()
-        self.publish(
-            self.tenants.restore_snapshot(
-                snapshot.tenants, snapshot.confirmed_at, snapshot.source_server, now
-            )
-        )
-        replicator.sync.cookie, replicator.sync.cookie_server = snapshot.cookie, snapshot.source_server
-        logger.bind(event="tenants.restored", tenants=len(snapshot.tenants)).info(
-            "tenants: {} from the snapshot, {:.0f} s old",
-            len(snapshot.tenants),
-            self.tenants.staleness.age_ms(now) / MS_PER_S,
-        )
-
-    def _write_snapshot_if_due(self, now: float) -> None:
-        if self._writer is None or self.replicator is None:
-            return
-        result = self._writer.poll()
-        if result is not None and result.error:
-            logger.bind(event="tenants.snapshot_failed").warning(
-                "tenants: snapshot not written: {}; retried later", result.error
-            )
-            self._last_snapshot_version = UNKNOWN_VERSION
-        if not self._writer.busy and self._is_snapshot_due(now):
-            self._start_snapshot(self._writer, self.replicator, now)
-
-    def _is_snapshot_due(self, now: float) -> bool:
-        version = self.tenants.table.version
-        if not version:
-            return False
-        elapsed_ms = now - self._last_snapshot_ms
-        changed = version != self._last_snapshot_version
-        due_after_ms = self.settings.snapshot_interval_ms
-        return elapsed_ms >= due_after_ms or (changed and elapsed_ms >= MIN_SNAPSHOT_INTERVAL_MS)
-
-    def _start_snapshot(self, writer: SnapshotWriter, replicator: DirectoryReplicator, now: float) -> None:
-        table, guard, sync = self.tenants.table, self.tenants.guard, replicator.sync
-        self._last_snapshot_ms = now
-        self._last_snapshot_version = table.version
-        # A held removal is not in the file: a refresh from the cookie on would never report it again.
-        may_resume = guard.held is None and sync.cookie_server == guard.source_server
-        writer.start(
-            table.tenants.values(),
-            self.tenants.staleness.confirmed_at_ms,
-            self.settings.source,
-            guard.source_server,
-            sync.cookie if may_resume else None,
-        )
-
 
 def _same_replication(old: TenantSettings, new: TenantSettings) -> bool:
     """Return whether the settings differ at most in what does not concern the directory."""
--- a/snowthread/tenants/inspection.py
+++ b/snowthread/tenants/inspection.py
@@ -48,7 +48,7 @@
 def fetch(operator_file: Path, snapshot_path: Path | None) -> InspectionResult:
     """Read all tenants from the snapshot, if one is named, else from the directory.
 
-    Raises ConfigError if that is not possible.
+    ConfigError says why that is not possible.
     """
     settings = _read_settings(operator_file)
     if snapshot_path is not None:
@@ -85,7 +85,8 @@
     warnings: list[str] = []
     logger.add(lambda message: warnings.append(message.record["message"]), level="WARNING")
     loop = EventLoop(Clock())
-    tenants, problems = TenantState(settings.rules), list[str]()
+    tenants = TenantState(settings.rules)
+    problems: list[str] = []
 
     def collect_problems(changes: TenantChanges) -> None:
         events = ("tenants.conflict", "tenants.bad_entry")
@@ -104,7 +105,7 @@
         loop.run_once(LOOP_ROUND_S)
     if not tenants.counters.refreshes:
         raise config.ConfigError(warnings[-1] if warnings else "the directory does not answer")
-    source = replicator.sync.cookie_server or settings.servers[0].server
+    source = replicator.sync.cookie.server or settings.servers[0].server
     return InspectionResult(tenants, problems, source)
 
 
--- a/snowthread/tenants/lookups.py
+++ b/snowthread/tenants/lookups.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from snowthread.ldap.client import LdapConnection
@@ -15,11 +14,9 @@
     SearchResultDone,
     SearchResultEntry,
 )
-from snowthread.tenants.changes import TenantChanges
 from snowthread.tenants.entry import BadEntry, read_tenant
 from snowthread.tenants.model import Tenant
-from snowthread.tenants.settings import TenantSettings
-from snowthread.tenants.state import TenantState
+from snowthread.tenants.replication_context import ReplicationContext
 from snowthread.tenants.unknown_clients import lookup_filter
 
 
@@ -37,18 +34,11 @@
     """The lookups in flight on one connection, by message id."""
 
     def __init__(
-        self,
-        connection: LdapConnection,
-        settings: TenantSettings,
-        tenants: TenantState,
-        base: DistinguishedName,
-        publish: Callable[[TenantChanges], None],
+        self, context: ReplicationContext, connection: LdapConnection, base: DistinguishedName
     ) -> None:
+        self._context = context
         self._connection = connection
-        self._settings = settings
-        self._tenants = tenants
         self._base = base
-        self._publish = publish
         self._in_flight: dict[int, _Lookup] = {}
 
     def __contains__(self, message_id: int) -> bool:
@@ -60,15 +50,18 @@
 
     def abandon_overdue(self, now: float) -> None:
         """Abandon the lookups that have timed out."""
+        unknown_clients = self._context.tenants.unknown_clients
         for message_id, lookup in list(self._in_flight.items()):
             if now >= lookup.deadline:
                 del self._in_flight[message_id]
                 self._connection.send(AbandonRequest(message_id))
-                self._tenants.unknown_clients.finish_lookup(lookup.address, found=False, now=now)
+                unknown_clients.finish_lookup(lookup.address, found=False, now=now)
 
     def start(self, now: float) -> None:
         """Send as many of the waiting lookups as the bounds allow."""
-        unknown_clients, query = self._tenants.unknown_clients, self._settings.query
+        settings = self._context.settings
+        unknown_clients = self._context.tenants.unknown_clients
+        query = settings.query
         while (address := unknown_clients.start_next_lookup(now)) is not None:
             network_filter = lookup_filter(address, query.attribute_names.network, unknown_clients.rules)
             if network_filter is None:
@@ -78,19 +71,22 @@
                 query.base, query.scope, ("and", [query.filter, network_filter]), query.attribute_names.all()
             )
             message_id = self._connection.send(search)
-            self._in_flight[message_id] = _Lookup(address, now + self._settings.operation_timeout_ms)
+            self._in_flight[message_id] = _Lookup(address, now + settings.operation_timeout_ms)
 
     def receive(self, message_id: int, response: Response, now: float) -> None:
-        """Take in one response to a lookup."""
+        """Process one response to a lookup."""
         lookup = self._in_flight[message_id]
         if isinstance(response, SearchResultEntry):
             self._receive_entry(lookup, response)
         elif isinstance(response, SearchResultDone):
             del self._in_flight[message_id]
-            self._publish(self._tenants.apply_lookup(lookup.address, lookup.tenants, lookup.bad_entries, now))
+            changes = self._context.tenants.apply_lookup(
+                lookup.address, lookup.tenants, lookup.bad_entries, now
+            )
+            self._context.publish(changes)
 
     def _receive_entry(self, lookup: _Lookup, entry: SearchResultEntry) -> None:
-        query = self._settings.query
+        query = self._context.settings.query
         tenant = read_tenant(entry.dn, entry.attributes, query.attribute_names, self._base)
         if isinstance(tenant, BadEntry):
             lookup.bad_entries.append(tenant)
--- a/snowthread/tenants/model.py
+++ b/snowthread/tenants/model.py
@@ -32,7 +32,7 @@
     id: str
     name: str
     status: TenantStatus = TenantStatus.ACTIVE
-    quota_per_s: float = 0.0  # requests a second of the whole fleet within its quota; 0: no quota
+    quota_per_s: float = 0.0  # requests a second within its quota, over all nodes; 0: no quota
     networks: tuple[Network, ...] = ()
     balancers: tuple[BalancerRange, ...] = ()
     classes: frozenset[str] = frozenset()  # of requests that it may send; empty: all
--- /dev/null
+++ b/snowthread/tenants/refresh_application.py
@@ -0,0 +1,60 @@
+"""Apply a completed refresh to the tenants, with pauses, so that requests do not wait for a large one."""
+
+from __future__ import annotations
+
+from collections.abc import Generator
+
+from loguru import logger
+
+from snowthread.net.loop import Wait
+from snowthread.tenants.changes import TenantChanges
+from snowthread.tenants.replication_context import ReplicationContext
+from snowthread.tenants.sync import DirectorySync
+from snowthread.tenants.sync_events import RefreshCompleted
+
+
+def apply_with_pauses(
+    context: ReplicationContext, sync: DirectorySync, refresh: RefreshCompleted, server: str, now: float
+) -> Generator[Wait, int, TenantChanges]:
+    """Apply a refresh, with a turn for other tasks after each slice, and return what it changed.
+
+    If the task ends half way, the cookie is forgotten: it would say that the refresh is known.
+    """
+    slices = context.tenants.apply_refresh_in_slices(refresh, server, now)
+    changes: TenantChanges | None = None
+    try:
+        while changes is None:
+            try:
+                next(slices)
+            except StopIteration as finished:
+                changes = finished.value
+            else:
+                yield Wait(until_ms=context.loop.clock.now())
+    finally:
+        if changes is None:
+            sync.forget_cookie()
+    return changes
+
+
+def log_refresh(
+    context: ReplicationContext, sync: DirectorySync, server: str, changes: TenantChanges, duration_ms: float
+) -> None:
+    """Log that a refresh was applied, and how long it took from its search to its end."""
+    table = context.tenants.table
+    logger.bind(
+        event="tenants.refreshed",
+        peer="directory",
+        server=server,
+        ms=round(duration_ms, 1),
+        mode=sync.mode.name.lower(),
+        tenants=len(table),
+        networks=table.network_count,
+        changed=len(changes.quotas),
+        removed=len(changes.removed_ids),
+    ).info(
+        "directory {}: refreshed in {:.0f} ms, {} tenants, {} networks",
+        server,
+        duration_ms,
+        len(table),
+        table.network_count,
+    )
--- a/snowthread/tenants/removal_guard.py
+++ b/snowthread/tenants/removal_guard.py
@@ -1,10 +1,11 @@
-"""Which removals of tenants are applied at once, and which are held. Pure.
+"""Which removals of tenants are applied at once, and which wait for a confirmation. Pure.
 
 A directory that loses entries, by mistake or because a server with older content answers, must not remove
-tenants on its word alone. A removal is applied at once only if it comes from the server whose content is
-known here, and if all removals within a window stay under a share of the tenants. Any other removal is held:
-the tenants stay until a second full refresh, some time later, misses them too, or until an operator accepts
-the removal by the digest in its log line. A tenant that reappears is no longer part of a held removal.
+tenants by its report alone. A removal is applied at once only if it comes from the server whose content is
+known here, and if all removals within a window stay under a share of the tenants. Any other removal is
+pending: the tenants stay until a second full refresh, some time later, misses them too, or until an operator
+accepts the removal by the digest in its log line. A tenant that reappears is no longer part of a pending
+removal.
 """
 
 from __future__ import annotations
@@ -27,11 +28,11 @@
     min_allowance: int = 2  # as many may go in any case, within the window
     confirm_by_refresh: bool = True  # a second full refresh confirms; else only an operator does
     confirm_after_ms: float = 60_000.0
-    accepted_digest: str = ""  # of the held removal that an operator accepts
+    accepted_digest: str = ""  # of the pending removal that an operator accepts
 
 
 @dataclass(frozen=True, slots=True)
-class HeldRemoval:
+class PendingRemoval:
     """A removal that waits for its confirmation."""
 
     tenant_ids: frozenset[str]
@@ -46,11 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RemovalVerdict:
-    """What is removed now, what is held afterwards, and whether it was not held before."""
+    """What is removed now, what is pending afterwards, and whether it was not pending before."""
 
     removed_ids: frozenset[str]
-    held: HeldRemoval | None
-    newly_held: bool = False
+    pending: PendingRemoval | None
+    newly_pending: bool = False
 
 
 NOTHING_REMOVED = RemovalVerdict(frozenset(), None)
@@ -68,7 +69,7 @@
 
     def __init__(self, rules: RemovalRules) -> None:
         self.rules = rules
-        self.held: HeldRemoval | None = None
+        self.pending: PendingRemoval | None = None
         self.source_server = ""  # the server whose content is known here
         self._recent: deque[_AppliedRemoval] = deque()
 
@@ -78,75 +79,79 @@
         """Judge the known tenants that a full refresh did not contain."""
         missing = frozenset(missing_ids)
         if not missing:
-            self.source_server, self.held = server, None
+            self.source_server = server
+            self.pending = None
             return NOTHING_REMOVED
         if self._is_accepted(missing):
             return self._remove(missing, server, now)
-        if self.held is not None and self.held.tenant_ids & missing:
-            return self._judge_repeated_miss(self.held, missing, server, now)
+        if self.pending is not None and self.pending.tenant_ids & missing:
+            return self._judge_repeated_miss(self.pending, missing, server, now)
         if self.source_server and server != self.source_server:
             reason = "reported by another server"
         else:
             reason = self._excess_reason(len(missing), known_count, now)
         if not reason:
             return self._remove(missing, server, now)
-        self.held = HeldRemoval(missing, now, reason)
-        return RemovalVerdict(frozenset(), self.held, newly_held=True)
+        self.pending = PendingRemoval(missing, now, reason)
+        return RemovalVerdict(frozenset(), self.pending, newly_pending=True)
 
     def judge_deletions(
         self, deleted_ids: Collection[str], known_count: int, server: str, now: float
     ) -> RemovalVerdict:
         """Judge tenants reported as deleted, by a refresh from a cookie or as a change."""
-        held = self.held
-        tenant_ids = frozenset(deleted_ids) | (held.tenant_ids if held is not None else frozenset())
+        pending = self.pending
+        tenant_ids = frozenset(deleted_ids) | (pending.tenant_ids if pending is not None else frozenset())
         if not tenant_ids:
-            return RemovalVerdict(tenant_ids, held)
+            return RemovalVerdict(tenant_ids, pending)
         reason = self._excess_reason(len(tenant_ids), known_count, now)
         if self._is_accepted(tenant_ids):
             reason = ""
-        if not reason and held is None:
+        if not reason and pending is None:
             return self._remove(tenant_ids, server, now)
-        since_ms = now if held is None else held.since_ms
-        self.held = HeldRemoval(tenant_ids, since_ms, reason or "another removal is held already")
-        return RemovalVerdict(frozenset(), self.held, held is None or held.tenant_ids != tenant_ids)
+        since_ms = now if pending is None else pending.since_ms
+        self.pending = PendingRemoval(tenant_ids, since_ms, reason or "another removal is pending already")
+        return RemovalVerdict(
+            frozenset(), self.pending, newly_pending=pending is None or pending.tenant_ids != tenant_ids
+        )
 
     def mark_present(self, tenant_ids: Collection[str]) -> None:
-        """Take tenants that the directory contains out of the held removal."""
-        if self.held is None or self.held.tenant_ids.isdisjoint(tenant_ids):
+        """Take tenants that the directory contains out of the pending removal."""
+        if self.pending is None or self.pending.tenant_ids.isdisjoint(tenant_ids):
             return
-        rest = self.held.tenant_ids - frozenset(tenant_ids)
-        self.held = HeldRemoval(rest, self.held.since_ms, self.held.reason) if rest else None
+        rest = self.pending.tenant_ids - frozenset(tenant_ids)
+        self.pending = PendingRemoval(rest, self.pending.since_ms, self.pending.reason) if rest else None
 
     def confirmation_due_at(self) -> float | None:
-        """Return when a full refresh could confirm the held removal, or None if none could."""
-        if self.held is None or not self.rules.confirm_by_refresh:
+        """Return when a full refresh could confirm the pending removal, or None if none could."""
+        if self.pending is None or not self.rules.confirm_by_refresh:
             return None
-        return self.held.since_ms + self.rules.confirm_after_ms
+        return self.pending.since_ms + self.rules.confirm_after_ms
 
     def take_accepted(self, known_ids: Collection[str]) -> frozenset[str]:
-        """Return the known tenants of the held removal if the rules accept it; it is no longer held then."""
-        if self.held is None or self.held.digest != self.rules.accepted_digest:
+        """Return the known tenants of the pending removal if the rules accept it, and end it then."""
+        if self.pending is None or self.pending.digest != self.rules.accepted_digest:
             return frozenset()
-        tenant_ids, self.held = self.held.tenant_ids & frozenset(known_ids), None
+        tenant_ids = self.pending.tenant_ids & frozenset(known_ids)
+        self.pending = None
         return tenant_ids
 
     def _judge_repeated_miss(
-        self, held: HeldRemoval, missing: frozenset[str], server: str, now: float
+        self, pending: PendingRemoval, missing: frozenset[str], server: str, now: float
     ) -> RemovalVerdict:
-        """Judge a full refresh that misses tenants of the held removal again."""
-        missing_again = held.tenant_ids & missing
-        is_due = now - held.since_ms >= self.rules.confirm_after_ms
+        """Judge a full refresh that misses tenants of the pending removal again."""
+        missing_again = pending.tenant_ids & missing
+        is_due = now - pending.since_ms >= self.rules.confirm_after_ms
         if not self.rules.confirm_by_refresh or not is_due:
             # The time of the newly missing tenants starts now.
-            since_ms = held.since_ms if missing <= held.tenant_ids else now
-            self.held = HeldRemoval(missing, since_ms, held.reason)
-            return RemovalVerdict(frozenset(), self.held, missing != held.tenant_ids)
+            since_ms = pending.since_ms if missing <= pending.tenant_ids else now
+            self.pending = PendingRemoval(missing, since_ms, pending.reason)
+            return RemovalVerdict(frozenset(), self.pending, newly_pending=missing != pending.tenant_ids)
         verdict = self._remove(missing_again, server, now)
         newly_missing = missing - missing_again
         if not newly_missing:
             return verdict
-        self.held = HeldRemoval(newly_missing, now, "it is missing for the first time")
-        return RemovalVerdict(missing_again, self.held, newly_held=True)
+        self.pending = PendingRemoval(newly_missing, now, "it is missing for the first time")
+        return RemovalVerdict(missing_again, self.pending, newly_pending=True)
 
     def _is_accepted(self, tenant_ids: frozenset[str]) -> bool:
         accepted = self.rules.accepted_digest
@@ -165,7 +170,8 @@
         return f"{removed_count} of {tenant_count} tenants, at most {allowance} may go at once"
 
     def _remove(self, tenant_ids: frozenset[str], server: str, now: float) -> RemovalVerdict:
-        self.source_server, self.held = server, None
+        self.source_server = server
+        self.pending = None
         self._recent.append(_AppliedRemoval(now, len(tenant_ids)))
         return RemovalVerdict(tenant_ids, None)
 
--- a/snowthread/tenants/replication.py
+++ b/snowthread/tenants/replication.py
@@ -8,6 +8,7 @@
 
 import random
 from collections.abc import Callable, Generator
+from dataclasses import replace
 
 from loguru import logger
 
@@ -16,6 +17,7 @@
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
 from snowthread.tenants.changes import TenantChanges
 from snowthread.tenants.directory_session import DirectorySession
+from snowthread.tenants.replication_context import ReplicationContext
 from snowthread.tenants.settings import TenantSettings
 from snowthread.tenants.state import TenantState
 from snowthread.tenants.sync import DirectorySync
@@ -32,17 +34,19 @@
         rng: random.Random,
         publish: Callable[[TenantChanges], None],
     ) -> None:
-        self.settings = settings
         self.sync = DirectorySync(settings.query)
         self.connection_failures = 0
         self._loop = loop
-        self._tenants = tenants
-        self._rng = rng
-        self._publish = publish
+        self._context = ReplicationContext(loop, settings, tenants, rng, publish)
         self._session: DirectorySession | None = None
         self.server_selector = self._new_server_selector()
         self._task = loop.spawn(self._run(settings.start_jitter_ms))
 
+    @property
+    def settings(self) -> TenantSettings:
+        """The settings in use."""
+        return self._context.settings
+
     @property
     def connected_server(self) -> str:
         """The server of the open connection, or an empty text."""
@@ -56,9 +60,9 @@
     def apply_settings(self, settings: TenantSettings) -> None:
         """Use other servers, credentials or another query; what is known of tenants stays."""
         self._loop.end_task(self._task)
-        self.settings = settings
+        self._context = replace(self._context, settings=settings)
         self.sync.set_query(settings.query)
-        self._tenants.unknown_clients.abort_lookups()
+        self._context.tenants.unknown_clients.abort_lookups()
         self.server_selector = self._new_server_selector()
         self._task = self._loop.spawn(self._run(start_jitter_ms=0.0))
 
@@ -68,14 +72,15 @@
 
     def _run(self, start_jitter_ms: float) -> TaskSteps:
         clock = self._loop.clock
+        rng = self._context.rng
         # Otherwise nodes that start together would all connect to the directory in the same instant.
-        yield Wait(until_ms=clock.now() + self._rng.uniform(0.0, start_jitter_ms))
+        yield Wait(until_ms=clock.now() + rng.uniform(0.0, start_jitter_ms))
         while True:
             server_index = self.server_selector.choose(clock.now())
             if server_index is not None:
                 failure = yield from self._connect_and_follow(server_index)
                 self._record_failure(server_index, failure)
-            retry_at = clock.now() + self.server_selector.backoff_ms(clock.now(), self._rng)
+            retry_at = clock.now() + self.server_selector.backoff_ms(clock.now(), rng)
             while clock.now() < retry_at:  # a lookup that wakes the task does not end the backoff
                 yield Wait(until_ms=retry_at)
 
@@ -86,20 +91,16 @@
             if failure is not None:
                 return failure
             self._session = DirectorySession(
-                self._loop,
+                self._context,
                 connection,
-                self.settings,
-                self._tenants,
                 self.sync,
-                self._rng,
-                self._publish,
                 on_refresh=lambda: self.server_selector.record_success(server_index),
             )
             return (yield from self._session.run())
         finally:
             self._session = None
             self.sync.reset()
-            self._tenants.unknown_clients.abort_lookups()
+            self._context.tenants.unknown_clients.abort_lookups()
             connection.close()
 
     def _record_failure(self, server_index: int, failure: ConnectionFailure) -> None:
--- /dev/null
+++ b/snowthread/tenants/server_probe.py
@@ -0,0 +1,37 @@
+"""A cheap search that checks whether a silent server still answers."""
+
+from __future__ import annotations
+
+import math
+
+from snowthread.ldap.client import LdapConnection
+from snowthread.ldap.messages import Scope, SearchRequest
+
+NO_ATTRIBUTES = ("1.1",)  # RFC 4511, section 4.5.1.8
+NOT_IN_FLIGHT = 0  # no message sent has this id
+
+
+class ServerProbe:
+    """The probes of one connection, one at a time; ``deadline`` is infinite while none is in flight."""
+
+    def __init__(self, connection: LdapConnection, base: str, timeout_ms: float) -> None:
+        self.message_id = NOT_IN_FLIGHT
+        self.deadline = math.inf
+        self._connection = connection
+        self._search = SearchRequest(base, Scope.BASE, ("present", b"objectClass"), NO_ATTRIBUTES)
+        self._timeout_ms = timeout_ms
+
+    @property
+    def in_flight(self) -> bool:
+        """Whether a probe waits for its answer."""
+        return self.message_id != NOT_IN_FLIGHT
+
+    def send(self, now: float) -> None:
+        """Send a probe."""
+        self.message_id = self._connection.send(self._search)
+        self.deadline = now + self._timeout_ms
+
+    def clear(self) -> None:
+        """Forget the probe in flight: it was answered, or a search makes it superfluous."""
+        self.message_id = NOT_IN_FLIGHT
+        self.deadline = math.inf
--- a/snowthread/tenants/settings.py
+++ b/snowthread/tenants/settings.py
@@ -15,11 +15,12 @@
 from snowthread.ldap.messages import Scope
 from snowthread.ldap.retry_budget import RetryPolicy
 from snowthread.tenants.connection_settings import read_connection_settings
+from snowthread.tenants.directory_query import DirectoryQuery
 from snowthread.tenants.entry import AttributeNames
 from snowthread.tenants.removal_guard import RemovalRules
+from snowthread.tenants.replication_mode import ReplicationMode
+from snowthread.tenants.rules import TenantRules
 from snowthread.tenants.staleness import StalenessRules
-from snowthread.tenants.state import TenantRules
-from snowthread.tenants.sync import DirectoryQuery, ReplicationMode
 from snowthread.tenants.unknown_clients import UnknownClientRules
 
 HOUR_MS = 3_600_000.0
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantSettings:
-    """All that the block sets. Times are milliseconds."""
+    """All that the block sets."""
 
     servers: tuple[url.LdapUrl, ...]
     connection: ConnectionSettings
@@ -65,16 +66,13 @@
         """Check the block and return its settings; ConfigError names the key that can't be used."""
         _check_replaces_settings(block, config)
         servers = _read_servers(block)
-        base, filter_text = block.text("base"), block.text("filter", DEFAULT_FILTER)
+        base = block.text("base")
+        filter_text = block.text("filter", DEFAULT_FILTER)
         block.parsed("base", dn.parse, base)
         names = _read_attribute_names(block.block_or_empty("attributes"))
         limits = block.block_or_empty("limits")
         query = _read_query(block, limits, base, filter_text, names)
-        bounds = Bounds(
-            frame_bytes=limits.integer(
-                "message_bytes", DEFAULT_MESSAGE_BYTES, MIN_MESSAGE_BYTES, MAX_MESSAGE_BYTES
-            )
-        )
+        bounds = _read_bounds(limits)
         limits.reject_unknown_keys()
         connection = read_connection_settings(block, servers, bounds)
         rules = _read_rules(block)
@@ -135,6 +133,11 @@
     )
 
 
+def _read_bounds(limits: Block) -> Bounds:
+    frame_bytes = limits.integer("message_bytes", DEFAULT_MESSAGE_BYTES, MIN_MESSAGE_BYTES, MAX_MESSAGE_BYTES)
+    return Bounds(frame_bytes=frame_bytes)
+
+
 def _read_attribute_names(block: Block) -> AttributeNames:
     default = AttributeNames()
     names = AttributeNames(
@@ -167,8 +170,10 @@
 
 
 def _read_rules(block: Block) -> TenantRules:
-    removal, staleness = block.block_or_empty("removal"), block.block_or_empty("staleness")
-    unknown, default = block.block_or_empty("unknown"), block.block_or_empty("default")
+    removal = block.block_or_empty("removal")
+    staleness = block.block_or_empty("staleness")
+    unknown = block.block_or_empty("unknown")
+    default = block.block_or_empty("default")
     rules = TenantRules(
         trusted_networks=tuple(
             block.parsed("trust_numbers_from", ip_network, text)
--- a/snowthread/tenants/snapshot.py
+++ b/snowthread/tenants/snapshot.py
@@ -1,14 +1,16 @@
 """The snapshot file: the tenants that were known, for a cold start while the directory is down.
 
 The file is one header line and one line of JSON. The header names the format, its version, the length and a
-BLAKE2b digest of the rest, so a torn, foreign or older file is told from a good one and rejected as a whole.
-It is written to a new file in the same folder, synced, renamed over the old one, and the folder is synced: a
-crash leaves the old file or the new one.
+BLAKE2b digest of the rest, so a torn, foreign or older file is recognised and rejected entirely. It is
+written to a new file in the same folder, synced, renamed over the old one, and the folder is synced: a crash
+leaves the old file or the new one.
 """
 
 from __future__ import annotations
 
 import os
+from collections.abc import Generator
+from contextlib import contextmanager
 from dataclasses import dataclass
 from hashlib import blake2b
 from ipaddress import ip_network
@@ -23,6 +25,8 @@
 VERSION = 1
 DIGEST_BYTES = 16
 MAX_FILE_BYTES = 512 * 1024 * 1024
+HEADER_WORDS = 4  # magic, version, length of the body in bytes, digest
+FILE_MODE = 0o600
 
 
 class SnapshotError(ValueError):
@@ -55,12 +59,16 @@
 
 
 def decode(data: bytes) -> Snapshot:
-    """Return the snapshot that a file holds; SnapshotError says what is wrong with it."""
+    """Return the snapshot in a file's bytes.
+
+    Raises:
+        SnapshotError: The bytes are damaged, or of another format.
+    """
     header, newline, body = data.partition(b"\n")
     words = header.split(b" ")
     if not newline or words[0] != MAGIC:
         raise SnapshotError("not a snapshot of tenants")
-    if len(words) != 4 or words[1] != str(VERSION).encode():
+    if len(words) != HEADER_WORDS or words[1] != str(VERSION).encode():
         raise SnapshotError(f"a format other than version {VERSION}")
     if words[2] != str(len(body) - 1).encode() or not body.endswith(b"\n"):
         raise SnapshotError("cut short, or longer than it says")
@@ -112,7 +120,11 @@
 
 
 def read(path: Path, source: str) -> Snapshot:
-    """Return the snapshot of this query; SnapshotError in any other case."""
+    """Return the snapshot of this query.
+
+    Raises:
+        SnapshotError: The file can't be read, is damaged, or belongs to another query.
+    """
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
             raise SnapshotError(f"larger than {MAX_FILE_BYTES} bytes")
@@ -126,23 +138,31 @@
 
 
 def write(path: Path, data: bytes) -> None:
-    """Replace the file by these bytes, durably; OSError if that fails, and the old file stays."""
+    """Replace the file by these bytes, durably.
+
+    Raises:
+        OSError: That failed; the old file stays.
+    """
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
-        fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
-        try:
+        with _opened(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC) as fd:
             view = memoryview(data)
             while view:
                 view = view[os.write(fd, view) :]
             os.fsync(fd)
-        finally:
-            os.close(fd)
         temporary.rename(path)
     except OSError:
         temporary.unlink(missing_ok=True)
         raise
-    folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
-    try:
+    with _opened(path.parent, os.O_RDONLY | os.O_DIRECTORY) as folder:
         os.fsync(folder)
+
+
+@contextmanager
+def _opened(path: Path, flags: int) -> Generator[int, None, None]:
+    """Open a descriptor for the length of a block."""
+    fd = os.open(path, flags, FILE_MODE)
+    try:
+        yield fd
     finally:
-        os.close(folder)
+        os.close(fd)
--- a/snowthread/tenants/snapshot_writer.py
+++ b/snowthread/tenants/snapshot_writer.py
@@ -14,6 +14,7 @@
 CLOSED_DESCRIPTORS_END = 4096
 FAILED_WITHOUT_ERRNO = 1
 MAX_EXIT_CODE = 255
+NO_CHILD = 0  # no process has this id
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,12 +29,12 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._child_pid = 0  # 0: no child is writing
+        self._child_pid = NO_CHILD
 
     @property
     def busy(self) -> bool:
         """Whether a child is writing."""
-        return self._child_pid != 0
+        return self._child_pid != NO_CHILD
 
     def start(
         self,
@@ -61,15 +62,16 @@
 
     def poll(self) -> WriteResult | None:
         """Return how the last write ended, once; None if it goes on or none was started."""
-        if not self._child_pid:
+        if self._child_pid == NO_CHILD:
             return None
         try:
             pid, status = os.waitpid(self._child_pid, os.WNOHANG)
-        except ChildProcessError:
-            pid, status = self._child_pid, 0
+        except ChildProcessError:  # somebody else has waited for it: its status is lost
+            self._child_pid = NO_CHILD
+            return WriteResult()
         if not pid:
             return None
-        self._child_pid = 0
+        self._child_pid = NO_CHILD
         exit_code = os.waitstatus_to_exitcode(status)
         if exit_code == 0:
             return WriteResult()
--- a/snowthread/tenants/staleness.py
+++ b/snowthread/tenants/staleness.py
@@ -9,7 +9,7 @@
 
 ``when_old`` is "serve" (identified as before: a directory that is down for a day stops nobody) or "default"
 (all clients share the default tenant's quota, for operators to whom a wrong quota is worse than a small
-one). A suspension holds at every stage.
+one). A suspension applies at every stage.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         self._last_reported = StalenessStage.NONE
 
     def confirm(self, now: float) -> None:
-        """Note that the knowledge is current: a refresh ended, or changes are followed."""
+        """Record that the knowledge is current: a refresh ended, or changes are followed."""
         self.confirmed_at_ms = max(self.confirmed_at_ms, now)
 
     def age_ms(self, now: float) -> float:
--- a/snowthread/tenants/state.py
+++ b/snowthread/tenants/state.py
@@ -1,65 +1,35 @@
 """What a node knows about tenants, as one pure state.
 
 The directory's reports go in; the identity of a client comes out, and with each change the quotas for
-admission control and the log lines for operators.
+admission control and the log lines for operators. Times are milliseconds of the node's clock.
 """
 
 from __future__ import annotations
 
-from collections.abc import Collection, Generator, Iterable, Iterator, Mapping
-from dataclasses import dataclass, field
+from collections.abc import Collection, Generator, Iterable, Mapping
 
 from snowthread.tenants.changes import TenantChanges, TenantQuota
+from snowthread.tenants.counters import TenantCounters
 from snowthread.tenants.entry import BadEntry
 from snowthread.tenants.model import (
     DEFAULT_TENANT_ID,
     UNKNOWN_IDENTITY,
     IdentifiedBy,
     Identity,
-    Network,
     Tenant,
     TenantStatus,
 )
-from snowthread.tenants.removal_guard import NOTHING_REMOVED, RemovalGuard, RemovalRules, RemovalVerdict
-from snowthread.tenants.staleness import StalenessRules, StalenessStage, StalenessTracker
-from snowthread.tenants.sync import EntriesChanged, RefreshCompleted
+from snowthread.tenants.removal_guard import NOTHING_REMOVED, RemovalGuard, RemovalVerdict
+from snowthread.tenants.rules import TenantRules
+from snowthread.tenants.staleness import StalenessStage, StalenessTracker
+from snowthread.tenants.sync_events import EntriesChanged, RefreshCompleted
 from snowthread.tenants.table import TableChanges, TenantTable
-from snowthread.tenants.unknown_clients import UnknownClientRules, UnknownClients
-
-MAX_ITEMS_PER_SLICE = 300  # tenants and networks applied without a pause: one or two milliseconds
-MS_PER_S = 1000.0
-
-
-@dataclass(frozen=True, slots=True)
-class TenantRules:
-    """The operator's rules."""
-
-    removal: RemovalRules = field(default_factory=RemovalRules)
-    staleness: StalenessRules = field(default_factory=StalenessRules)
-    unknown_clients: UnknownClientRules = field(default_factory=UnknownClientRules)
-    default_quota_per_s: float = 0.0
-    default_rejected: bool = False  # requests of unknown clients are rejected
-    trusted_networks: tuple[Network, ...] = ()
-
-
-@dataclass(slots=True)
-class TenantCounters:
-    """Counts since the start of the node."""
-
-    known_requests: int = 0
-    unknown_requests: int = 0
-    refreshes: int = 0
-    changes: int = 0
-    removals_held: int = 0
-    conflicts: int = 0
-    bad_entries: int = 0
-    outdated_entries: int = 0  # of servers with older content
-    lookups_found: int = 0
-    lookups_not_found: int = 0
+from snowthread.tenants.table_rebuild import fits_one_slice, rebuild_in_slices
+from snowthread.tenants.unknown_clients import UnknownClients
 
 
 class TenantState:
-    """The tenants, the clients that nobody owns, and how far the knowledge is to be believed."""
+    """The tenants, the clients that nobody owns, and how old the knowledge is."""
 
     def __init__(self, rules: TenantRules) -> None:
         self.rules = rules
@@ -74,7 +44,10 @@
         return TenantQuota(DEFAULT_TENANT_ID, self.rules.default_quota_per_s, self.rules.default_rejected)
 
     def identify(self, address: str, number: int | None, now: float) -> Identity:
-        """Return the tenant of a client as far as the age of the knowledge allows."""
+        """Return the tenant of a client as far as the age of the knowledge allows.
+
+        ``address`` is the client's, ``number`` the balancer's number in the request.
+        """
         identity = self.table.identify(address, number)
         if identity.identified_by is IdentifiedBy.UNKNOWN:
             self.counters.unknown_requests += 1
@@ -98,10 +71,9 @@
     def apply_refresh_in_slices(
         self, refresh: RefreshCompleted, server: str, now: float
     ) -> Generator[None, None, TenantChanges]:
-        """Apply a refresh, yielding where other tasks may run; the last slice takes it all up at once.
+        """Apply a refresh, yielding where other tasks may run; the last slice replaces the table at once.
 
-        Building a table of a hundred thousand networks takes most of a second, too long for requests to
-        wait. Nothing else may be applied meanwhile; a refresh that is given up half way has changed nothing.
+        Nothing else may be applied meanwhile. A refresh that is closed half way has not changed the table.
         """
         changes = TenantChanges()
         self.counters.refreshes += 1
@@ -109,7 +81,7 @@
         self._report_bad_entries(refresh.bad_entries, changes)
         known = self.table.tenants
         upserts = [t for t in self._without_outdated(refresh.upserts.values()) if known.get(t.id) != t]
-        if sum(map(_item_count, upserts)) + len(verdict.removed_ids) <= MAX_ITEMS_PER_SLICE:
+        if fits_one_slice(upserts, verdict.removed_ids):
             self._apply(upserts, verdict, changes)
         else:
             yield from self._rebuild_table(upserts, verdict, changes)
@@ -158,7 +130,7 @@
         return changes
 
     def apply_rules(self, rules: TenantRules) -> TenantChanges:
-        """Apply the operator's other rules, and a held removal if they accept it."""
+        """Apply the operator's other rules, and a pending removal if they accept it."""
         changes = TenantChanges()
         if rules.trusted_networks != self.rules.trusted_networks:
             self.table.trust_networks(rules.trusted_networks)
@@ -177,9 +149,7 @@
         changes = TenantChanges()
         stage = self.staleness.take_stage_change(now)
         if stage is not None:
-            age_s = self.staleness.age_ms(now) / MS_PER_S
-            age = "" if stage is StalenessStage.NONE else f", {age_s:.0f} s old"
-            changes.add_log_line("tenants.age", f"what is known of tenants is {stage.value}{age}")
+            changes.add_stage(stage, self.staleness.age_ms(now))
         return changes
 
     def _judge_removals(self, refresh: RefreshCompleted, server: str, now: float) -> RemovalVerdict:
@@ -208,45 +178,22 @@
         before = {tenant.id: self.table.tenants.get(tenant.id) for tenant in current}
         table_changes = self.table.apply(current, verdict.removed_ids)
         self._report_table_changes(table_changes, before, changes)
-        self._report_held_removal(verdict, changes)
+        self._report_pending_removal(verdict, changes)
         if table_changes:
             self.unknown_clients.clear_negative_cache()
 
     def _rebuild_table(
         self, upserts: list[Tenant], verdict: RemovalVerdict, changes: TenantChanges
-    ) -> Iterator[None]:
-        """Build a new table in slices and take it up when it is complete."""
+    ) -> Generator[None, None, None]:
+        """Build a new table in slices and use it when it is complete."""
         before = self.table.tenants
-        tenants = {**before, **{tenant.id: tenant for tenant in upserts}}
-        for tenant_id in verdict.removed_ids:
-            del tenants[tenant_id]
-        table = TenantTable(self.rules.trusted_networks)
-        table.version = self.table.version
-        conflicts, items = [], 0
-        for tenant in tenants.values():
-            conflicts += table.apply((tenant,)).conflicts
-            items += _item_count(tenant)
-            if items >= MAX_ITEMS_PER_SLICE:
-                items = 0
-                yield
-        known_conflicts = set(self.table.conflicts)
-        removed = [before[tenant_id] for tenant_id in verdict.removed_ids]
-        new_conflicts = [conflict for conflict in conflicts if conflict not in known_conflicts]
-        self.table = table
-        self._report_table_changes(TableChanges(upserts, removed, new_conflicts), before, changes)
-        self._report_held_removal(verdict, changes)
-        self.unknown_clients.clear_negative_cache()
-
-    def _report_held_removal(self, verdict: RemovalVerdict, changes: TenantChanges) -> None:
-        held = verdict.held
-        if held is None or not verdict.newly_held:
-            return
-        self.counters.removals_held += 1
-        changes.add_log_line(
-            "tenants.removal_held",
-            f"{len(held.tenant_ids)} tenants are missing and stay for now ({held.reason}); "
-            f"removal {held.digest}",
+        rebuilt = yield from rebuild_in_slices(
+            self.table, upserts, verdict.removed_ids, self.rules.trusted_networks
         )
+        self.table = rebuilt.table
+        self._report_table_changes(rebuilt.changes, before, changes)
+        self._report_pending_removal(verdict, changes)
+        self.unknown_clients.clear_negative_cache()
 
     def _report_table_changes(
         self,
@@ -255,37 +202,20 @@
         changes: TenantChanges,
     ) -> None:
         for tenant in table_changes.changed:
-            _report_changed_tenant(tenant, before.get(tenant.id), changes)
+            changes.add_upsert(tenant, before.get(tenant.id))
         for tenant in table_changes.removed:
-            changes.removed_ids.append(tenant.id)
-            changes.add_log_line("tenants.removed", f"{tenant.name} ({tenant.id}) is no tenant any more")
+            changes.add_removal(tenant)
         for conflict in table_changes.conflicts:
             self.counters.conflicts += 1
-            changes.add_log_line("tenants.conflict", conflict.describe())
+            changes.add_conflict(conflict)
+
+    def _report_pending_removal(self, verdict: RemovalVerdict, changes: TenantChanges) -> None:
+        if verdict.pending is None or not verdict.newly_pending:
+            return
+        self.counters.removals_held += 1
+        changes.add_pending_removal(verdict.pending)
 
     def _report_bad_entries(self, bad_entries: Iterable[BadEntry], changes: TenantChanges) -> None:
         for entry in bad_entries:
             self.counters.bad_entries += 1
-            changes.add_log_line("tenants.bad_entry", f"{entry.dn!r} can't be used: {entry.reason}")
-
-
-def _report_changed_tenant(tenant: Tenant, old: Tenant | None, changes: TenantChanges) -> None:
-    quota = _quota_of(tenant)
-    if old is None or _quota_of(old) != quota:
-        changes.quotas.append(quota)
-    if old is None:
-        return
-    if old.status is not tenant.status:
-        changes.add_log_line("tenants.status", f"{tenant.name} ({tenant.id}) is {tenant.status.value} now")
-    if old.name != tenant.name:
-        changes.add_log_line("tenants.renamed", f"{old.name} is called {tenant.name} now ({tenant.id})")
-
-
-def _quota_of(tenant: Tenant) -> TenantQuota:
-    suspended = tenant.status is TenantStatus.SUSPENDED
-    return TenantQuota(tenant.id, tenant.quota_per_s, suspended, tuple(sorted(tenant.classes)))
-
-
-def _item_count(tenant: Tenant) -> int:
-    """Return the tenant's part of a slice: itself and its networks."""
-    return 1 + len(tenant.networks)
+            changes.add_bad_entry(entry)
--- a/snowthread/tenants/sync.py
+++ b/snowthread/tenants/sync.py
@@ -1,12 +1,5 @@
 """The protocol state of a synchronisation: a server's messages in, complete changes out. Pure.
 
-There are three modes of following a directory, the best first; a server that lacks one gets the next from
-then on:
-
-- PERSIST: refreshAndPersist (RFC 4533): a refresh, then each change as it happens.
-- REFRESH: refreshOnly (RFC 4533): a refresh each period, from a cookie on.
-- PAGED: the whole content in pages (RFC 2696) each period.
-
 | state      | message                            | event and next state                              |
 | ---------- | ---------------------------------- | ------------------------------------------------- |
 | IDLE       | start_refresh                      | REFRESHING                                        |
@@ -16,43 +9,38 @@
 | FOLLOWING  | entry, id set, cookie              | EntriesChanged: FOLLOWING                         |
 | any        | end of the search, error, reset    | SearchEnded: IDLE; what was collected is dropped  |
 
-Nothing of a refresh counts before its end, so an interrupted one removes and adds nothing; its cookie counts
-only from then on too, and only for the server that gave it.
+The modes are those of ``replication_mode``. A cookie counts from the end of its refresh on, and only for the
+server that gave it: cookies are opaque to clients (RFC 4533, section 2.1.2).
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from dataclasses import dataclass, field, replace
-from enum import Enum, IntEnum
+from dataclasses import dataclass, replace
+from enum import Enum
 
 from snowthread.ldap import controls, dn
 from snowthread.ldap.ber import MalformedError
 from snowthread.ldap.health import Reaction, reaction_to
 from snowthread.ldap.messages import (
-    Control,
-    FilterTree,
     IntermediateResponse,
     Response,
-    Scope,
     SearchRequest,
     SearchResultDone,
     SearchResultEntry,
     SearchResultReference,
 )
-from snowthread.tenants.entry import AttributeNames, BadEntry, read_tenant
+from snowthread.tenants.directory_query import DirectoryQuery
+from snowthread.tenants.entry import BadEntry, read_tenant
 from snowthread.tenants.model import Tenant
+from snowthread.tenants.refresh_collector import RefreshCollector
+from snowthread.tenants.replication_mode import ReplicationMode, ServerModes
+from snowthread.tenants.sync_events import EntriesChanged, NextPage, RefreshCompleted, SearchEnded, SyncEvent
 
-MIN_PAGE_SIZE = 10
-MAX_REPORTED_BAD_ENTRIES = 100
-
-
-class ReplicationMode(IntEnum):
-    """How a server is followed; each mode needs less of it than the one before."""
-
-    PERSIST = 0
-    REFRESH = 1
-    PAGED = 2
+FIRST_PAGE = b""  # the cookie of the first page (RFC 2696, section 3)
+_SYNC_MODES = {
+    ReplicationMode.PERSIST: controls.SyncMode.REFRESH_AND_PERSIST,
+    ReplicationMode.REFRESH: controls.SyncMode.REFRESH_ONLY,
+}
 
 
 class ReplicationState(Enum):
@@ -64,94 +52,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DirectoryQuery:
-    """What is asked of the directory."""
-
-    base: str
-    filter: FilterTree
-    attribute_names: AttributeNames
-    scope: Scope = Scope.SUB
-    first_mode: ReplicationMode = ReplicationMode.PERSIST
-    page_size: int = 500
-    max_tenants: int = 100_000
-    max_networks: int = 1_000_000
-    time_limit_s: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class RefreshCompleted:
-    """A refresh is complete.
-
-    If it ``is_full``, tenants that are neither in ``upserts`` nor in ``present_ids`` are gone; else only
-    those in ``removed_ids`` are.
-    """
-
-    upserts: Mapping[str, Tenant]
-    present_ids: frozenset[str]
-    removed_ids: frozenset[str]
-    is_full: bool
-    bad_entries: tuple[BadEntry, ...] = ()
-
-
-@dataclass(frozen=True, slots=True)
-class EntriesChanged:
-    """Entries changed after the refresh."""
-
-    upserts: Mapping[str, Tenant]
-    removed_ids: frozenset[str] = frozenset()
-    bad_entries: tuple[BadEntry, ...] = ()
-
-
-@dataclass(frozen=True, slots=True)
-class NextPage:
-    """The search for the next page, to be sent now."""
-
-    search: SearchRequest
-
-
-@dataclass(frozen=True, slots=True)
-class SearchEnded:
-    """The search ended without a result that can be used, or after following for a while."""
-
-    reason: str
-    reaction: Reaction
-
-
-SyncEvent = RefreshCompleted | EntriesChanged | NextPage | SearchEnded
-
-
-@dataclass(slots=True)
-class _PendingRefresh:
-    """What a refresh has brought so far."""
+class ServerCookie:
+    """From where on a refresh is incremental: a server, and its cookie if it gave one."""
 
-    is_full: bool = True
-    upserts: dict[str, Tenant] = field(default_factory=dict)
-    present_ids: set[str] = field(default_factory=set)
-    removed_ids: set[str] = field(default_factory=set)
-    bad_entries: list[BadEntry] = field(default_factory=list)
-    networks: int = 0
-    cookie: bytes | None = None
+    server: str = ""
+    value: bytes | None = None
 
-    def add_tenant(self, tenant: Tenant) -> None:
-        self.upserts[tenant.id] = tenant
-        self.removed_ids.discard(tenant.id)
-        self.networks += len(tenant.networks)
 
-    def add_bad_entry(self, entry: BadEntry) -> None:
-        # The entry exists: a tenant that is known stays as it was.
-        if entry.tenant_id:
-            self.present_ids.add(entry.tenant_id)
-        if len(self.bad_entries) < MAX_REPORTED_BAD_ENTRIES:
-            self.bad_entries.append(entry)
-
-    def remove(self, uuids: tuple[str, ...]) -> None:
-        self.removed_ids.update(uuids)
-        for uuid in uuids:
-            self.upserts.pop(uuid, None)
-            self.present_ids.discard(uuid)
-
-    def save_cookie(self, cookie: bytes | None) -> None:
-        self.cookie = cookie or self.cookie
+NO_COOKIE = ServerCookie()
 
 
 class DirectorySync:
@@ -161,52 +69,47 @@
         self.query = query
         self.state = ReplicationState.IDLE
         self.mode = query.first_mode
-        self.cookie: bytes | None = None
-        self.cookie_server = ""
+        self.cookie = NO_COOKIE
         self.references_ignored = 0
         self.base = dn.parse(query.base)
         self._server = ""
-        self._modes: dict[str, ReplicationMode] = {}  # of servers that lack a better one
-        self._page_size = query.page_size
-        self._pending = _PendingRefresh()
+        self._modes = ServerModes(query.first_mode, query.page_size)
+        self._refresh = RefreshCollector()
 
     def start_refresh(self, server: str, full: bool = False) -> SearchRequest:
         """Return the search that starts a refresh at this server; a ``full`` one ignores the cookie."""
         self._server = server
-        self.mode = self._modes.get(server, self.query.first_mode)
+        self.mode = self._modes.mode_at(server)
         self.state = ReplicationState.REFRESHING
         if self.mode is ReplicationMode.PAGED:
-            self._pending = _PendingRefresh()
-            return self._page_request(b"")
-        cookie = self.cookie if server == self.cookie_server and not full else None
-        self._pending = _PendingRefresh(is_full=cookie is None)
-        if self.mode is ReplicationMode.PERSIST:
-            sync_mode = controls.SyncMode.REFRESH_AND_PERSIST
-        else:
-            sync_mode = controls.SyncMode.REFRESH_ONLY
-        return self._search_request(controls.sync_request_control(sync_mode, cookie))
+            self._refresh = RefreshCollector()
+            return self._page_search(FIRST_PAGE)
+        cookie = self.cookie.value if server == self.cookie.server and not full else None
+        self._refresh = RefreshCollector(is_full=cookie is None)
+        return self.query.search(controls.sync_request_control(_SYNC_MODES[self.mode], cookie))
 
     def reset(self) -> None:
         """Drop what was collected, since the connection ended."""
         self.state = ReplicationState.IDLE
-        self._pending = _PendingRefresh()
+        self._refresh = RefreshCollector()
 
     def forget_cookie(self) -> None:
         """Make the next refresh a full one."""
-        self.cookie, self.cookie_server = None, ""
+        self.cookie = NO_COOKIE
 
     def set_query(self, query: DirectoryQuery) -> None:
         """Use another query from now on; the cookie of a different one is of no use."""
         if replace(query, page_size=0) != replace(self.query, page_size=0):
             self.forget_cookie()
-            self._modes.clear()
+            self._modes = ServerModes(query.first_mode, query.page_size)
+        else:
+            self._modes.page_entries = query.page_size
         self.query = query
         self.base = dn.parse(query.base)
-        self._page_size = query.page_size
         self.reset()
 
     def receive(self, response: Response) -> list[SyncEvent]:
-        """Take in one message of the search and return the events that follow."""
+        """Process one message of the search and return the events that follow."""
         if self.state is ReplicationState.IDLE:
             return []
         try:
@@ -226,63 +129,59 @@
                 return self._receive_search_done(response)
         return []
 
-    # Entries.
+    # Entries and sets of ids: collected in a refresh, reported at once while following.
 
     def _receive_entry(self, entry: SearchResultEntry) -> list[SyncEvent]:
         if self.mode is ReplicationMode.PAGED:
-            return self._receive_content(entry, "", None)
+            return self._upsert(self._read_tenant(entry, uuid=""), None)
         sync_state = controls.read_sync_state(entry.controls)
         if sync_state is None:
-            self._fall_back_a_mode()
+            self._modes.fall_back(self._server, self.mode)
             return [self._end_search("entries come without their state", Reaction.FALL_BACK)]
         uuids = (sync_state.uuid,)
         if sync_state.state is controls.EntryState.DELETE:
             return self._mark_removed(uuids, sync_state.cookie)
         if sync_state.state is controls.EntryState.PRESENT:
             return self._mark_present(uuids, sync_state.cookie)
-        return self._receive_content(entry, sync_state.uuid, sync_state.cookie)
+        return self._upsert(self._read_tenant(entry, sync_state.uuid), sync_state.cookie)
+
+    def _read_tenant(self, entry: SearchResultEntry, uuid: str) -> Tenant | BadEntry:
+        return read_tenant(entry.dn, entry.attributes, self.query.attribute_names, self.base, uuid)
 
-    def _receive_content(self, entry: SearchResultEntry, uuid: str, cookie: bytes | None) -> list[SyncEvent]:
-        """Take in an added or changed entry."""
-        tenant = read_tenant(entry.dn, entry.attributes, self.query.attribute_names, self.base, uuid)
+    def _upsert(self, tenant: Tenant | BadEntry, cookie: bytes | None) -> list[SyncEvent]:
+        self._save_cookie(cookie)
         if self.state is ReplicationState.FOLLOWING:
-            self._save_cookie(cookie)
             if isinstance(tenant, BadEntry):
                 return [EntriesChanged({}, bad_entries=(tenant,))]
             return [EntriesChanged({tenant.id: tenant})]
-        self._pending.save_cookie(cookie)
-        if isinstance(tenant, BadEntry):
-            self._pending.add_bad_entry(tenant)
-        else:
-            self._pending.add_tenant(tenant)
+        self._refresh.add_entry(tenant)
         return self._check_limits()
 
     def _mark_present(self, uuids: tuple[str, ...], cookie: bytes | None) -> list[SyncEvent]:
+        self._save_cookie(cookie)
         if self.state is ReplicationState.FOLLOWING:
-            self._save_cookie(cookie)
             return []
-        self._pending.save_cookie(cookie)
-        self._pending.present_ids.update(uuids)
+        self._refresh.mark_present(uuids)
         return self._check_limits()
 
     def _mark_removed(self, uuids: tuple[str, ...], cookie: bytes | None) -> list[SyncEvent]:
+        self._save_cookie(cookie)
         if self.state is ReplicationState.FOLLOWING:
-            self._save_cookie(cookie)
             return [EntriesChanged({}, frozenset(uuids))]
-        self._pending.save_cookie(cookie)
-        self._pending.remove(uuids)
+        self._refresh.mark_removed(uuids)
         return self._check_limits()
 
+    def _save_cookie(self, cookie: bytes | None) -> None:
+        if self.state is not ReplicationState.FOLLOWING:
+            self._refresh.save_cookie(cookie)
+        elif cookie is not None:
+            self.cookie = ServerCookie(self._server, cookie)
+
     def _check_limits(self) -> list[SyncEvent]:
-        pending, query = self._pending, self.query
-        ids = max(len(pending.upserts), len(pending.present_ids), len(pending.removed_ids))
-        if ids > query.max_tenants:
-            return [self._end_search(f"more than {query.max_tenants} tenants", Reaction.NEEDS_OPERATOR)]
-        if pending.networks > query.max_networks:
-            return [self._end_search(f"more than {query.max_networks} networks", Reaction.NEEDS_OPERATOR)]
-        return []
+        reason = self._refresh.excess_reason(self.query)
+        return [self._end_search(reason, Reaction.NEEDS_OPERATOR)] if reason else []
 
-    # Messages between entries.
+    # Sync info messages (RFC 4533, section 2.5).
 
     def _receive_sync_info(self, info: controls.SyncInfo) -> list[SyncEvent]:
         if self.mode is ReplicationMode.PAGED:
@@ -291,15 +190,13 @@
             if info.refresh_deletes:
                 return self._mark_removed(info.uuids, info.cookie)
             return self._mark_present(info.uuids, info.cookie)
-        if self.state is ReplicationState.FOLLOWING:
-            self._save_cookie(info.cookie)
+        self._save_cookie(info.cookie)
+        if self.state is ReplicationState.FOLLOWING or not isinstance(info, controls.RefreshPhase):
             return []
-        self._pending.save_cookie(info.cookie)
-        if isinstance(info, controls.RefreshPhase):
-            if not info.is_delete_phase:
-                self._pending.is_full = True  # a present phase names all entries
-            if info.refresh_done and self.mode is ReplicationMode.PERSIST:
-                return [self._complete_refresh(ReplicationState.FOLLOWING)]
+        if not info.is_delete_phase:
+            self._refresh.is_full = True  # a present phase names all entries (RFC 4533, section 3.3.2)
+        if info.refresh_done and self.mode is ReplicationMode.PERSIST:
+            return [self._complete_refresh(ReplicationState.FOLLOWING)]
         return []
 
     # The end of the search.
@@ -311,7 +208,7 @@
         if self.mode is ReplicationMode.PAGED:
             cookie = controls.read_page_cookie(done.controls)
             if cookie:
-                return [NextPage(self._page_request(cookie))]
+                return [NextPage(self._page_search(cookie))]
             return [self._complete_refresh(ReplicationState.IDLE)]
         if self.state is ReplicationState.FOLLOWING:
             return [self._end_search("the server ended the search", Reaction.RETRY)]
@@ -319,11 +216,11 @@
 
     def _receive_refresh_done(self, sync_done: controls.SyncDone | None) -> list[SyncEvent]:
         if sync_done is None:
-            self._fall_back_a_mode()
+            self._modes.fall_back(self._server, self.mode)
             return [self._end_search("the refresh ends without its control", Reaction.FALL_BACK)]
-        self._pending.save_cookie(sync_done.cookie)
+        self._refresh.save_cookie(sync_done.cookie)
         if not sync_done.refresh_deletes:
-            self._pending.is_full = True
+            self._refresh.is_full = True
         completed = self._complete_refresh(ReplicationState.IDLE)
         if self.mode is ReplicationMode.PERSIST:  # the server refreshes but does not persist
             return [completed, SearchEnded("the server ended the search", Reaction.RETRY)]
@@ -333,57 +230,25 @@
         if reaction is Reaction.FULL_REFRESH:
             self.forget_cookie()
         elif reaction is Reaction.REDUCE_PAGE_SIZE:
-            self._reduce_page_size()
+            self._modes.reduce_page_size(self._server, self.mode)
         elif reaction is Reaction.FALL_BACK:
             if self.mode is ReplicationMode.PAGED:
                 reaction = Reaction.NEEDS_OPERATOR
             else:
-                self._fall_back_a_mode()
+                self._modes.fall_back(self._server, self.mode)
         return self._end_search(f"code {code}", reaction)
 
     def _complete_refresh(self, next_state: ReplicationState) -> RefreshCompleted:
-        pending, self._pending = self._pending, _PendingRefresh()
+        refresh = self._refresh
+        self._refresh = RefreshCollector()
         self.state = next_state
         if self.mode is not ReplicationMode.PAGED:
-            self.cookie, self.cookie_server = pending.cookie, self._server
-        return RefreshCompleted(
-            upserts=pending.upserts,
-            present_ids=frozenset(pending.present_ids),
-            removed_ids=frozenset(pending.removed_ids),
-            is_full=pending.is_full,
-            bad_entries=tuple(pending.bad_entries),
-        )
+            self.cookie = ServerCookie(self._server, refresh.cookie)
+        return refresh.completed()
 
     def _end_search(self, reason: str, reaction: Reaction) -> SearchEnded:
         self.reset()
         return SearchEnded(reason, reaction)
 
-    def _save_cookie(self, cookie: bytes | None) -> None:
-        if cookie is not None:
-            self.cookie, self.cookie_server = cookie, self._server
-
-    # What servers lack.
-
-    def _fall_back_a_mode(self) -> None:
-        """Use the next mode at this server from now on."""
-        self._modes[self._server] = ReplicationMode(min(self.mode + 1, ReplicationMode.PAGED))
-
-    def _reduce_page_size(self) -> None:
-        """Use pages at this server from now on, and smaller ones if it did already."""
-        if self.mode is ReplicationMode.PAGED:
-            self._page_size = max(MIN_PAGE_SIZE, self._page_size // 2)
-        self._modes[self._server] = ReplicationMode.PAGED
-
-    def _page_request(self, cookie: bytes) -> SearchRequest:
-        return self._search_request(controls.paged_results_control(self._page_size, cookie))
-
-    def _search_request(self, control: Control) -> SearchRequest:
-        query = self.query
-        return SearchRequest(
-            query.base,
-            query.scope,
-            query.filter,
-            query.attribute_names.all(),
-            time_limit_s=query.time_limit_s,
-            controls=(control,),
-        )
+    def _page_search(self, cookie: bytes) -> SearchRequest:
+        return self.query.search(controls.paged_results_control(self._modes.page_entries, cookie))
--- a/snowthread/tenants/table.py
+++ b/snowthread/tenants/table.py
@@ -3,7 +3,7 @@
 The result depends on the set of tenants alone, never on the order of the changes, so all nodes agree: the
 longest prefix wins; where several tenants claim the same network or number, the one with the least id owns
 it until it releases it. The client's address alone decides, except in networks that the operator trusts:
-only from those is the balancer's number in a request believed.
+only from those does the balancer's number in a request count.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
         self.trust_networks(trusted_networks)
 
     def trust_networks(self, networks: Iterable[Network]) -> None:
-        """Believe balancers' numbers in requests from these networks, and from no others."""
+        """Let balancers' numbers count in requests from these networks, and from no others."""
         self._trusted = _new_tries()
         for network in networks:
             self._trusted[network.version][str(network)] = True
@@ -98,7 +98,8 @@
         key = (address, NO_NUMBER if number is None else number)
         identity = self._cache.get(key)
         if identity is None:
-            identity = self._cache[key] = self._identify_uncached(address, number)
+            identity = self._identify_uncached(address, number)
+            self._cache[key] = identity
             if len(self._cache) > MAX_CACHED_IDENTITIES:
                 self._cache.popitem(last=False)
         return identity
--- a/tests/support/directory_world.py
+++ b/tests/support/directory_world.py
@@ -92,7 +92,7 @@
         """Run until the condition holds and return how long that took."""
         began = self.clock.now_ms
         while not holds():
-            assert self.clock.now_ms - began < timeout_ms, "it never held"
+            assert self.clock.now_ms - began < timeout_ms, "the condition never became true"
             self.run(step_ms, step_ms)
         return self.clock.now_ms - began
 
--- a/tests/tenants/test_removal_guard.py
+++ b/tests/tenants/test_removal_guard.py
@@ -1,4 +1,4 @@
-"""Which removals are applied, held, confirmed and accepted."""
+"""Which removals are applied, pending, confirmed and accepted."""
 
 from __future__ import annotations
 
@@ -19,16 +19,17 @@
     return guard
 
 
-def test_few_removals_are_applied_and_many_are_held() -> None:
+def test_few_removals_are_applied_and_many_are_pending() -> None:
     guard = guard_of_server_a()
     assert guard.judge_full_refresh(ids(1, 2), TENANTS, "a", 1.0).removed_ids == ids(1, 2)
     verdict = guard.judge_full_refresh(ids(*range(10, 30)), 98, "a", 2.0)
-    assert not verdict.removed_ids and verdict.newly_held and verdict.held is not None
+    assert not verdict.removed_ids and verdict.newly_pending and verdict.pending is not None
     assert guard.confirmation_due_at() == 2.0 + 60_000.0
 
 
-def test_a_slow_removal_of_everything_is_held_too() -> None:
-    guard, removed = guard_of_server_a(), 0
+def test_a_slow_removal_of_everything_is_pending_too() -> None:
+    guard = guard_of_server_a()
+    removed = 0
     for number in range(TENANTS):  # one by one, as a script that empties the tree would
         verdict = guard.judge_deletions(ids(number), TENANTS - removed, "a", number * 1000.0)
         removed += len(verdict.removed_ids)
@@ -41,23 +42,23 @@
     assert not guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 59_000.0).removed_ids
     verdict = guard.judge_full_refresh(ids(*range(10, 60)), TENANTS, "a", 60_000.0)
     assert verdict.removed_ids == ids(*range(10, 50))
-    assert verdict.held is not None
-    assert verdict.held.tenant_ids == ids(*range(50, 60))  # missing for the first time
+    assert verdict.pending is not None
+    assert verdict.pending.tenant_ids == ids(*range(50, 60))  # missing for the first time
 
 
-def test_a_tenant_that_reappears_is_no_longer_held() -> None:
+def test_a_tenant_that_reappears_is_no_longer_pending() -> None:
     guard = guard_of_server_a()
     guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 0.0)
     guard.mark_present(ids(*range(49)))
-    assert guard.held is not None and guard.held.tenant_ids == ids(49)
-    assert not guard.judge_full_refresh((), TENANTS, "a", 1.0).held
+    assert guard.pending is not None and guard.pending.tenant_ids == ids(49)
+    assert not guard.judge_full_refresh((), TENANTS, "a", 1.0).pending
 
 
-def test_another_servers_word_alone_removes_nothing() -> None:
+def test_another_servers_report_alone_removes_nothing() -> None:
     guard = guard_of_server_a()
     verdict = guard.judge_full_refresh(ids(1), TENANTS, "b", 1.0)
-    assert not verdict.removed_ids and verdict.held is not None
-    assert "another server" in verdict.held.reason
+    assert not verdict.removed_ids and verdict.pending is not None
+    assert "another server" in verdict.pending.reason
     assert guard.judge_full_refresh(ids(1), TENANTS, "b", 61_000.0).removed_ids == ids(1)
     assert guard.source_server == "b"
 
@@ -65,19 +66,19 @@
 def test_only_the_operator_confirms_by_digest_if_so_configured() -> None:
     guard = RemovalGuard(OPERATOR_ONLY)
     guard.source_server = "a"
-    held = guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 0.0).held
-    assert held is not None and guard.confirmation_due_at() is None
+    removal = guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 0.0).pending
+    assert removal is not None and guard.confirmation_due_at() is None
     assert not guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 1e9).removed_ids
     known = ids(*range(TENANTS))
     guard.rules = RemovalRules(confirm_by_refresh=False, accepted_digest="000000000000")
     assert not guard.take_accepted(known)
-    guard.rules = RemovalRules(confirm_by_refresh=False, accepted_digest=held.digest)
-    assert guard.take_accepted(known) == ids(*range(50)) and guard.held is None
+    guard.rules = RemovalRules(confirm_by_refresh=False, accepted_digest=removal.digest)
+    assert guard.take_accepted(known) == ids(*range(50)) and guard.pending is None
 
 
 def test_a_refresh_that_misses_what_the_operator_accepted_removes_it() -> None:
     guard = RemovalGuard(OPERATOR_ONLY)
-    held = guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 0.0).held
-    assert held is not None
-    guard.rules = RemovalRules(confirm_by_refresh=False, accepted_digest=held.digest)
+    removal = guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 0.0).pending
+    assert removal is not None
+    guard.rules = RemovalRules(confirm_by_refresh=False, accepted_digest=removal.digest)
     assert guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 1.0).removed_ids == ids(*range(50))
--- a/tests/tenants/test_replication.py
+++ b/tests/tenants/test_replication.py
@@ -14,9 +14,10 @@
 from emulators.directory import Capabilities
 from snowthread.ldap.circuit_breaker import CircuitState
 from snowthread.tenants.replication import DirectoryReplicator
+from snowthread.tenants.replication_mode import ReplicationMode
 from snowthread.tenants.staleness import StalenessStage
 from snowthread.tenants.state import TenantState
-from snowthread.tenants.sync import ReplicationMode, ReplicationState
+from snowthread.tenants.sync import ReplicationState
 
 NewWorld = Callable[..., DirectoryWorld]
 
@@ -128,7 +129,8 @@
     directory.expire_cookies()
     directory.drop_connections()
     # The second refresh has nine entries and its end: ten messages.
-    directory.faults.stall, directory.faults.cut_at = False, cut
+    directory.faults.stall = False
+    directory.faults.cut_at = cut
     world.run(5_000.0)
     assert (
         world.tenant_names == ALL
@@ -146,22 +148,22 @@
     first.put("t1", snowthreadNetwork=["10.1.0.0/16"], snowthreadQuota=99)
     world.start(QUICK + 'removal { confirm_after = "1h" }')
     world.wait_for_refresh()
-    cookie = world.replicator.sync.cookie
+    cookie = world.replicator.sync.cookie.value
     first.faults.refuse = True
     first.disconnect_all()
-    world.wait_until(lambda: world.replicator.sync.cookie_server == f"ldap://{second.address}")
+    world.wait_until(lambda: world.replicator.sync.cookie.server == f"ldap://{second.address}")
     assert "newest" in world.tenant_names and world.replicator.server_selector.fail_overs == 1
-    assert world.replicator.sync.cookie != cookie  # each server's own
+    assert world.replicator.sync.cookie.value != cookie  # each server's own
     quota = {t.name: t.quota_per_s for t in world.tenants.table.tenants.values()}
     assert quota["t1"] == 99.0  # the older entry did not win
-    assert world.log_texts("tenants.removal_held") and world.tenants.guard.held is not None
+    assert world.log_texts("tenants.removal_held") and world.tenants.guard.pending is not None
     first.faults.refuse = False
     second.faults.refuse = True
     second.disconnect_all()
     world.wait_until(
         lambda: (
             world.replicator.connected_server == f"ldap://{first.address}"
-            and world.tenants.guard.held is None
+            and world.tenants.guard.pending is None
         )
     )
     assert "newest" in world.tenant_names
@@ -172,7 +174,7 @@
     world.directories[0].faults.stall_at = 900
     world.wait_until(lambda: world.tenant_names == ALL, timeout_ms=10_000.0)
     assert world.replicator.connected_server == f"ldap://{world.directories[1].address}"
-    assert world.replicator.sync.cookie_server == world.replicator.connected_server
+    assert world.replicator.sync.cookie.server == world.replicator.connected_server
 
 
 def test_an_expired_cookie_leads_to_a_full_refresh(new_world: NewWorld) -> None:
@@ -227,14 +229,16 @@
 
 
 HOSTILE: dict[str, Callable[[int, bytes], bytes | None]] = {
-    "wrong number": lambda n, data: data[:4] + bytes([data[4] + 1]) + data[5:] if data[1] < 0x80 else b"\x30",
-    "garbage": lambda n, data: b"\x9f\x85" * 400,
-    "truncated": lambda n, data: data[:-3],
-    "3 GB": lambda n, data: b"\x30\x84\xc0\x00\x00\x00" + b"x" * 5000,
-    "nested": lambda n, data: b"\x30\x82\x0f\xa0" + b"\x30\x82\x0f\x00" * 1000,
-    "endless": lambda n, data: b"\x30\x83\x07\xff\xff" + b"\x04\x00" * 30_000,
-    "closed": lambda n, data: None,
-    "inner length": lambda n, data: data[:5] + b"\x64\x7f" + data[7:],
+    "wrong number": lambda _n, data: (
+        data[:4] + bytes([data[4] + 1]) + data[5:] if data[1] < 0x80 else b"\x30"
+    ),
+    "garbage": lambda _n, _data: b"\x9f\x85" * 400,
+    "truncated": lambda _n, data: data[:-3],
+    "3 GB": lambda _n, _data: b"\x30\x84\xc0\x00\x00\x00" + b"x" * 5000,
+    "nested": lambda _n, _data: b"\x30\x82\x0f\xa0" + b"\x30\x82\x0f\x00" * 1000,
+    "endless": lambda _n, _data: b"\x30\x83\x07\xff\xff" + b"\x04\x00" * 30_000,
+    "closed": lambda _n, _data: None,
+    "inner length": lambda _n, data: data[:5] + b"\x64\x7f" + data[7:],
     "half now and then": lambda n, data: data if n % 2 else data[:10],
 }
 
@@ -277,7 +281,7 @@
     world = new_world()
     made = replace(settings(world.urls), start_jitter_ms=2000.0)
     for seed in range(30):
-        DirectoryReplicator(world.loop, made, TenantState(made.rules), Random(seed), lambda changes: None)
+        DirectoryReplicator(world.loop, made, TenantState(made.rules), Random(seed), lambda _changes: None)
     world.run(2_500.0, 10.0)
     times = sorted(world.directories[0].accepted_at)
     assert len(times) == 30 and times[-1] - times[0] > 1_200.0
@@ -288,7 +292,7 @@
     world = new_world()
     made = settings(world.urls, QUICK)
     for seed in range(30):
-        DirectoryReplicator(world.loop, made, TenantState(made.rules), Random(seed), lambda changes: None)
+        DirectoryReplicator(world.loop, made, TenantState(made.rules), Random(seed), lambda _changes: None)
     world.run(500.0, 10.0)
     directory = world.directories[0]
     directory.accepted_at.clear()
--- a/tests/tenants/test_tenant_changes_in_reducer.py
+++ b/tests/tenants/test_tenant_changes_in_reducer.py
@@ -22,7 +22,7 @@
 SETTINGS = config.parse(FIELDS).settings
 REMOVED = events.TenantQuotasChanged(removed=frozenset({"a"}))
 SUSPENDED = events.TenantQuotasChanged((Tenant("a", 5.0, suspended=True),))
-RENAMED = events.TenantQuotasChanged(())  # the id stays, so admission control is told nothing
+RENAMED = events.TenantQuotasChanged(())  # the id stays, so admission control is not notified
 SMALLER_QUOTA = events.TenantQuotasChanged((Tenant("a", 0.001),), over_quota_weight=0.05)
 NO_DISPENSE = events.TenantQuotasChanged((Tenant("a", 5.0, allowed_classes=("match",)),))
 
@@ -88,7 +88,9 @@
     done = node.request(1, "k1")
     node.complete(done, b"first")
     assert node.answer_to(1) == "Served"
-    running, queued, _follower = node.request(2, "k2"), node.request(3, "k3"), node.request(4, "k2")
+    running = node.request(2, "k2")
+    queued = node.request(3, "k3")
+    node.request(4, "k2")  # a follower
     other_queued = node.request(5, "k5", tenant="b")
     assert node.started == [done, running] and not node.answer_to(3) and not node.answer_to(4)
     before = len(node.started)
@@ -127,7 +129,8 @@
 def test_a_rejected_queued_attempt_ends_its_waiting_retries_once() -> None:
     node = Node()
     node.request(1)
-    queued, retry = node.request(2, "k2"), node.request(3, "k2")
+    queued = node.request(2, "k2")
+    retry = node.request(3, "k2")
     node.post(SUSPENDED)
     assert node.answer_to(2) == "Rejected" and node.answer_to(3) == "Failed"
     node.request(4, "k2")  # nothing ran under this key: it is barred like new work
@@ -171,6 +174,7 @@
     for n in range(12, 30):  # what of it ran lately counts, not what it sends
         node.complete(blocker)
         blocker = node.request(n, tenant="a")
-    over, within = node.request(40, tenant="a"), node.request(41, tenant="b")
+    over = node.request(40, tenant="a")
+    within = node.request(41, tenant="b")
     node.complete(blocker)
     assert within in node.started and over not in node.started
--- a/tests/tenants/test_tenant_identification.py
+++ b/tests/tenants/test_tenant_identification.py
@@ -13,8 +13,8 @@
 from snowthread.core import events
 from snowthread.net.clock import ManualClock
 from snowthread.net.loop import EventLoop
+from snowthread.tenants.counters import TenantCounters
 from snowthread.tenants.identification import TenantIdentification
-from snowthread.tenants.state import TenantCounters
 
 if TYPE_CHECKING:
     import loguru
@@ -37,7 +37,7 @@
     logger.remove(sink)
 
 
-def test_the_state_line_has_each_counter_also_after_a_failed_lookup_and_a_held_removal(
+def test_the_state_line_has_each_counter_also_after_a_failed_lookup_and_a_pending_removal(
     state_records: list[dict[str, object]],
 ) -> None:
     clock = ManualClock(START)
@@ -46,7 +46,7 @@
     identification = TenantIdentification(
         loop, replace(settings(UNREACHABLE), report_interval_ms=1000.0), 1, posted.append
     )
-    identification.start(lambda connection: "10.0.0.1")
+    identification.start(lambda _connection: "10.0.0.1")
     identification.tenants.apply_lookup("10.0.0.1", [], (), START)
     identification.tenants.counters.removals_held = 2
     for _ in range(20):
--- a/tests/tenants/test_tenant_snapshot.py
+++ b/tests/tenants/test_tenant_snapshot.py
@@ -53,18 +53,24 @@
         tenant_snapshot.decode(data + b"x")
 
 
-def test_other_versions_and_foreign_files_are_rejected(tmp_path: Path) -> None:
-    data = tenant_snapshot.encode(SNAPSHOT)
-    for bad, message in (
-        (data.replace(b"tenants 1 ", b"tenants 2 "), "version"),
+@pytest.mark.parametrize(
+    ("data", "message"),
+    [
+        (tenant_snapshot.encode(SNAPSHOT).replace(b"tenants 1 ", b"tenants 2 "), "version"),
         (b"", "not a snapshot"),
         (b"#!/bin/sh\n", "not a snapshot"),
         (os.urandom(500), "not a snapshot"),
-    ):
-        with pytest.raises(tenant_snapshot.SnapshotError, match=message):
-            tenant_snapshot.decode(bad)
+    ],
+    ids=["another version", "empty", "a script", "noise"],
+)
+def test_other_versions_and_foreign_files_are_rejected(data: bytes, message: str) -> None:
+    with pytest.raises(tenant_snapshot.SnapshotError, match=message):
+        tenant_snapshot.decode(data)
+
+
+def test_the_snapshot_of_another_query_and_a_missing_file_are_rejected(tmp_path: Path) -> None:
     path = tmp_path / "s"
-    tenant_snapshot.write(path, data)
+    tenant_snapshot.write(path, tenant_snapshot.encode(SNAPSHOT))
     with pytest.raises(tenant_snapshot.SnapshotError, match="another directory"):
         tenant_snapshot.read(path, "dc=y?(cn=*)")
     with pytest.raises(tenant_snapshot.SnapshotError, match="No such file"):
--- a/tests/tenants/test_tenant_state.py
+++ b/tests/tenants/test_tenant_state.py
@@ -1,4 +1,4 @@
-"""What a node believes: old knowledge, outdated entries, lookups, refreshes in slices."""
+"""What a node knows: old knowledge, outdated entries, lookups, refreshes in slices."""
 
 from __future__ import annotations
 
@@ -10,9 +10,11 @@
 from snowthread.tenants.changes import MAX_LOG_LINES, TenantChanges
 from snowthread.tenants.model import DEFAULT_TENANT_ID, Tenant, TenantStatus
 from snowthread.tenants.removal_guard import RemovalRules
+from snowthread.tenants.rules import TenantRules
 from snowthread.tenants.staleness import StalenessRules
-from snowthread.tenants.state import MAX_ITEMS_PER_SLICE, TenantRules, TenantState
-from snowthread.tenants.sync import EntriesChanged, RefreshCompleted
+from snowthread.tenants.state import TenantState
+from snowthread.tenants.sync_events import EntriesChanged, RefreshCompleted
+from snowthread.tenants.table_rebuild import MAX_ITEMS_PER_SLICE
 
 SERVER = "a"
 SUSPENDED_ID = "t2"
--- a/tests/tenants/test_tenant_table.py
+++ b/tests/tenants/test_tenant_table.py
@@ -4,6 +4,7 @@
 
 from ipaddress import ip_network
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -23,7 +24,8 @@
     )
 
 
-def test_the_longest_prefix_wins_in_both_families() -> None:
+@pytest.fixture
+def nested_networks() -> TenantTable:
     table = TenantTable()
     table.apply(
         [
@@ -32,7 +34,12 @@
             tenant("c", "10.1.2.3/32"),
         ]
     )
-    for address, owner in (
+    return table
+
+
+@pytest.mark.parametrize(
+    ("address", "owner"),
+    [
         ("10.9.9.9", "a"),
         ("10.1.9.9", "b"),
         ("10.1.2.3", "c"),
@@ -43,8 +50,12 @@
         ("11.0.0.1", "default"),
         ("nonsense", "default"),
         ("", "default"),
-    ):
-        assert table.identify(address).tenant_id == owner, address
+    ],
+)
+def test_the_longest_prefix_wins_in_both_families(
+    nested_networks: TenantTable, address: str, owner: str
+) -> None:
+    assert nested_networks.identify(address).tenant_id == owner
 
 
 def test_a_balancers_number_is_believed_from_trusted_networks_only() -> None:
--- a/tests/tenants/test_tenants_program.py
+++ b/tests/tenants/test_tenants_program.py
@@ -1,4 +1,4 @@
-"""The whole program with a directory: through stalls, suspensions, reloads, cold starts and shutdowns."""
+"""The complete program with a directory: through stalls, suspensions, reloads, cold starts and shutdowns."""
 
 from __future__ import annotations
 
@@ -27,7 +27,8 @@
     """A node's configuration, an operator's file, and a directory that takes commands."""
 
     def __init__(self, folder: Path, stack: ExitStack, more: str = "") -> None:
-        self.folder, self.stack = folder, stack
+        self.folder = folder
+        self.stack = stack
         with loopback(socket.SOCK_STREAM) as sock:
             self.directory_address = address(sock)
         self.node_config = configuration(folder, stop_ms=1000)
@@ -98,7 +99,7 @@
     def wait_until(self, holds: Callable[[], bool]) -> None:
         end = time.monotonic() + PATIENCE_S
         while not holds():
-            assert time.monotonic() < end, "it never held"
+            assert time.monotonic() < end, "the condition never became true"
             time.sleep(0.05)
 
 
@@ -116,7 +117,7 @@
         lines += line
         if text in line:
             return lines
-    raise AssertionError(f"the log ended without {text!r}")
+    pytest.fail(f"the log ended without {text!r}")
 
 
 def test_known_tenants_are_served_through_a_stall_and_a_suspension_takes_effect(setup: TenantsSetup) -> None:
@@ -183,7 +184,7 @@
     process.send_signal(signal.SIGHUP)
     line = read_log_until(process, "the old one stays")
     assert "tenants.hcl" in line and "key" in line
-    old, setup.directory_address = setup.directory_address, ""
+    old = setup.directory_address
     with loopback(socket.SOCK_STREAM) as sock:
         setup.directory_address = address(sock)
     assert old != setup.directory_address
