--- a/snowthread/ldap/ber.py
+++ b/snowthread/ldap/ber.py
@@ -10,10 +10,11 @@
 from dataclasses import dataclass
 
 SEQUENCE = 0x30
+CONSTRUCTED = 0x20  # the bit of a tag: the element consists of others
+LONG_TAG = 0x1F  # the tag continues in further octets
 LONG_FORM = 0x80  # of a length: the low bits count the octets that follow
 MAX_LENGTH_OCTETS = 4
-CONSTRUCTED = 0x20
-LONG_TAG = 0x1F  # the tag goes on in further octets
+MIN_HEAD_BYTES = 2  # a tag and a length
 
 
 class MalformedError(ValueError):
@@ -32,52 +33,57 @@
 def frame_length(data: bytes | bytearray | memoryview, bounds: Bounds) -> int | None:
     """Return the length of the first message with its head, or None if the head is not complete yet.
 
-    Raises MalformedError for bytes that no message starts with, and for a message longer than the bounds.
+    Raises:
+        MalformedError: No message starts with these bytes, or it is longer than the bounds.
     """
     size = len(data)
     if size and data[0] != SEQUENCE:
         raise MalformedError(f"a message starts with 0x30, not 0x{data[0]:02x}")
-    if size < 2:
+    if size < MIN_HEAD_BYTES:
         return None
     first = data[1]
     if first < LONG_FORM:
-        return 2 + first
+        return MIN_HEAD_BYTES + first
     octets = first & ~LONG_FORM
     if octets == 0:
         raise MalformedError("an indefinite length")
     if octets > MAX_LENGTH_OCTETS:
         raise MalformedError(f"a length of {octets} octets")
-    if size < 2 + octets:
+    head_bytes = MIN_HEAD_BYTES + octets
+    if size < head_bytes:
         return None
-    length = int.from_bytes(data[2 : 2 + octets])
+    length = int.from_bytes(data[MIN_HEAD_BYTES:head_bytes])
     if length > bounds.frame_bytes:
         raise MalformedError(f"a message of {length} bytes, at most {bounds.frame_bytes} are read")
-    return 2 + octets + length
+    return head_bytes + length
 
 
 def check(frame: bytes, bounds: Bounds) -> None:
-    """Check the structure of a frame in one pass; MalformedError says what is wrong with it.
+    """Check the structure of a frame in one pass.
 
-    Each length has to be definite and each element within its parent, depth and number within the bounds.
+    Raises:
+        MalformedError: A length is not definite, an element reaches out of its parent, or the depth or the
+            number of elements exceeds the bounds.
     """
-    position, end, size = 0, len(frame), len(frame)
-    ends: list[int] = []
-    elements, max_depth, max_elements = 0, bounds.depth, bounds.elements
-    while True:
+    size = len(frame)
+    position = 0
+    end = size  # of the element that contains the position
+    outer_ends: list[int] = []  # of the elements around it, the innermost last
+    elements = 0
+    max_depth = bounds.depth
+    max_elements = bounds.elements
+    while position < size:
         while position == end:
-            if not ends:
-                return
-            end = ends.pop()
-        if end - position < 2:
+            end = outer_ends.pop()
+        if end - position < MIN_HEAD_BYTES:
             raise MalformedError("an element cut short")
-        tag, length = frame[position], frame[position + 1]
-        position += 2
+        tag = frame[position]
+        length = frame[position + 1]
+        position += MIN_HEAD_BYTES
         if tag & LONG_TAG == LONG_TAG:
             raise MalformedError("a tag of several octets")
         if length >= LONG_FORM:
-            octets = length & ~LONG_FORM
-            if not 1 <= octets <= MAX_LENGTH_OCTETS or end - position < octets:
-                raise MalformedError("a length that can't be read")
+            octets = _length_octets(length, end - position)
             length = int.from_bytes(frame[position : position + octets])
             position += octets
         if length > end - position:
@@ -86,11 +92,21 @@
         if elements > max_elements:
             raise MalformedError(f"more than {max_elements} elements")
         if tag & CONSTRUCTED:
-            ends.append(end)
+            outer_ends.append(end)
             end = position + length
-            if len(ends) > max_depth:
+            if len(outer_ends) > max_depth:
                 raise MalformedError(f"nested deeper than {max_depth}")
         else:
             position += length
-        if position > size:
-            raise MalformedError("an element reaches out of the message")
+
+
+def _length_octets(first: int, available: int) -> int:
+    """Return how many octets of a long form follow its first one.
+
+    Raises:
+        MalformedError: There are none, too many, or fewer than that are left.
+    """
+    octets = first & ~LONG_FORM
+    if not 1 <= octets <= MAX_LENGTH_OCTETS or available < octets:
+        raise MalformedError("a length that can't be read")
+    return octets
--- a/snowthread/ldap/circuit_breaker.py
+++ b/snowthread/ldap/circuit_breaker.py
@@ -45,16 +45,17 @@
         return state is CircuitState.CLOSED or (state is CircuitState.HALF_OPEN and not self.probing)
 
     def start_attempt(self, now: float) -> None:
-        """Note that an attempt starts."""
+        """Record that an attempt starts."""
         self.probing = self.state(now) is CircuitState.HALF_OPEN
 
     def record_success(self) -> None:
         """Close the circuit."""
-        self.failures = self.consecutive_opens = 0
+        self.failures = 0
+        self.consecutive_opens = 0
         self.probing = False
 
     def record_failure(self, now: float, open_at_once: bool = False) -> bool:
-        """Note a failed attempt and return whether the circuit opens by it.
+        """Record a failed attempt and return whether the circuit opens by it.
 
         ``open_at_once`` is for failures that a retry can't mend.
         """
--- a/snowthread/ldap/client.py
+++ b/snowthread/ldap/client.py
@@ -115,7 +115,8 @@
 
     def close(self) -> None:
         """Unbind if the session allows it, and close."""
-        stream, self._stream = self._stream, None
+        stream = self._stream
+        self._stream = None
         if stream is None:
             return
         if self._session.state is SessionState.READY:
@@ -144,7 +145,7 @@
         response = yield from self._receive_response(message_id, "StartTLS")
         if isinstance(response, ConnectionFailure):
             return response
-        code = response.result.code if isinstance(response, ExtendedResponse) else NO_CODE
+        code = response.result.result_code if isinstance(response, ExtendedResponse) else NO_CODE
         if code != ResultCode.SUCCESS:
             return ConnectionFailure(Progress.REPLY_BEGUN, f"StartTLS: code {code}", Reaction.NEEDS_OPERATOR)
         failure = yield from self._secure(stream)
@@ -159,7 +160,7 @@
         response = yield from self._receive_response(message_id, "bind")
         if isinstance(response, ConnectionFailure):
             return response
-        code = response.result.code if isinstance(response, BindResponse) else NO_CODE
+        code = response.result.result_code if isinstance(response, BindResponse) else NO_CODE
         if code != ResultCode.SUCCESS:
             return ConnectionFailure(Progress.REPLY_BEGUN, f"bind: code {code}", reaction_to(code))
         return None
@@ -184,8 +185,9 @@
 
 
 def _failure_of(ended: SessionEnded) -> ConnectionFailure:
-    # A notice means a server on its way out, whatever its code, unless it forbids this client.
-    code = ended.notice.code if ended.notice is not None else None
+    # A notice says that the server shuts down, whatever its code, unless it forbids this client
+    # (RFC 4511, section 4.4.1).
+    code = ended.notice.result_code if ended.notice is not None else None
     needs_operator = code in CLIENT_FORBIDDEN
     reaction = Reaction.NEEDS_OPERATOR if needs_operator else Reaction.FAIL_OVER
     return ConnectionFailure(Progress.REPLY_BEGUN, ended.reason, reaction)
--- a/snowthread/ldap/controls.py
+++ b/snowthread/ldap/controls.py
@@ -1,4 +1,7 @@
-"""Encode and decode the controls of paged results (RFC 2696) and content synchronisation (RFC 4533)."""
+"""Encode and decode the controls of paged results (RFC 2696) and content synchronisation (RFC 4533).
+
+Sections without a document are those of RFC 4533. Errors in what a server sends are ``MalformedError``.
+"""
 
 from __future__ import annotations
 
@@ -12,25 +15,25 @@
 from snowthread.ldap.messages import Control
 from snowthread.ldap.schema import MODULE
 
-PAGED_OID = "1.2.840.113556.1.4.319"
+PAGED_RESULTS_OID = "1.2.840.113556.1.4.319"
 SYNC_REQUEST_OID = "1.3.6.1.4.1.4203.1.9.1.1"
 SYNC_STATE_OID = "1.3.6.1.4.1.4203.1.9.1.2"
 SYNC_DONE_OID = "1.3.6.1.4.1.4203.1.9.1.3"
 SYNC_INFO_OID = "1.3.6.1.4.1.4203.1.9.1.4"
-MAX_COOKIE_BYTES = 4096  # a cookie is the server's, so of any length
-UUID_BYTES = 16
+MAX_COOKIE_BYTES = 4096  # a server may make its cookies of any length (section 2.1.2)
+UUID_BYTES = 16  # section 2.1.1
 _VALUE_BOUNDS = Bounds(frame_bytes=512 * 1024, depth=6, elements=20_000)
 
 
 class SyncMode(IntEnum):
-    """What the client asks for (RFC 4533, section 2.2)."""
+    """What the client asks for (section 2.2)."""
 
     REFRESH_ONLY = 1
     REFRESH_AND_PERSIST = 3
 
 
 class EntryState(IntEnum):
-    """The state of a synchronised entry (RFC 4533, section 2.3)."""
+    """The state of a synchronised entry (section 2.3)."""
 
     PRESENT = 0
     ADD = 1
@@ -40,16 +43,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncState:
-    """The control of each entry of a synchronisation; ``uuid`` is in hex."""
+    """The control of each entry of a synchronisation (section 2.3); ``entry_uuid`` is in hex."""
 
     state: EntryState
-    uuid: str
+    entry_uuid: str
     cookie: bytes | None
 
 
 @dataclass(frozen=True, slots=True)
 class SyncDone:
-    """The control at the end of a refresh."""
+    """The control at the end of a refresh (section 2.4)."""
 
     cookie: bytes | None
     refresh_deletes: bool  # deleted entries were named; else all entries that were not named are deleted
@@ -57,26 +60,26 @@
 
 @dataclass(frozen=True, slots=True)
 class NewCookie:
-    """A new cookie and nothing else."""
+    """A sync info message (section 2.5) with a new cookie and nothing else."""
 
     cookie: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class RefreshPhase:
-    """The end of a phase of a refresh."""
+    """A sync info message: the end of a phase of a refresh."""
 
     is_delete_phase: bool  # else it is the present phase
     cookie: bytes | None
-    refresh_done: bool  # the whole refresh ends with this phase
+    refresh_done: bool  # the refresh ends with this phase
 
 
 @dataclass(frozen=True, slots=True)
 class SyncIdSet:
-    """A set of entries by their UUIDs: present and unchanged, or with ``refresh_deletes`` deleted."""
+    """A sync info message: entries by UUID, present and unchanged, or deleted with ``refresh_deletes``."""
 
     refresh_deletes: bool
-    uuids: tuple[str, ...]
+    sync_uuids: tuple[str, ...]
     cookie: bytes | None
 
 
@@ -85,8 +88,8 @@
 
 def paged_results_control(size: int, cookie: bytes = b"") -> Control:
     """Return the control that asks for a page, from a cookie on."""
-    value = MODULE.types["PagedValue"].encode({"size": size, "cookie": cookie})
-    return Control(PAGED_OID, True, bytes(value))
+    value = MODULE.types["RealSearchControlValue"].encode({"size": size, "cookie": cookie})
+    return Control(PAGED_RESULTS_OID, True, bytes(value))
 
 
 def sync_request_control(mode: SyncMode, cookie: bytes | None = None) -> Control:
@@ -94,18 +97,20 @@
     fields: dict[str, Any] = {"mode": "refreshOnly" if mode is SyncMode.REFRESH_ONLY else "refreshAndPersist"}
     if cookie is not None:
         fields["cookie"] = cookie
-    return Control(SYNC_REQUEST_OID, True, bytes(MODULE.types["SyncRequest"].encode(fields)))
+    return Control(SYNC_REQUEST_OID, True, bytes(MODULE.types["SyncRequestValue"].encode(fields)))
 
 
-def find_control(controls: tuple[Control, ...], oid: str) -> Control | None:
+def find_control(controls: tuple[Control, ...], control_type: str) -> Control | None:
     """Return the control of that kind, or None."""
-    return next((control for control in controls if control.oid == oid), None)
+    return next((control for control in controls if control.control_type == control_type), None)
 
 
 def read_page_cookie(controls: tuple[Control, ...]) -> bytes | None:
     """Return the cookie of the next page, empty after the last; None without such a control."""
-    control = find_control(controls, PAGED_OID)
-    return None if control is None else _cookie(_decode("PagedValue", control.value)["cookie"])
+    control = find_control(controls, PAGED_RESULTS_OID)
+    if control is None:
+        return None
+    return _cookie(_decode("RealSearchControlValue", control.control_value)["cookie"])
 
 
 def read_sync_state(controls: tuple[Control, ...]) -> SyncState | None:
@@ -113,9 +118,9 @@
     control = find_control(controls, SYNC_STATE_OID)
     if control is None:
         return None
-    fields = _decode("SyncState", control.value)
+    fields = _decode("SyncStateValue", control.control_value)
     state = EntryState[fields["state"].upper()]
-    return SyncState(state, _uuid(fields["uuid"]), _cookie(fields.get("cookie")))
+    return SyncState(state, _uuid(fields["entryUUID"]), _cookie(fields.get("cookie")))
 
 
 def read_sync_done(controls: tuple[Control, ...]) -> SyncDone | None:
@@ -123,19 +128,19 @@
     control = find_control(controls, SYNC_DONE_OID)
     if control is None:
         return None
-    fields = _decode("SyncDone", control.value)
+    fields = _decode("SyncDoneValue", control.control_value)
     return SyncDone(_cookie(fields.get("cookie")), fields.get("refreshDeletes", False))
 
 
 def read_sync_info(value: bytes) -> SyncInfo:
-    """Return the content of an intermediate message of a synchronisation."""
-    kind, fields = _decode("SyncInfo", value)
+    """Return the content of a sync info message, the value of an intermediate response."""
+    kind, fields = _decode("SyncInfoValue", value)
     if kind == "newcookie":
         return NewCookie(_cookie(fields) or b"")
     cookie = _cookie(fields.get("cookie"))
     if kind == "syncIdSet":
-        uuids = tuple(_uuid(uuid) for uuid in fields["uuids"])
-        return SyncIdSet(fields.get("refreshDeletes", False), uuids, cookie)
+        sync_uuids = tuple(_uuid(uuid) for uuid in fields["syncUUIDs"])
+        return SyncIdSet(fields.get("refreshDeletes", False), sync_uuids, cookie)
     return RefreshPhase(kind == "refreshDelete", cookie, fields.get("refreshDone", True))
 
 
--- a/snowthread/ldap/dn.py
+++ b/snowthread/ldap/dn.py
@@ -1,7 +1,7 @@
 """Distinguished names as text (RFC 4514), parsed by lark and compared as directories do.
 
 Two names are equal if their parts are, with types and values compared without regard to case and with runs
-of spaces as one (caseIgnoreMatch, RFC 4517, section 4.2.11). That is enough to tell whether an entry lies
+of spaces as one (caseIgnoreMatch, RFC 4517, section 4.2.11). That is enough to decide whether an entry lies
 below a base.
 """
 
@@ -64,7 +64,8 @@
     True is certain; after False the name has to be parsed. For thousands of entries the parser would
     otherwise take most of the time.
     """
-    suffix, lower = base.key, text.lower()
+    suffix = base.key
+    lower = text.lower()
     if not suffix or not lower.endswith(suffix):
         return False
     prefix = lower[: -len(suffix)]
@@ -78,7 +79,11 @@
 
 @lru_cache(maxsize=4096)
 def parse(text: str) -> DistinguishedName:
-    """Return the name that a text stands for; DnError if it is none."""
+    """Return the name that a text stands for.
+
+    Raises:
+        DnError: The text is no distinguished name.
+    """
     if len(text) > MAX_TEXT_LENGTH:
         raise DnError(f"longer than {MAX_TEXT_LENGTH} characters")
     try:
--- a/snowthread/ldap/filters.py
+++ b/snowthread/ldap/filters.py
@@ -38,7 +38,11 @@
 
 
 def parse(text: str) -> FilterTree:
-    """Return the tree of a filter; FilterError says where the text is wrong."""
+    """Return the tree of a filter.
+
+    Raises:
+        FilterError: The text is no filter; the error says where.
+    """
     if len(text) > MAX_TEXT_LENGTH:
         raise FilterError(f"longer than {MAX_TEXT_LENGTH} characters")
     if _nesting_depth(text) > MAX_DEPTH:
@@ -55,7 +59,8 @@
 
 
 def _nesting_depth(text: str) -> int:
-    depth = deepest = 0
+    depth = 0
+    deepest = 0
     for character in text:
         depth += (character == "(") - (character == ")")
         deepest = max(deepest, depth)
@@ -72,7 +77,7 @@
 
 def equality_filter(attribute: str, value: str) -> FilterTree:
     """Return the filter for entries with this value."""
-    return "equalityMatch", {"attribute": attribute.encode(), "value": value.encode()}
+    return "equalityMatch", {"attributeDesc": attribute.encode(), "assertionValue": value.encode()}
 
 
 @cache
@@ -101,21 +106,22 @@
         return "not", parts[0]
 
     def test(self, parts: list[Any]) -> FilterTree:
-        head, rest = str(parts[0]), parts[1:]
+        head = str(parts[0])
+        rest = parts[1:]
         sign = head[-2:] if head[-2:] in _KIND else "="
         attribute = head[: -len(sign)].encode()
         if not any(token.type == "STAR" for token in rest):
             value = _unescape("".join(rest))
-            return _KIND[sign], {"attribute": attribute, "value": value}
+            return _KIND[sign], {"attributeDesc": attribute, "assertionValue": value}
         if sign != "=":
             raise FilterError(f"a star behind {sign}")
         if len(rest) == 1:
             return "present", attribute
-        return "substrings", {"type": attribute, "parts": _substring_parts(rest)}
+        return "substrings", {"type": attribute, "substrings": _substrings(rest)}
 
     def extensible(self, parts: list[Any]) -> FilterTree:
         words = str(parts[0])[:-2].split(":")
-        matching: dict[str, Any] = {"value": _unescape(str(parts[1])) if len(parts) > 1 else b""}
+        matching: dict[str, Any] = {"matchValue": _unescape(str(parts[1])) if len(parts) > 1 else b""}
         if words[0]:
             matching["type"] = words[0].encode()
         rest = words[1:]
@@ -123,20 +129,24 @@
             matching["dnAttributes"] = True
             rest = rest[1:]
         if rest:
-            matching["rule"] = rest[0].encode()
-        if "type" not in matching and "rule" not in matching:
+            matching["matchingRule"] = rest[0].encode()
+        if "type" not in matching and "matchingRule" not in matching:
             raise FilterError("neither an attribute nor a rule")
         return "extensibleMatch", matching
 
 
-def _substring_parts(tokens: list[Any]) -> list[tuple[str, bytes]]:
-    """Return the parts of a value with stars: the initial one, those between stars, the final one."""
+def _substrings(tokens: list[Any]) -> list[tuple[str, bytes]]:
+    """Return the substrings of a value with stars: initial, those between stars (any), and final.
+
+    Raises:
+        FilterError: Two stars have nothing between them.
+    """
     stars = [index for index, token in enumerate(tokens) if token.type == "STAR"]
     if any(second - first == 1 for first, second in pairwise(stars)):
         raise FilterError("two stars with nothing between them")
-    parts = []
+    substrings = []
     for index, token in enumerate(tokens):
         if token.type == "VALUE":
             kind = "initial" if index < stars[0] else "final" if index > stars[-1] else "any"
-            parts.append((kind, _unescape(token)))
-    return parts
+            substrings.append((kind, _unescape(token)))
+    return substrings
--- a/snowthread/ldap/health.py
+++ b/snowthread/ldap/health.py
@@ -2,7 +2,7 @@
 
 The servers have an order. The first whose circuit breaker allows it is used, and stays in use until it fails.
 Retries come after a backoff with full jitter, and only as far as a budget that is a share of the successes
-lasts: a fleet of nodes then adds a bounded load to a directory in trouble, however long that lasts.
+lasts: a fleet of nodes then adds a bounded load to a failing directory, however long it fails.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     RETRY = "retry"  # the same server may do it after a backoff
     FAIL_OVER = "fail_over"  # this server can't do it now: count a failure and use the next
     REDUCE_PAGE_SIZE = "reduce_page_size"  # ask for less at a time
-    FULL_REFRESH = "full_refresh"  # the cookie is of no use (RFC 4533, section 3.3)
+    FULL_REFRESH = "full_refresh"  # the cookie is of no use (RFC 4533, section 3.8)
     FALL_BACK = "fall_back"  # this server lacks what was asked for: use the next replication mode
     NEEDS_OPERATOR = "needs_operator"  # retries can't mend it: open the circuit, use another server
 
@@ -84,7 +84,8 @@
             self.breakers[index].start_attempt(now)
             if self.current is not None and index != self.current:
                 self.fail_overs += 1
-            self.current = self._next_index = index
+            self.current = index
+            self._next_index = index
             return index
         return None
 
@@ -101,14 +102,14 @@
         return wait_ms
 
     def record_success(self, index: int) -> None:
-        """Note that a server does its work."""
+        """Record that a server does its work."""
         self._consecutive_failures = 0
         self._next_index = index
         self.breakers[index].record_success()
         self.budget.record_success()
 
     def record_failure(self, index: int, now: float, reaction: Reaction = Reaction.FAIL_OVER) -> bool:
-        """Note a failed attempt and return whether the server's circuit opens by it."""
+        """Record a failed attempt and return whether the server's circuit opens by it."""
         self._consecutive_failures += 1
         self._next_index = index if reaction is Reaction.RETRY else (index + 1) % len(self.names)
         return self.breakers[index].record_failure(now, open_at_once=reaction is Reaction.NEEDS_OPERATOR)
--- a/snowthread/ldap/result_codes.py
+++ b/snowthread/ldap/result_codes.py
@@ -28,4 +28,4 @@
     UNAVAILABLE = 52
     UNWILLING_TO_PERFORM = 53
     OTHER = 80
-    SYNC_REFRESH_REQUIRED = 4096  # RFC 4533, section 2.8.1
+    SYNC_REFRESH_REQUIRED = 4096  # RFC 4533, section 2.6
--- a/snowthread/ldap/session.py
+++ b/snowthread/ldap/session.py
@@ -21,6 +21,7 @@
 from typing import NamedTuple
 
 from snowthread.ldap.ber import Bounds, MalformedError, frame_length
+from snowthread.ldap.message_codec import decode, encode
 from snowthread.ldap.messages import (
     NOTICE_OF_DISCONNECTION_OID,
     START_TLS_OID,
@@ -39,16 +40,14 @@
     SearchResultReference,
     SimpleBindRequest,
     UnbindRequest,
-    decode,
-    encode,
 )
 from snowthread.ldap.result_codes import ResultCode
 
 MAX_OPEN_OPERATIONS = 64
 MAX_ABANDONED_OPERATIONS = 256  # whose responses may still arrive
-MAX_MESSAGE_ID = 2**31 - 1
+MAX_MESSAGE_ID = 2**31 - 1  # RFC 4511, section 4.1.1
 MAX_HEAD_BYTES = 6  # of a frame: the tag and the longest length that is read
-UNSOLICITED = 0  # the message id of notifications
+UNSOLICITED = 0  # the message id of notifications (RFC 4511, section 4.4)
 
 
 class SessionState(Enum):
@@ -108,14 +107,15 @@
     def send(self, request: Request) -> EncodedRequest:
         """Return a request's message id and bytes; SessionStateError if it may not be sent now."""
         self._check_may_send(request)
-        message_id = self._last_message_id = self._last_message_id % MAX_MESSAGE_ID + 1
+        message_id = self._last_message_id % MAX_MESSAGE_ID + 1
+        self._last_message_id = message_id
         data = encode(message_id, request)
         if type(request) in _EXPECTED_RESPONSES:
             self._open[message_id] = type(request)
         match request:
             case SimpleBindRequest() | ExternalBindRequest():
                 self.state = SessionState.BINDING
-            case ExtendedRequest(oid=oid) if oid == START_TLS_OID:
+            case ExtendedRequest(request_name=name) if name == START_TLS_OID:
                 self.state = SessionState.START_TLS_SENT
             case AbandonRequest(message_id=abandoned_id) if abandoned_id in self._open:
                 self._abandon(abandoned_id)
@@ -133,13 +133,11 @@
         view = bytes(self._buffer)
         try:
             while position < len(view):
-                if self.state is SessionState.HANDSHAKE:
-                    raise MalformedError("clear text behind the response to StartTLS")
-                length = frame_length(view[position : position + MAX_HEAD_BYTES], self.bounds)
-                if length is None or position + length > len(view):
+                frame = self._next_frame(view, position)
+                if frame is None:
                     break
-                message = decode(view[position : position + length], self.bounds)
-                position += length
+                message = decode(frame, self.bounds)
+                position += len(frame)
                 ended = self._account_response(message)
                 if ended is not None:
                     return [*received, self._close(ended)]
@@ -151,17 +149,34 @@
         return received
 
     def mark_secured(self) -> None:
-        """Note that the TLS handshake is done: the protocol starts over on the secured stream."""
+        """Record that the TLS handshake is done: the protocol starts over on the secured stream.
+
+        Raises:
+            SessionStateError: No response to StartTLS has asked for a handshake.
+        """
         if self.state is not SessionState.HANDSHAKE:
             raise SessionStateError("nothing was to be secured")
         self.state = SessionState.READY
 
+    def _next_frame(self, data: bytes, position: int) -> bytes | None:
+        """Return the complete message at a position, or None if some of it is still to come.
+
+        Raises:
+            MalformedError: There must be no clear text between the response to StartTLS and the handshake.
+        """
+        if self.state is SessionState.HANDSHAKE:
+            raise MalformedError("clear text behind the response to StartTLS")
+        length = frame_length(data[position : position + MAX_HEAD_BYTES], self.bounds)
+        if length is None or position + length > len(data):
+            return None
+        return data[position : position + length]
+
     def _check_may_send(self, request: Request) -> None:
         if self.state is not SessionState.READY:
             raise SessionStateError(f"{type(request).__name__} while {self.state.name}")
         if self._open and isinstance(request, SimpleBindRequest | ExternalBindRequest):
             raise SessionStateError("a bind while operations are open")
-        if self._open and isinstance(request, ExtendedRequest) and request.oid == START_TLS_OID:
+        if self._open and isinstance(request, ExtendedRequest) and request.request_name == START_TLS_OID:
             raise SessionStateError("StartTLS while operations are open")
         if type(request) in _EXPECTED_RESPONSES and len(self._open) >= MAX_OPEN_OPERATIONS:
             raise SessionStateError(f"more than {MAX_OPEN_OPERATIONS} operations open")
@@ -181,8 +196,9 @@
         return True
 
     def _account_response(self, message: Message) -> SessionEnded | None:
-        """Match a response with its request, and change the state if it is the last one."""
-        message_id, response = message.message_id, message.response
+        """Match a response with its request, and change the state if it is the final one."""
+        message_id = message.message_id
+        response = message.response
         if message_id == UNSOLICITED:
             return _end_by_notification(message)
         if message_id in self._abandoned:
@@ -197,7 +213,7 @@
             if self.state is SessionState.BINDING:
                 self.state = SessionState.READY
             elif self.state is SessionState.START_TLS_SENT:
-                accepted = response.result.code == ResultCode.SUCCESS
+                accepted = response.result.result_code == ResultCode.SUCCESS
                 self.state = SessionState.HANDSHAKE if accepted else SessionState.READY
         return None
 
@@ -210,6 +226,6 @@
 
 def _end_by_notification(message: Message) -> SessionEnded:
     response = message.response
-    if isinstance(response, ExtendedResponse) and response.oid == NOTICE_OF_DISCONNECTION_OID:
-        return SessionEnded(f"notice of disconnection, code {response.result.code}", response.result)
+    if isinstance(response, ExtendedResponse) and response.response_name == NOTICE_OF_DISCONNECTION_OID:
+        return SessionEnded(f"notice of disconnection, code {response.result.result_code}", response.result)
     return SessionEnded("an unsolicited message of no known kind")
--- a/snowthread/ldap/url.py
+++ b/snowthread/ldap/url.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 from urllib.parse import unquote, urlsplit
 
 from snowthread.address import Address
@@ -10,6 +11,7 @@
 from snowthread.ldap.messages import Scope
 
 PORTS = {"ldap": 389, "ldaps": 636}
+MAX_QUERY_PARTS = 4  # attributes, scope, filter, extensions (RFC 4516, section 2)
 _SCOPES = {"": None, "base": Scope.BASE, "one": Scope.ONE, "sub": Scope.SUB}
 
 
@@ -31,7 +33,11 @@
 
     @property
     def address(self) -> Address:
-        """Where to connect; the host must be a number, since names are not looked up."""
+        """Where to connect.
+
+        Raises:
+            UrlError: The host is no number; names are not looked up.
+        """
         try:
             return Address.parse(
                 f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
@@ -47,7 +53,11 @@
 
 
 def parse(text: str) -> LdapUrl:
-    """Return a URL's parts, each checked; UrlError says which is wrong."""
+    """Return a URL's parts, each checked.
+
+    Raises:
+        UrlError: The text is no LDAP URL that can be used here; the error says which part is wrong.
+    """
     try:
         split = urlsplit(text)
         port = split.port
@@ -58,18 +68,11 @@
     if split.fragment or split.username is not None:
         raise UrlError(f"{text!r}: neither a user nor a fragment may stand in it")
     base = unquote(split.path[1:], errors="strict") if split.path else ""
-    parts = [unquote(part) for part in split.query.split("?")] if split.query else []
-    if len(parts) > 4:
-        raise UrlError(f"{text!r}: more than four question marks")
-    names, scope, search, extensions = (*parts, "", "", "", "")[:4]
-    if scope.lower() not in _SCOPES:
-        raise UrlError(f"{text!r}: no scope is called {scope!r}")
-    if any(extension.startswith("!") for extension in extensions.split(",")):
-        raise UrlError(f"{text!r}: an extension that is critical and not known")
+    query = _parse_query(text, split.query)
     try:
         dn.parse(base)
-        if search:
-            filters.parse(search)
+        if query.filter:
+            filters.parse(query.filter)
     except ValueError as error:
         raise UrlError(f"{text!r}: {error}") from None
     return LdapUrl(
@@ -77,7 +80,27 @@
         split.hostname or "",
         PORTS[split.scheme] if port is None else port,
         base,
-        tuple(name for name in names.split(",") if name),
-        _SCOPES[scope.lower()],
-        search or None,
+        tuple(name for name in query.attributes.split(",") if name),
+        query.scope,
+        query.filter or None,
     )
+
+
+class _Query(NamedTuple):
+    """What stands behind the first question mark (RFC 4516, section 2)."""
+
+    attributes: str
+    scope: Scope | None
+    filter: str
+
+
+def _parse_query(text: str, query: str) -> _Query:
+    parts = [unquote(part) for part in query.split("?")] if query else []
+    if len(parts) > MAX_QUERY_PARTS:
+        raise UrlError(f"{text!r}: more than four question marks")
+    attributes, scope, search, extensions = (*parts, "", "", "", "")[:MAX_QUERY_PARTS]
+    if scope.lower() not in _SCOPES:
+        raise UrlError(f"{text!r}: no scope is called {scope!r}")
+    if any(extension.startswith("!") for extension in extensions.split(",")):
+        raise UrlError(f"{text!r}: an extension that is critical and not known")
+    return _Query(attributes, _SCOPES[scope.lower()], search)
--- a/snowthread/tenants/directory_session.py
+++ b/snowthread/tenants/directory_session.py
@@ -168,7 +168,7 @@
         if not isinstance(response, SearchResultDone):
             return None
         self._probe.clear()
-        code = response.result.code
+        code = response.result.result_code
         reaction = reaction_to(code)
         if reaction is not Reaction.DONE:
             return ConnectionFailure(Progress.REPLY_BEGUN, f"a probe ends with code {code}", reaction)
--- a/snowthread/tenants/lookups.py
+++ b/snowthread/tenants/lookups.py
@@ -87,7 +87,7 @@
 
     def _receive_entry(self, lookup: _Lookup, entry: SearchResultEntry) -> None:
         query = self._context.settings.query
-        tenant = read_tenant(entry.dn, entry.attributes, query.attribute_names, self._base)
+        tenant = read_tenant(entry.object_name, entry.attributes, query.attribute_names, self._base)
         if isinstance(tenant, BadEntry):
             lookup.bad_entries.append(tenant)
         elif len(lookup.tenants) < query.page_size:
--- a/snowthread/tenants/sync.py
+++ b/snowthread/tenants/sync.py
@@ -123,8 +123,8 @@
                 return self._receive_entry(response)
             case SearchResultReference():
                 self.references_ignored += 1
-            case IntermediateResponse(oid=controls.SYNC_INFO_OID):
-                return self._receive_sync_info(controls.read_sync_info(response.value))
+            case IntermediateResponse(response_name=controls.SYNC_INFO_OID):
+                return self._receive_sync_info(controls.read_sync_info(response.response_value))
             case SearchResultDone():
                 return self._receive_search_done(response)
         return []
@@ -138,15 +138,15 @@
         if sync_state is None:
             self._modes.fall_back(self._server, self.mode)
             return [self._end_search("entries come without their state", Reaction.FALL_BACK)]
-        uuids = (sync_state.uuid,)
+        uuids = (sync_state.entry_uuid,)
         if sync_state.state is controls.EntryState.DELETE:
             return self._mark_removed(uuids, sync_state.cookie)
         if sync_state.state is controls.EntryState.PRESENT:
             return self._mark_present(uuids, sync_state.cookie)
-        return self._upsert(self._read_tenant(entry, sync_state.uuid), sync_state.cookie)
+        return self._upsert(self._read_tenant(entry, sync_state.entry_uuid), sync_state.cookie)
 
     def _read_tenant(self, entry: SearchResultEntry, uuid: str) -> Tenant | BadEntry:
-        return read_tenant(entry.dn, entry.attributes, self.query.attribute_names, self.base, uuid)
+        return read_tenant(entry.object_name, entry.attributes, self.query.attribute_names, self.base, uuid)
 
     def _upsert(self, tenant: Tenant | BadEntry, cookie: bytes | None) -> list[SyncEvent]:
         self._save_cookie(cookie)
@@ -188,8 +188,8 @@
             return []
         if isinstance(info, controls.SyncIdSet):
             if info.refresh_deletes:
-                return self._mark_removed(info.uuids, info.cookie)
-            return self._mark_present(info.uuids, info.cookie)
+                return self._mark_removed(info.sync_uuids, info.cookie)
+            return self._mark_present(info.sync_uuids, info.cookie)
         self._save_cookie(info.cookie)
         if self.state is ReplicationState.FOLLOWING or not isinstance(info, controls.RefreshPhase):
             return []
@@ -202,9 +202,9 @@
     # The end of the search.
 
     def _receive_search_done(self, done: SearchResultDone) -> list[SyncEvent]:
-        reaction = reaction_to(done.result.code)
+        reaction = reaction_to(done.result.result_code)
         if reaction is not Reaction.DONE:
-            return [self._end_failed_search(done.result.code, reaction)]
+            return [self._end_failed_search(done.result.result_code, reaction)]
         if self.mode is ReplicationMode.PAGED:
             cookie = controls.read_page_cookie(done.controls)
             if cookie:
--- a/tests/ldap/test_ldap_codec.py
+++ b/tests/ldap/test_ldap_codec.py
@@ -10,6 +10,7 @@
 from emulators.directory.protocol import Operation
 from snowthread.ldap import controls, filters
 from snowthread.ldap.ber import Bounds, MalformedError, check, frame_length
+from snowthread.ldap.message_codec import encode
 from snowthread.ldap.messages import (
     START_TLS_OID,
     AbandonRequest,
@@ -25,7 +26,6 @@
     Secret,
     SimpleBindRequest,
     UnbindRequest,
-    encode,
 )
 from snowthread.ldap.session import Session, SessionEnded, SessionState, SessionStateError
 
@@ -68,16 +68,17 @@
     entries: list[tuple[str, list[str]]], data: st.DataObject
 ) -> None:
     wire = b"".join(entry(1, name, values) for name, values in entries) + done(1)
-    whole = searching_session().receive(wire)
-    responses = [response_of(received) for received in whole]
+    unsplit = searching_session().receive(wire)
+    responses = [response_of(received) for received in unsplit]
     found = [response for response in responses if isinstance(response, SearchResultEntry)]
-    assert [response.dn for response in found] == [name for name, _ in entries]
+    assert [response.object_name for response in found] == [name for name, _ in entries]
     assert len(responses) == len(found) + 1 and isinstance(responses[-1], SearchResultDone)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(wire)), max_size=6)))
-    session, pieces = searching_session(), []
+    session = searching_session()
+    pieces: list[Message | SessionEnded] = []
     for start, end in zip([0, *cuts], [*cuts, len(wire)], strict=True):
         pieces += session.receive(wire[start:end])
-    assert pieces == whole and session.buffered_bytes == 0
+    assert pieces == unsplit and session.buffered_bytes == 0
 
 
 @given(st.binary(max_size=300))
@@ -163,10 +164,10 @@
     candidate.attributes["b"] = ["2"]
     assert not matches(test, candidate)
     oids = [control.value[0].value.decode() for control in control_nodes.value]
-    assert oids == [controls.PAGED_OID, controls.SYNC_REQUEST_OID]
+    assert oids == [controls.PAGED_RESULTS_OID, controls.SYNC_REQUEST_OID]
 
 
-def test_unknown_result_codes_are_kept() -> None:
+def test_unknown_result_codes_are_preserved() -> None:
     (received,) = searching_session().receive(done(1, 4096))
     response = response_of(received)
     assert isinstance(response, SearchResultDone)
--- a/tests/ldap/test_ldap_texts.py
+++ b/tests/ldap/test_ldap_texts.py
@@ -9,24 +9,32 @@
 from snowthread.ldap import dn, filters, url
 from snowthread.ldap.messages import FilterTree, Scope
 
+PLAIN_BASE = dn.parse("ou=tenants,dc=example")
+
 
 @pytest.mark.parametrize(
     ("text", "tree"),
     [
-        ("(cn=Babs J ensen)", ("equalityMatch", {"attribute": b"cn", "value": b"Babs J ensen"})),
+        ("(cn=Babs J ensen)", ("equalityMatch", {"attributeDesc": b"cn", "assertionValue": b"Babs J ensen"})),
         (
             "(o=Parens R Us \\28for all\\29)",
-            ("equalityMatch", {"attribute": b"o", "value": b"Parens R Us (for all)"}),
+            ("equalityMatch", {"attributeDesc": b"o", "assertionValue": b"Parens R Us (for all)"}),
+        ),
+        ("(cn=*\\2A*)", ("substrings", {"type": b"cn", "substrings": [("any", b"*")]})),
+        ("(sn;lang-en~=x)", ("approxMatch", {"attributeDesc": b"sn;lang-en", "assertionValue": b"x"})),
+        ("(seeAlso=)", ("equalityMatch", {"attributeDesc": b"seeAlso", "assertionValue": b""})),
+        (
+            "(1.2.3=\\04\\02\\48\\69)",
+            ("equalityMatch", {"attributeDesc": b"1.2.3", "assertionValue": b"\x04\x02Hi"}),
         ),
-        ("(cn=*\\2A*)", ("substrings", {"type": b"cn", "parts": [("any", b"*")]})),
-        ("(sn;lang-en~=x)", ("approxMatch", {"attribute": b"sn;lang-en", "value": b"x"})),
-        ("(seeAlso=)", ("equalityMatch", {"attribute": b"seeAlso", "value": b""})),
-        ("(1.2.3=\\04\\02\\48\\69)", ("equalityMatch", {"attribute": b"1.2.3", "value": b"\x04\x02Hi"})),
         ("(|)", ("or", [])),
         ("(cn=*)", ("present", b"cn")),
         (
             "(cn:dn:2.4.6:=Dino)",
-            ("extensibleMatch", {"type": b"cn", "rule": b"2.4.6", "dnAttributes": True, "value": b"Dino"}),
+            (
+                "extensibleMatch",
+                {"type": b"cn", "matchingRule": b"2.4.6", "dnAttributes": True, "matchValue": b"Dino"},
+            ),
         ),
     ],
 )
@@ -59,7 +67,7 @@
 @given(st.binary(max_size=20))
 def test_an_escaped_value_is_read_back(value: bytes) -> None:
     text = f"(cn={filters.escape(value)})"
-    assert filters.parse(text) == ("equalityMatch", {"attribute": b"cn", "value": value})
+    assert filters.parse(text) == ("equalityMatch", {"attributeDesc": b"cn", "assertionValue": value})
 
 
 def test_names_compare_without_case_and_extra_spaces() -> None:
@@ -69,26 +77,41 @@
     assert not dn.parse("ou=tenants,dc=example,dc=com").is_below(base)
     assert dn.parse("cn=a,dc=x").is_below(dn.parse("")) and not dn.parse("").is_below(base)
     assert dn.parse("cn=a  b").key == dn.parse("cn=a b").key != dn.parse("cn=ab").key
-    plain = dn.parse("ou=tenants,dc=example")
-    assert dn.is_plainly_below("cn=X,OU=Tenants,dc=example", plain)
-    for text in (
+
+
+def test_a_name_that_ends_in_the_base_as_usually_written_is_plainly_below_it() -> None:
+    assert dn.is_plainly_below("cn=X,OU=Tenants,dc=example", PLAIN_BASE)
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
         "cn=x\\,ou=tenants,dc=example",
         "cn=x,ou=tenants, dc=example",
         "ou=tenants,dc=example",
         "cn=xou=tenants,dc=example",
-    ):
-        assert not dn.is_plainly_below(text, plain)
-    for bad in ("cn", "=a", "cn=a,,cn=b", "cn=a\\", "cn=a;b", "cn=" + "x" * 5000):
-        with pytest.raises(dn.DnError):
-            dn.parse(bad)
+    ],
+)
+def test_any_other_name_has_to_be_parsed(text: str) -> None:
+    assert not dn.is_plainly_below(text, PLAIN_BASE)
 
 
-def test_urls_are_parsed_and_bad_ones_are_errors() -> None:
+@pytest.mark.parametrize("text", ["cn", "=a", "cn=a,,cn=b", "cn=a\\", "cn=a;b", "cn=" + "x" * 5000])
+def test_a_text_that_is_no_name_is_an_error(text: str) -> None:
+    with pytest.raises(dn.DnError):
+        dn.parse(text)
+
+
+def test_the_parts_of_a_url_are_parsed() -> None:
     parsed = url.parse("ldap://[2001:db8::7]/c=GB?objectClass,cn?one?(cn=a%2a)")
     assert (parsed.host, parsed.port, parsed.base, parsed.scope) == ("2001:db8::7", 389, "c=GB", Scope.ONE)
     assert parsed.attributes == ("objectClass", "cn") and parsed.server == "ldap://[2001:db8::7]:389"
     assert url.parse("ldaps://10.0.0.1").port == 636
-    for bad in (
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
         "http://10.0.0.1",
         "ldap://u@10.0.0.1",
         "ldap://10.0.0.1/x",
@@ -96,8 +119,13 @@
         "ldap://10.0.0.1/????!ext",
         "ldap://10.0.0.1:0x",
         "ldap://10.0.0.1/???(a",
-    ):
-        with pytest.raises(url.UrlError):
-            url.parse(bad)
+    ],
+)
+def test_a_bad_url_is_an_error(text: str) -> None:
+    with pytest.raises(url.UrlError):
+        url.parse(text)
+
+
+def test_the_host_of_a_url_must_be_a_number_to_connect_to() -> None:
     with pytest.raises(url.UrlError, match="numeric"):
         _ = url.parse("ldap://directory.example").address
--- a/tests/ldap/test_retry_budget.py
+++ b/tests/ldap/test_retry_budget.py
@@ -18,7 +18,8 @@
 
 
 def test_retries_are_a_share_of_the_successes_however_many_there_are() -> None:
-    budget, retries = RetryBudget(POLICY, 0.0), 0
+    budget = RetryBudget(POLICY, 0.0)
+    retries = 0
     for _ in range(1000):  # all at one instant: the floor in time adds nothing
         budget.record_success()
         retries += budget.take_retry(0.0) == 0.0
--- a/tests/ldap/test_server_selector.py
+++ b/tests/ldap/test_server_selector.py
@@ -80,7 +80,8 @@
 
 
 def test_with_all_circuits_open_the_wait_ends_when_the_first_is_half_open() -> None:
-    servers, rng = ServerSelector(("a", "b"), POLICY, 0.0), random.Random(1)
+    servers = ServerSelector(("a", "b"), POLICY, 0.0)
+    rng = random.Random(1)
     for index in (0, 1):
         servers.record_failure(index, 0.0, Reaction.NEEDS_OPERATOR)
     assert servers.choose(10.0) is None
@@ -90,8 +91,10 @@
 
 
 def test_the_rate_of_attempts_on_a_dead_server_is_bounded() -> None:
-    rng, servers = random.Random(5), ServerSelector(("a",), POLICY, 0.0)
-    now, attempts = 0.0, 0
+    rng = random.Random(5)
+    servers = ServerSelector(("a",), POLICY, 0.0)
+    now = 0.0
+    attempts = 0
     while now < 600_000.0:
         index = servers.choose(now)
         if index is not None:
--- a/tests/tenants/test_unknown_clients.py
+++ b/tests/tenants/test_unknown_clients.py
@@ -60,6 +60,6 @@
 def test_a_lookup_asks_for_every_prefix_round_the_client() -> None:
     made = lookup_filter("10.1.2.3", "net", UnknownClientRules(ipv4_prefix_lengths=(8, 24, 32)))
     assert made is not None
-    values = [test["value"] for _, test in made[1]]
+    values = [test["assertionValue"] for _, test in made[1]]
     assert values == [b"10.0.0.0/8", b"10.1.2.0/24", b"10.1.2.3/32", b"10.1.2.3"]
     assert lookup_filter("nonsense", "net", UnknownClientRules()) is None
