--- a/snowthread/recovery/call_pacing.py
+++ b/snowthread/recovery/call_pacing.py
@@ -10,8 +10,8 @@
 from snowthread.core.state import State
 from snowthread.net.loop import EventLoop, Timer
 
-MAX_COUNTED_RUNS = 4096  # runs whose calls are counted; beyond it those that have ended are forgotten
-QUEUE_TIMEOUT_SHARE = 0.5  # of a call's timeout: for so long it may be queued
+MAX_COUNTED_RUNS = 4096  # beyond it the calls of runs that have ended are no longer counted
+QUEUE_TIMEOUT_SHARE = 0.5  # of a call's timeout, for which it may be queued
 
 
 class CallPacing:
@@ -28,14 +28,17 @@
         post: Callable[[events.Event], None],
         carry_out: Callable[[effects.Effect], None],
     ) -> None:
-        self._loop, self._state, self._pacer = loop, state, pacer
-        self._post, self._carry_out = post, carry_out
+        self._loop = loop
+        self._state = state
+        self._pacer = pacer
+        self._post = post
+        self._carry_out = carry_out
         self._queued: dict[str, effects.StartCall] = {}  # by attempt
         self._calls_made: dict[str, int] = {}  # by attempt
         self._timer: Timer | None = None
 
     def permits(self, state: State, call: effects.StartCall, now_ms: float) -> bool:
-        """Tell whether a call may start now; otherwise queue it, or report that it was denied."""
+        """Return whether a call may start now; otherwise queue it, or report that it was denied."""
         attempt_id = call.attempt_id
         request = state.requests_by_attempt_id.get(attempt_id)
         skippable = request is not None and request.request_class.skipped_call_weight > 0.0
--- a/snowthread/recovery/cli.py
+++ b/snowthread/recovery/cli.py
@@ -12,18 +12,24 @@
     from snowthread.recovery.key_log import KeyLogContents
     from snowthread.recovery.snapshot import Snapshot
 
+MS_PER_S = 1000.0
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 
 
 @click.group()
 def warm() -> None:
-    """Show or prepare the state that a node keeps for its recovery (block ``comeback``)."""
+    """Show or prepare the state that a node stores for its recovery (block ``comeback``)."""
 
 
 @warm.command()
 @FOLDER
 def init(folder: Path) -> None:
     """State that no earlier incarnation of this node ran keyed requests: for a new machine, and only then."""
+    _create_key_log(folder)
+    click.echo(f"{folder}: an empty ring of keys; the node's first start trusts it")
+
+
+def _create_key_log(folder: Path) -> None:
     from snowthread.config import ConfigError
     from snowthread.recovery import storage
 
@@ -32,7 +38,6 @@
     error = storage.create_key_log(folder)
     if error is not None:
         raise ConfigError(f"{folder}: {error}")
-    click.echo(f"{folder}: an empty ring of keys; the node's first start trusts it")
 
 
 @warm.command()
@@ -41,13 +46,14 @@
 def show(folder: Path, fresh_for: float) -> None:
     """Show what a start now would find."""
     from snowthread.recovery import storage
-    from snowthread.recovery.snapshot import assess, decode
+    from snowthread.recovery.snapshot import decode
+    from snowthread.recovery.snapshot_assessment import assess
 
-    now_ms = time.time() * 1000.0
+    now_ms = time.time() * MS_PER_S
     data = storage.read(folder)
     snapshot = decode(data).snapshot
     generation = snapshot.generation if snapshot is not None else 0
-    assessment = assess(data, generation=generation, now_ms=now_ms, fresh_for_ms=fresh_for * 1000.0)
+    assessment = assess(data, generation=generation, now_ms=now_ms, fresh_for_ms=fresh_for * MS_PER_S)
     click.echo(f"incarnation {storage.read_incarnation(folder)}")
     click.echo(f"snapshot: {_with_reason(assessment.verdict.value, assessment.reason)}")
     if snapshot is not None:
@@ -61,22 +67,22 @@
 
 def _show_snapshot(snapshot: Snapshot, now_ms: float) -> None:
     learned = snapshot.learned
-    age_s = (now_ms - snapshot.written_ms) / 1000.0
+    age_s = (now_ms - snapshot.written_ms) / MS_PER_S
     click.echo(
         f"  generation {snapshot.generation}, written {age_s:.1f} s ago, "
         f"{learned.read_per_s:.1f} requests a second"
     )
     for name, core_time_s in learned.core_time_s.items():
         click.echo(
-            f"  {name}: {core_time_s * 1000.0:.0f} ms on a core, "
-            f"{learned.run_time_s.get(name, 0.0) * 1000.0:.0f} ms in all, "
-            f"{learned.call_time_s.get(name, 0.0) * 1000.0:.0f} ms a call"
+            f"  {name}: {core_time_s * MS_PER_S:.0f} ms on a core, "
+            f"{learned.run_time_s.get(name, 0.0) * MS_PER_S:.0f} ms in all, "
+            f"{learned.call_time_s.get(name, 0.0) * MS_PER_S:.0f} ms a call"
         )
 
 
 def _show_key_log(found: KeyLogContents, now_ms: float) -> None:
     open_windows = sum(until_ms > now_ms for until_ms in found.keys.values())
-    blind_s = (found.any_until_ms - now_ms) / 1000.0
+    blind_s = (found.any_until_ms - now_ms) / MS_PER_S
     blind = f", blind for {blind_s:.1f} s" if blind_s > 0.0 else ""
     click.echo(
         f"ring of keys: {_with_reason(found.verdict.value, found.reason)}; "
--- a/snowthread/recovery/key_log.py
+++ b/snowthread/recovery/key_log.py
@@ -4,7 +4,7 @@
 
 Layout (little-endian), ``HEADER`` then ``slots`` of ``SLOT``::
 
-    header  magic b"STKR", version u16, pad, slots u32, blind_until f64 (wall ms), crc32 u32, pad to 32 bytes
+    header  magic b"STKR", version u16, pad, slots u32, any_until f64 (wall ms), crc32 u32, pad to 32 bytes
     slot    sequence u64 (from 1; 0: empty), until f64 (wall ms), digest of the key 16 bytes, crc32 u32, pad
 
 A key is written to slot ``sequence % slots`` before the start of its run is sent to the runtime. A key whose
@@ -12,8 +12,9 @@
 
 | found                                            | verdict | indeterminate keys                        |
 | ------------------------------------------------ | ------- | ----------------------------------------- |
-| whole                                            | whole   | those with an open window                 |
-| whole, with ``blind_until`` of an earlier start  | whole   | all until ``blind_until``, then as above  |
+| all of it                                        | whole   | those with an open window                 |
+| all of it, with the ``any_until`` of an earlier  | whole   | all until ``any_until``, then as above    |
+| start                                            |         |                                           |
 | no file                                          | missing | all, until a window after this start      |
 | another size than its header says, a slot or the | torn    | all, until a window after this start      |
 | header that does not check                       |         |                                           |
@@ -27,7 +28,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MAGIC, FORMAT_VERSION = b"STKR", 1
+MAGIC = b"STKR"
+FORMAT_VERSION = 1
 HEADER = struct.Struct("<4sHxxId")
 HEADER_BYTES = 32
 SLOT = struct.Struct("<Qd16s")
@@ -40,7 +42,7 @@
 class KeyLogVerdict(Enum):
     """What was found in place of a key log."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     MISSING = "missing"
     TORN = "torn"
     FOREIGN = "foreign"
@@ -67,31 +69,47 @@
     return HEADER_BYTES + slots * SLOT_BYTES
 
 
-def new_key_log(blind_until: float = 0.0, slots: int = DEFAULT_SLOTS) -> bytes:
-    """Return an empty key log; until ``blind_until`` (wall ms) any key may have run."""
-    head = HEADER.pack(MAGIC, FORMAT_VERSION, slots, blind_until)
+def new_key_log(any_until_ms: float = 0.0, slots: int = DEFAULT_SLOTS) -> bytes:
+    """Return an empty key log; until ``any_until_ms`` (wall ms) any key may have run."""
+    head = HEADER.pack(MAGIC, FORMAT_VERSION, slots, any_until_ms)
     return (head + CRC.pack(zlib.crc32(head))).ljust(HEADER_BYTES, b"\0") + bytes(slots * SLOT_BYTES)
 
 
+class _UnusableError(Exception):
+    """Bytes that are no complete key log of this format."""
+
+    def __init__(self, verdict: KeyLogVerdict, reason: str) -> None:
+        self.verdict = verdict
+        self.reason = reason
+        super().__init__(reason)
+
+
 def read_key_log(data: bytes) -> KeyLogContents:
     """Return the contents of a key log, with the verdict on its bytes."""
+    try:
+        return _read_contents(data)
+    except _UnusableError as error:
+        return KeyLogContents(error.verdict, error.reason)
+
+
+def _read_contents(data: bytes) -> KeyLogContents:
     if not data:
-        return KeyLogContents(KeyLogVerdict.MISSING, "no key log")
+        raise _UnusableError(KeyLogVerdict.MISSING, "no key log")
     if len(data) < HEADER_BYTES:
-        return KeyLogContents(KeyLogVerdict.TORN, f"{len(data)} bytes")
-    magic, version, slots, blind_until = HEADER.unpack_from(data)
+        raise _UnusableError(KeyLogVerdict.TORN, f"{len(data)} bytes")
+    magic, version, slots, any_until_ms = HEADER.unpack_from(data)
     if magic != MAGIC:
-        return KeyLogContents(KeyLogVerdict.FOREIGN, "not a key log")
+        raise _UnusableError(KeyLogVerdict.FOREIGN, "not a key log")
     if version != FORMAT_VERSION:
-        return KeyLogContents(KeyLogVerdict.FOREIGN, f"format {version}, known {FORMAT_VERSION}")
+        raise _UnusableError(KeyLogVerdict.FOREIGN, f"format {version}, known {FORMAT_VERSION}")
     if CRC.unpack_from(data, HEADER.size)[0] != zlib.crc32(data[: HEADER.size]):
-        return KeyLogContents(KeyLogVerdict.TORN, "the header does not check")
+        raise _UnusableError(KeyLogVerdict.TORN, "the header does not check")
     if not 0 < slots <= MAX_SLOTS or len(data) != key_log_size(slots):
-        return KeyLogContents(KeyLogVerdict.TORN, f"{len(data)} bytes, {slots} slots")
-    return _read_slots(data, slots, blind_until)
+        raise _UnusableError(KeyLogVerdict.TORN, f"{len(data)} bytes, {slots} slots")
+    return _read_slots(data, slots, any_until_ms)
 
 
-def _read_slots(data: bytes, slots: int, blind_until: float) -> KeyLogContents:
+def _read_slots(data: bytes, slots: int, any_until_ms: float) -> KeyLogContents:
     keys: dict[bytes, float] = {}
     newest = 0
     for index in range(slots):
@@ -102,22 +120,27 @@
         sequence, until_ms, digest = SLOT.unpack(body)
         checksum = CRC.unpack_from(data, offset + SLOT.size)[0]
         if checksum != zlib.crc32(body) or sequence % slots != index:
-            return KeyLogContents(KeyLogVerdict.TORN, f"slot {index} does not check")
+            raise _UnusableError(KeyLogVerdict.TORN, f"slot {index} does not check")
         keys[digest] = max(until_ms, keys.get(digest, 0.0))
         newest = max(newest, sequence)
-    return KeyLogContents(KeyLogVerdict.WHOLE, "", keys, blind_until, newest)
+    return KeyLogContents(KeyLogVerdict.COMPLETE, "", keys, any_until_ms, newest)
 
 
 class KeyLog:
-    """Appends keys to a buffer that outlives the process; ``sequence`` is that of its newest key."""
+    """Appends keys to a buffer that outlives the process."""
 
     def __init__(self, buffer: memoryview, sequence: int) -> None:
-        self._buffer, self._sequence = buffer, sequence
+        """Append to ``buffer``, whose newest key has this ``sequence``."""
+        self._buffer = buffer
+        self._sequence = sequence
         self._slots = (len(buffer) - HEADER_BYTES) // SLOT_BYTES
         self.rejected_appends = 0  # keys that found no free slot
 
     def append(self, digest: bytes, until_ms: float, now_ms: float) -> bool:
-        """Write a key; return False where its slot holds another key whose window is open."""
+        """Write a key; return False where its slot has another key whose window is open.
+
+        ``until_ms`` is the end of the key's window, ``now_ms`` the present time; both are wall ms.
+        """
         offset = HEADER_BYTES + (self._sequence + 1) % self._slots * SLOT_BYTES
         if SLOT.unpack_from(self._buffer, offset)[1] > now_ms:
             self.rejected_appends += 1
--- a/snowthread/recovery/key_recorder.py
+++ b/snowthread/recovery/key_recorder.py
@@ -23,13 +23,13 @@
     ) -> None:
         """Open the key log and mark in ``state`` which keys may have run in an earlier incarnation.
 
-        ``longest_window_ms`` is the longest idempotency window of all request classes: where the log is not
-        whole, any key may have run until that time has passed.
+        ``longest_window_ms`` is the longest idempotency window of all request classes: where the log is
+        incomplete, any key may have run until that time has passed.
         """
-        blind_until = now_ms + longest_window_ms
-        opened = storage.open_key_log(settings.folder, blind_until)
+        any_until_ms = now_ms + longest_window_ms
+        opened = storage.open_key_log(settings.folder, any_until_ms)
         self._key_log = opened.key_log
-        _mark_indeterminate_keys(state, opened, blind_until, now_ms)
+        _mark_indeterminate_keys(state, opened, any_until_ms, now_ms)
 
     def record_start(self, state: State, start: effects.StartRun, now_ms: float) -> bool:
         """Write the key of a run that is about to start; return False where it must not start.
@@ -46,23 +46,23 @@
         return False
 
 
-def _mark_indeterminate_keys(state: State, opened: OpenedKeyLog, blind_until: float, now_ms: float) -> None:
+def _mark_indeterminate_keys(state: State, opened: OpenedKeyLog, any_until_ms: float, now_ms: float) -> None:
     found = opened.found
     if opened.error is not None:
         logger.bind(event="recovery.key_log").error(
             "no key log, no request with a key is run: {}", opened.error
         )
-        blind_until = math.inf
-    elif found.verdict is KeyLogVerdict.WHOLE:
-        blind_until = found.any_until_ms
+        any_until_ms = math.inf
+    elif found.verdict is KeyLogVerdict.COMPLETE:
+        any_until_ms = found.any_until_ms
     keys = {digest: until_ms for digest, until_ms in found.keys.items() if until_ms > now_ms}
-    if keys or blind_until > now_ms:
-        state.indeterminate_keys = IndeterminateKeys(keys, blind_until)
+    if keys or any_until_ms > now_ms:
+        state.indeterminate_keys = IndeterminateKeys(keys, any_until_ms)
     logger.bind(event="recovery.key_log", verdict=found.verdict.value, keys=len(keys)).info(
         "key log: {}{}{}; {} keys indeterminate{}",
         found.verdict.value,
         ": " if found.reason else "",
         found.reason,
         len(keys),
-        f", all for {(blind_until - now_ms) / 1000.0:.1f} s" if blind_until > now_ms else "",
+        f", all for {(any_until_ms - now_ms) / 1000.0:.1f} s" if any_until_ms > now_ms else "",
     )
--- a/snowthread/recovery/learned_snapshots.py
+++ b/snowthread/recovery/learned_snapshots.py
@@ -14,16 +14,12 @@
 from snowthread.recovery import storage
 from snowthread.recovery.membership import FleetView
 from snowthread.recovery.settings import RecoverySettings
-from snowthread.recovery.snapshot import (
-    LearnedTimes,
-    Snapshot,
-    SnapshotAssessment,
-    SnapshotVerdict,
-    assess,
-    encode,
-)
+from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotVerdict, encode
+from snowthread.recovery.snapshot_assessment import SnapshotAssessment, assess
 
-MIN_SPEED, MAX_SPEED = 0.01, 1.0  # of a machine, relative to a warm one
+# Of a machine, relative to a warm one.
+MIN_SPEED_RATIO = 0.01
+MAX_SPEED_RATIO = 1.0
 
 
 class LearnedSnapshots:
@@ -33,7 +29,9 @@
         self, settings: RecoverySettings, state: State, post: Callable[[events.Event], None]
     ) -> None:
         """Read the snapshot; it is assessed once the fleet's generation is known."""
-        self._settings, self._state, self._post = settings, state, post
+        self._settings = settings
+        self._state = state
+        self._post = post
         self._found = storage.read(settings.folder)
         self._aging = LearnedStateAging(LearnedState({}))
         self.assessment: SnapshotAssessment | None = None
@@ -44,13 +42,17 @@
         return self._aging.recalled
 
     def restore(self, generation: int, now_ms: float, is_cold: bool) -> None:
-        """Assess the snapshot by the fleet's generation and restore what it holds, where it is fresh."""
-        assessment = self.assessment = assess(
+        """Assess the snapshot by the fleet's generation and restore what was learned, where it is fresh.
+
+        ``now_ms`` is wall time. A machine that is cold works at the settings' cold speed until it is warm.
+        """
+        assessment = assess(
             self._found,
             generation=generation,
             now_ms=now_ms,
             fresh_for_ms=self._settings.snapshot_max_age_ms,
         )
+        self.assessment = assessment
         self._found = b""
         logger.bind(event="recovery.snapshot", verdict=assessment.verdict.value).info(
             "snapshot: {}{}{}",
@@ -62,8 +64,8 @@
             return
         learned = _to_learned_state(assessment.initial_state)
         self._aging = LearnedStateAging(learned)
-        speed = self._state.settings.cold_speed if is_cold else MAX_SPEED
-        self._post(events.LearnedStateRestored(learned, min(MAX_SPEED, max(MIN_SPEED, speed))))
+        speed = self._state.settings.cold_speed if is_cold else MAX_SPEED_RATIO
+        self._post(events.LearnedStateRestored(learned, min(MAX_SPEED_RATIO, max(MIN_SPEED_RATIO, speed))))
 
     def forget_outdated(self, controller: Controller, at_s: float) -> None:
         """Forget what was restored too long ago."""
--- a/snowthread/recovery/manager.py
+++ b/snowthread/recovery/manager.py
@@ -2,8 +2,9 @@
 
 :class:`RecoveryManager` wraps the reducer: it sees each event before and each effect after it, and decides
 nothing itself. :mod:`key_recorder` and :mod:`learned_snapshots` know what an earlier incarnation left,
-:mod:`registry_member` the fleet, :mod:`request_admission` and :mod:`call_pacing` what may start while the
-node is cold, by the pace of :mod:`snowthread.admission.recovery_pacer`.
+:mod:`registry_member` the fleet, :mod:`warmup` whether the machine is warm, :mod:`request_admission` and
+:mod:`call_pacing` what may start while the node is cold, by the pace of
+:mod:`snowthread.admission.recovery_pacer`.
 
 | state  | event                                        | next state                                         |
 | ------ | -------------------------------------------- | -------------------------------------------------- |
@@ -17,17 +18,13 @@
 
 import random
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
-from loguru import logger
-
-from snowthread.admission import learned_state
 from snowthread.admission.backoff import Backoff
 from snowthread.admission.call_budget import BURST_S, FLEET_BUDGET_SHARE, CallBudget
 from snowthread.admission.controller import UPDATE_TIMER
 from snowthread.admission.recovery_pacer import RecoveryPacer
-from snowthread.admission.settings import Outcome
 from snowthread.admission.slow_start import SlowStart
+from snowthread.config import Config
 from snowthread.core import effects, events
 from snowthread.core.state import State
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
@@ -37,23 +34,22 @@
 from snowthread.recovery.registry_member import RegistryMember
 from snowthread.recovery.request_admission import ColdRequestAdmission
 from snowthread.recovery.settings import RecoverySettings
-
-if TYPE_CHECKING:
-    from snowthread.config import Config
+from snowthread.recovery.warmup import WarmupTracker
 
 Reduce = Callable[[State, events.Event, float], list[effects.Effect]]
 
 SEED_MASK = 0x5EED  # draws of recovery are other ones than those of the controller
 PACED_CALL_FACTOR = 4.0  # times its quota that the controller may have in flight: some are queued here
-QUICK_FACTOR = 1.25  # a machine is warm whose runs take at most so many times what was restored
-WARMED_UP_SPEED = 1.0  # of a machine, relative to a warm one
 MAX_WINDOW_RUNS_PER_CORE = 2.0
 MIN_WINDOW_RUNS_PER_CORE = 1.0
-BACKOFF_BASE_MS, BACKOFF_CAP_MS = 20.0, 2000.0  # of connects and calls that reach nobody
+# Backoff of connects and calls that reach nobody.
+BACKOFF_BASE_MS = 20.0
+BACKOFF_CAP_MS = 2000.0
+MS_PER_S = 1000.0
 
 
 class RecoveryManager:
-    """Keeps what helps a node to recover, and paces its return to full service."""
+    """Stores what helps a node to recover, and paces its return to full service."""
 
     def __init__(
         self,
@@ -65,34 +61,37 @@
         inner: Reduce,
     ) -> None:
         """Read what an earlier incarnation left; ``inner`` is the reducer that is wrapped."""
-        self._loop, self._settings, self._state, self._post, self._inner = loop, settings, state, post, inner
-        self._started_at_ms = loop.clock.now()
+        self._loop = loop
+        self._settings = settings
+        self._post = post
+        self._inner = inner
         self._random = random.Random(config.seed ^ SEED_MASK)
         self._report_now: Callable[[], None] = lambda: None
-        self._carry_out: Callable[[effects.Effect], None] = lambda effect: None
+        self._carry_out: Callable[[effects.Effect], None] = lambda _effect: None
 
+        started_at_ms = loop.clock.now()
         windows_s = [request_class.idempotency_window_s for request_class in config.settings.classes]
-        longest_window_ms = max(windows_s, default=0.0) * 1000.0
-        self._key_recorder = KeyRecorder(settings, state, self._started_at_ms, longest_window_ms)
+        longest_window_ms = max(windows_s, default=0.0) * MS_PER_S
+        self._key_recorder = KeyRecorder(settings, state, started_at_ms, longest_window_ms)
         configured_nodes = max(1, config.settings.node_count)
         self._member = RegistryMember(settings, configured_nodes, post, lambda: self._report_now())
         self._snapshots = LearnedSnapshots(settings, state, post)
         self._pacer = _make_pacer(settings, config.settings.cores, self._random)
         self._update_fleet()
+        self._warmup = WarmupTracker(self._pacer, started_at_ms, lambda: self._report_now())
         self._admission = ColdRequestAdmission(self._pacer)
         self._calls = CallPacing(loop, state, self._pacer, post, lambda effect: self._carry_out(effect))
 
         self._reconnect_backoff = Backoff(BACKOFF_BASE_MS, BACKOFF_CAP_MS)
         self._pace = events.CallPacingChanged()
-        self._reported_cold = False
-        self._started_cold: bool | None = None  # the machine, as the runtime reports it; None until then
 
     def start(self, report_now: Callable[[], None], carry_out: Callable[[effects.Effect], None]) -> None:
         """Start to write snapshots.
 
         ``report_now`` sends a report to the registry at once, ``carry_out`` carries out an effect.
         """
-        self._report_now, self._carry_out = report_now, carry_out
+        self._report_now = report_now
+        self._carry_out = carry_out
         self._loop.spawn(self._write_snapshots())
 
     @property
@@ -134,19 +133,19 @@
             rejection = self._admission.rejection_of(state, message, now)
             if rejection is not None:
                 return [rejection]
-        passed: list[effects.Effect] = []
-        for effect in self._inner(state, message, now):
-            if type(effect) is effects.StartRun:
-                if not self._key_recorder.record_start(state, effect, now):
-                    self._post(events.CommandRejected(effect.attempt_id, True))
-                    continue
-            elif type(effect) is effects.StartCall:
-                if not self._calls.permits(state, effect, now):
-                    continue
-            elif type(effect) is effects.CancelCall:
-                self._calls.cancel(effect.attempt_id, now)
-            passed.append(effect)
-        return passed
+        return [effect for effect in self._inner(state, message, now) if self._permits(state, effect, now)]
+
+    def _permits(self, state: State, effect: effects.Effect, now_ms: float) -> bool:
+        """Return whether an effect may be carried out now; one that may not is queued or reported."""
+        if type(effect) is effects.StartRun:
+            if not self._key_recorder.record_start(state, effect, now_ms):
+                self._post(events.CommandRejected(effect.attempt_id, True))
+                return False
+        elif type(effect) is effects.StartCall:
+            return self._calls.permits(state, effect, now_ms)
+        elif type(effect) is effects.CancelCall:
+            self._calls.cancel(effect.attempt_id, now_ms)
+        return True
 
     def _observe(self, state: State, message: events.Event, now: float) -> None:
         match message:
@@ -154,32 +153,13 @@
                 self._calls.complete_call(message, now)
             case events.RunCompleted():
                 self._calls.forget_run(message.attempt_id)
-                if self._pacer.cold:
-                    self._record_run(state, message, now)
+                self._warmup.record_run(state, message, now)
             case events.RuntimeConnected():
-                self._take_runtime(message)
+                self._reconnect_backoff.reset()
+                self._warmup.take_runtime(message)
             case events.TimerExpired(label=label) if label == UPDATE_TIMER:
                 self._update(state, now)
 
-    def _record_run(self, state: State, message: events.RunCompleted, now_ms: float) -> None:
-        """Let slow start learn from a run that cannot do without its calls."""
-        request = state.requests_by_attempt_id.get(message.attempt_id)
-        if request is None or message.outcome not in (Outcome.SUCCESS, Outcome.CANCELLED):
-            return
-        request_class = request.request_class
-        if request_class.skipped_call_weight or not request_class.may_call:
-            return
-        objective_ms = request_class.latency_objective_s * 1000.0
-        in_time = now_ms - request.received_at_ms <= objective_ms
-        self._pacer.run_ended(now_ms, message.outcome is Outcome.SUCCESS and in_time, objective_ms)
-
-    def _take_runtime(self, message: events.RuntimeConnected) -> None:
-        self._reconnect_backoff.reset()
-        if self._started_cold is None:
-            self._started_cold = message.starts_cold
-            self._pacer.slow_start.is_complete = not message.starts_cold
-            self._report_now()
-
     def _update(self, state: State, now_ms: float) -> None:
         """Do what is due once a period of the controller."""
         controller = state.controller
@@ -187,33 +167,18 @@
             return
         at_s = state.admission_clock.timestamp_s(now_ms)
         self._snapshots.forget_outdated(controller, at_s)
-        is_quick = learned_state.runs_within_factor(controller, self._snapshots.restored, QUICK_FACTOR)
-        if is_quick is None:  # nothing to compare with
-            is_quick = learned_state.warmup_speed(controller, at_s) >= WARMED_UP_SPEED
-        self._pacer.slow_start.is_known_cold = self._started_cold is True and not is_quick
+        self._warmup.update_speed(controller, self._snapshots.restored, at_s)
         self._post_pace(state)
-        self._report_warmth(now_ms)
+        self._warmup.report_change(now_ms)
 
     def _post_pace(self, state: State) -> None:
-        """Tell the controller how many calls it may have in flight."""
+        """Notify the controller of how many calls it may have in flight, where that has changed."""
         is_pacing = self._pacer.is_pacing
         pace = events.CallPacingChanged(PACED_CALL_FACTOR * state.settings.call_quota if is_pacing else 0.0)
         if pace != self._pace:
             self._pace = pace
             self._post(pace)
 
-    def _report_warmth(self, now_ms: float) -> None:
-        is_cold = self._pacer.cold
-        if is_cold == self._reported_cold:
-            return
-        self._reported_cold = is_cold
-        logger.bind(event="recovery.cold" if is_cold else "recovery.warm").info(
-            "{} {:.1f} s after the start",
-            "recovering" if is_cold else "warm",
-            (now_ms - self._started_at_ms) / 1000.0,
-        )
-        self._report_now()
-
     # Snapshots.
 
     def _write_snapshots(self) -> TaskSteps:
@@ -235,6 +200,6 @@
         SlowStart(MAX_WINDOW_RUNS_PER_CORE * cores, MIN_WINDOW_RUNS_PER_CORE * cores),
         CallBudget(FLEET_BUDGET_SHARE * settings.database_per_s, settings.database_call_ms, burst_s=BURST_S),
         Backoff(BACKOFF_BASE_MS, BACKOFF_CAP_MS),
-        settings.database_per_s * settings.database_call_ms / 1000.0,
+        settings.database_per_s * settings.database_call_ms / MS_PER_S,
         draws,
     )
--- a/snowthread/recovery/membership.py
+++ b/snowthread/recovery/membership.py
@@ -9,7 +9,7 @@
 | ------------ | ----------------------------------- | ----------------------------------------------------- |
 | unheard      | ``highest`` is ours, above 0        | member                                                |
 | unheard      | ``highest`` is above ours, or ours  | member with ``highest + 1``: our count was lost, or   |
-|              | is 0 (no count was kept)            | this is the first incarnation                         |
+|              | is 0 (no count was stored)          | this is the first incarnation                         |
 | member       | ``highest`` is ours                 | member                                                |
 | member       | ``highest`` is above ours           | replaced: another process has our name                |
 | replaced     | any                                 | replaced: off the list for good                       |
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-SILENT_MS = 3000.0  # without an answer for so long, the registry counts as gone
+SILENT_MS = 3000.0  # without an answer, until the registry counts as silent
 MAX_INCARNATION = 2**31
 
 
@@ -56,7 +56,7 @@
 class Membership:
     """One node's place in the fleet.
 
-    ``incarnation`` 0 says that no count was kept and the registry may know one. It is reported as it is: a
+    ``incarnation`` 0 says that no count was stored and the registry may know one. It is reported as it is: a
     count begun anew would pass for that of an earlier incarnation.
     """
 
@@ -71,7 +71,10 @@
         return f"{self.incarnation} {'cold' if cold else 'warm'}"
 
     def handle_answer(self, data: bytes, now_ms: float) -> bool:
-        """Read an answer; return True where it is valid and the status or the view may have changed."""
+        """Read an answer that came at wall time ``now_ms``.
+
+        Returns True where it is valid, and the status or the view may have changed.
+        """
         words = data.split()
         try:
             generation, listed, cold, highest = (int(word) for word in words[1:])
@@ -100,5 +103,5 @@
         return FleetSize(max(1, self.view.listed), self.view.cold)
 
     def is_silent(self, now_ms: float) -> bool:
-        """Tell whether the registry has not answered for ``SILENT_MS``."""
+        """Return whether the registry has not answered for ``SILENT_MS``."""
         return self.view is None or now_ms - self.view.at_ms > SILENT_MS
--- a/snowthread/recovery/registry_member.py
+++ b/snowthread/recovery/registry_member.py
@@ -13,7 +13,7 @@
 
 
 class RegistryMember:
-    """Keeps the incarnation, takes the registry's answers and logs when the registry falls silent."""
+    """Stores the incarnation, takes the registry's answers and logs when the registry falls silent."""
 
     def __init__(
         self,
@@ -23,7 +23,9 @@
         report: Callable[[], None],
     ) -> None:
         """Count this start; ``report`` has the node report itself to the registry at once."""
-        self._folder, self._post, self._report = settings.folder, post, report
+        self._folder = settings.folder
+        self._post = post
+        self._report = report
         earlier = storage.read_incarnation(self._folder)
         incarnation = earlier + 1 if earlier else 0  # 0: the registry may know a count that was lost here
         self._membership = Membership(incarnation, configured_nodes)
@@ -43,7 +45,7 @@
 
     @property
     def is_replaced(self) -> bool:
-        """Tell whether another process has this node's name."""
+        """Whether another process has this node's name."""
         return self._membership.status is MemberStatus.REPLACED
 
     def fleet_size(self) -> FleetSize:
@@ -57,7 +59,8 @@
     def handle_answer(self, data: bytes, now_ms: float) -> bool:
         """Take an answer of the registry; return False where it is not valid."""
         membership = self._membership
-        incarnation, was_replaced = membership.incarnation, self.is_replaced
+        incarnation = membership.incarnation
+        was_replaced = self.is_replaced
         if not membership.handle_answer(data, now_ms):
             return False
         if membership.incarnation != incarnation:
--- a/snowthread/recovery/request_admission.py
+++ b/snowthread/recovery/request_admission.py
@@ -8,6 +8,7 @@
 from snowthread.core.state import RequestPhase, State
 
 RETRY_AFTER_DIVISOR = 8.0  # Retry-After is the latency objective over this times the slow start's window
+MS_PER_S = 1000.0
 
 
 class ColdRequestAdmission:
@@ -28,15 +29,15 @@
         if request_class is None or request_class.skipped_call_weight > 0.0:
             return None
         if not request_class.may_call:
-            is_rejected = self._yields_to_warming(state, now_ms)
+            is_rejected = self._yields_to_warming_up(state, now_ms)
         elif _may_be_a_retry(state, request, now_ms):
             return None  # the reducer knows what to answer
         else:
             is_rejected = not self._pacer.slow_start.admits(_open_requests(state, request_class))
         return self._reject(state, request, request_class) if is_rejected else None
 
-    def _yields_to_warming(self, state: State, now_ms: float) -> bool:
-        """Tell whether a request that makes no calls waits for those that do.
+    def _yields_to_warming_up(self, state: State, now_ms: float) -> bool:
+        """Return whether a request that makes no calls waits for those that do.
 
         While any key may have run, the calls with the highest priority weight may not be made: what warms the
         machine meanwhile goes first.
@@ -58,7 +59,7 @@
             retry_after_s = request_class.latency_objective_s / (RETRY_AFTER_DIVISOR * window)
         return effects.SendResponse(
             request.response_address,
-            effects.Rejected(1000.0 * min(retry_after_s, settings.max_retry_after_s)),
+            effects.Rejected(MS_PER_S * min(retry_after_s, settings.max_retry_after_s)),
             state.load_report,
         )
 
--- a/snowthread/recovery/settings.py
+++ b/snowthread/recovery/settings.py
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoverySettings:
-    """Where state is kept, how long it may be trusted, and what the shared database can bear."""
+    """Where state is stored, how long it may be trusted, and the capacity of the shared database."""
 
     folder: Path
     snapshot_interval_ms: float
     snapshot_max_age_ms: float
-    database_per_s: float  # calls a second that the database can bear from the whole fleet
-    database_call_ms: float  # its latency when it is well
+    database_per_s: float  # capacity of the database, for all nodes: calls a second
+    database_call_ms: float  # its latency within that capacity
 
     def summary(self) -> str:
         """Return a line for operators: what is on."""
@@ -27,7 +27,7 @@
 
 
 def read(block: Block) -> RecoverySettings:
-    """Check the block. Raise ConfigError that names the key which cannot be used."""
+    """Check the block ``comeback``; ConfigError names the key that cannot be used."""
     settings = RecoverySettings(
         folder=Path(block.text("folder")),
         snapshot_interval_ms=block.duration_ms("every", "1s", 50.0),
--- a/snowthread/recovery/snapshot.py
+++ b/snowthread/recovery/snapshot.py
@@ -1,4 +1,4 @@
-"""Format of the snapshot of what a node learned, and the assessment of one found at a start.
+"""Format of the snapshot of what a node learned.
 
 Pure: no clock, no files. Layout (big-endian)::
 
@@ -11,19 +11,9 @@
     body    JSON     :class:`LearnedTimes` as an object
     digest  16 bytes BLAKE2b-128 of all that comes before it
 
-Verdicts of :func:`assess`:
-
-| verdict   | when                                                      | the node starts from |
-| --------- | --------------------------------------------------------- | -------------------- |
-| fresh     | whole, known version, generation >= the fleet's, young    | the snapshot         |
-| missing   | no bytes                                                  | priors               |
-| torn      | shorter than its header says, or the digest is wrong      | priors               |
-| foreign   | other magic, unknown version, or a body that is no object | priors               |
-| older     | generation below the fleet's                              | priors               |
-| stale     | older than ``fresh_for_ms``                               | priors               |
-| future    | written after ``now`` beyond ``slack_ms``                 | priors               |
-
-Keys are not in a snapshot: they change with each request, and have :mod:`snowthread.recovery.key_log`.
+How old a snapshot may be, and of which generation of the fleet, is decided by
+:mod:`snowthread.recovery.snapshot_assessment`. Keys are not in a snapshot: they change with each request, and
+have :mod:`snowthread.recovery.key_log`.
 """
 
 from __future__ import annotations
@@ -66,10 +56,6 @@
     read_per_s: float = 0.0  # requests
 
 
-# A cold node knows nothing: its decisions learn, and slow start admits a few runs at first.
-PRIORS = LearnedTimes()
-
-
 @dataclass(frozen=True, slots=True)
 class Snapshot:
     """A snapshot as it is stored."""
@@ -82,30 +68,27 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodedSnapshot:
-    """What bytes say: FRESH with a snapshot where they are whole and known, else the verdict and why.
-
-    How old the snapshot is, is left to :func:`assess`.
-    """
+    """What bytes say: FRESH with a snapshot where they are complete and known, else the verdict and why."""
 
     verdict: SnapshotVerdict
     reason: str = ""
     snapshot: Snapshot | None = None
 
 
-@dataclass(frozen=True, slots=True)
-class SnapshotAssessment:
-    """The verdict, why, and what to start from: what was learned where it is fresh, else the priors."""
+class _UnusableError(Exception):
+    """Bytes that are no complete snapshot of this format."""
 
-    verdict: SnapshotVerdict
-    reason: str
-    initial_state: LearnedTimes
-    snapshot: Snapshot | None = None  # what was read, where it could be read at all
+    def __init__(self, verdict: SnapshotVerdict, reason: str) -> None:
+        self.verdict = verdict
+        self.reason = reason
+        super().__init__(reason)
 
 
 def encode(snapshot: Snapshot) -> bytes:
     """Return the bytes of a snapshot.
 
-    Raise ValueError for a body over :data:`MAX_BODY_BYTES` or a value that is not finite.
+    Raises:
+        ValueError: The body is over :data:`MAX_BODY_BYTES`, or a value is not finite.
     """
     learned = snapshot.learned
     body = json.dumps(
@@ -124,24 +107,55 @@
     head = HEADER.pack(
         MAGIC, FORMAT_VERSION, snapshot.generation, snapshot.incarnation, snapshot.written_ms, len(body)
     )
-    return head + body + hashlib.blake2b(head + body, digest_size=DIGEST_BYTES).digest()
+    return head + body + _digest(head + body)
 
 
-def _parse_times(value: object) -> dict[str, float] | None:
-    if not isinstance(value, dict):
-        return None
-    times = {}
-    for name, time_s in value.items():
-        if not _is_measured(time_s):
-            return None
-        times[str(name)] = float(time_s)
-    return times
+def decode(data: bytes) -> DecodedSnapshot:
+    """Return what the bytes say."""
+    try:
+        return DecodedSnapshot(SnapshotVerdict.FRESH, "", _decode_snapshot(data))
+    except _UnusableError as error:
+        return DecodedSnapshot(error.verdict, error.reason)
 
 
-def _is_measured(value: object) -> TypeGuard[float]:
-    if not isinstance(value, int | float) or isinstance(value, bool):
-        return False
-    return math.isfinite(value) and value >= 0
+def _decode_snapshot(data: bytes) -> Snapshot:
+    if not data:
+        raise _UnusableError(SnapshotVerdict.MISSING, "no snapshot")
+    if len(data) < HEADER.size:
+        is_start = MAGIC.startswith(data[: len(MAGIC)])
+        verdict = SnapshotVerdict.TORN if is_start else SnapshotVerdict.FOREIGN
+        raise _UnusableError(verdict, f"{len(data)} bytes")
+    magic, version, generation, incarnation, written_ms, length = HEADER.unpack_from(data)
+    if magic != MAGIC:
+        raise _UnusableError(SnapshotVerdict.FOREIGN, "not a snapshot")
+    if version != FORMAT_VERSION:
+        raise _UnusableError(SnapshotVerdict.FOREIGN, f"format {version}, known {FORMAT_VERSION}")
+    if length > MAX_BODY_BYTES:
+        raise _UnusableError(SnapshotVerdict.FOREIGN, f"body of {length} bytes")
+    learned = _parse_body(_checked_body(data, length))
+    if learned is None or not math.isfinite(written_ms):
+        raise _UnusableError(SnapshotVerdict.FOREIGN, "body is not a snapshot's")
+    return Snapshot(generation, incarnation, written_ms, learned)
+
+
+def _checked_body(data: bytes, length: int) -> bytes:
+    """Return the body, once the data has its full size and the digest is right.
+
+    Raises:
+        _UnusableError: It is torn.
+    """
+    end = HEADER.size + length
+    full_size = end + DIGEST_BYTES
+    if len(data) != full_size:
+        reason = f"{len(data)} bytes where the header says {full_size}"
+        raise _UnusableError(SnapshotVerdict.TORN, reason)
+    if _digest(data[:end]) != data[end:]:
+        raise _UnusableError(SnapshotVerdict.TORN, "digest does not match")
+    return data[HEADER.size : end]
+
+
+def _digest(data: bytes) -> bytes:
+    return hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
 
 
 def _parse_body(body: bytes) -> LearnedTimes | None:
@@ -162,53 +176,18 @@
     return LearnedTimes(core_time_s, run_time_s, call_time_s, float(read_per_s))
 
 
-def decode(data: bytes) -> DecodedSnapshot:
-    """Return what the bytes say."""
-    if not data:
-        return DecodedSnapshot(SnapshotVerdict.MISSING, "no snapshot")
-    if len(data) < HEADER.size:
-        is_start = MAGIC.startswith(data[: len(MAGIC)])
-        verdict = SnapshotVerdict.TORN if is_start else SnapshotVerdict.FOREIGN
-        return DecodedSnapshot(verdict, f"{len(data)} bytes")
-    magic, version, generation, incarnation, written_ms, length = HEADER.unpack_from(data)
-    if magic != MAGIC:
-        return DecodedSnapshot(SnapshotVerdict.FOREIGN, "not a snapshot")
-    if version != FORMAT_VERSION:
-        return DecodedSnapshot(SnapshotVerdict.FOREIGN, f"format {version}, known {FORMAT_VERSION}")
-    if length > MAX_BODY_BYTES:
-        return DecodedSnapshot(SnapshotVerdict.FOREIGN, f"body of {length} bytes")
-    end = HEADER.size + length
-    whole = end + DIGEST_BYTES
-    if len(data) != whole:
-        reason = f"{len(data)} bytes where the header says {whole}"
-        return DecodedSnapshot(SnapshotVerdict.TORN, reason)
-    if hashlib.blake2b(data[:end], digest_size=DIGEST_BYTES).digest() != data[end:]:
-        return DecodedSnapshot(SnapshotVerdict.TORN, "digest does not match")
-    learned = _parse_body(data[HEADER.size : end])
-    if learned is None or not math.isfinite(written_ms):
-        return DecodedSnapshot(SnapshotVerdict.FOREIGN, "body is not a snapshot's")
-    return DecodedSnapshot(SnapshotVerdict.FRESH, "", Snapshot(generation, incarnation, written_ms, learned))
-
+def _parse_times(value: object) -> dict[str, float] | None:
+    if not isinstance(value, dict):
+        return None
+    times = {}
+    for name, time_s in value.items():
+        if not _is_measured(time_s):
+            return None
+        times[str(name)] = float(time_s)
+    return times
 
-def assess(
-    data: bytes, *, generation: int, now_ms: float, fresh_for_ms: float, slack_ms: float = 2000.0
-) -> SnapshotAssessment:
-    """Assess the bytes found at a start by the fleet's ``generation`` and the wall time ``now_ms``.
 
-    ``slack_ms`` is how far the clock that wrote the snapshot may have been ahead.
-    """
-    decoded = decode(data)
-    snapshot = decoded.snapshot
-    if snapshot is None:
-        return SnapshotAssessment(decoded.verdict, decoded.reason, PRIORS)
-    age_ms = now_ms - snapshot.written_ms
-    if snapshot.generation < generation:
-        reason = f"generation {snapshot.generation}, the fleet's is {generation}"
-        return SnapshotAssessment(SnapshotVerdict.OLDER, reason, PRIORS, snapshot)
-    if age_ms < -slack_ms:
-        reason = f"written {-age_ms:.0f} ms after now"
-        return SnapshotAssessment(SnapshotVerdict.FUTURE, reason, PRIORS, snapshot)
-    if age_ms > fresh_for_ms:
-        reason = f"{age_ms:.0f} ms old, fresh for {fresh_for_ms:.0f}"
-        return SnapshotAssessment(SnapshotVerdict.STALE, reason, PRIORS, snapshot)
-    return SnapshotAssessment(SnapshotVerdict.FRESH, "", snapshot.learned, snapshot)
+def _is_measured(value: object) -> TypeGuard[float]:
+    if not isinstance(value, int | float) or isinstance(value, bool):
+        return False
+    return math.isfinite(value) and value >= 0
--- /dev/null
+++ b/snowthread/recovery/snapshot_assessment.py
@@ -0,0 +1,64 @@
+"""Assessment of a snapshot found at a start: whether the node may start from it.
+
+Pure: no clock, no files.
+
+| verdict   | when                                                      | the node starts from |
+| --------- | --------------------------------------------------------- | -------------------- |
+| fresh     | complete, known version, generation >= the fleet's, young | the snapshot         |
+| missing   | no bytes                                                  | priors               |
+| torn      | shorter than its header says, or the digest is wrong      | priors               |
+| foreign   | other magic, unknown version, or a body that is no object | priors               |
+| older     | generation below the fleet's                              | priors               |
+| stale     | older than ``fresh_for_ms``                               | priors               |
+| future    | written after ``now`` beyond ``slack_ms``                 | priors               |
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotVerdict, decode
+
+CLOCK_SLACK_MS = 2000.0
+
+# A cold node knows nothing: its decisions learn, and slow start admits a few runs at first.
+PRIORS = LearnedTimes()
+
+
+@dataclass(frozen=True, slots=True)
+class SnapshotAssessment:
+    """The verdict, why, and what to start from: what was learned where it is fresh, else the priors."""
+
+    verdict: SnapshotVerdict
+    reason: str
+    initial_state: LearnedTimes
+    snapshot: Snapshot | None = None  # what was read, where it could be read at all
+
+
+def assess(
+    data: bytes,
+    *,
+    generation: int,
+    now_ms: float,
+    fresh_for_ms: float,
+    slack_ms: float = CLOCK_SLACK_MS,
+) -> SnapshotAssessment:
+    """Assess the bytes found at a start by the fleet's ``generation`` and the wall time ``now_ms``.
+
+    ``slack_ms`` is how far the clock that wrote the snapshot may have been ahead.
+    """
+    decoded = decode(data)
+    snapshot = decoded.snapshot
+    if snapshot is None:
+        return SnapshotAssessment(decoded.verdict, decoded.reason, PRIORS)
+    age_ms = now_ms - snapshot.written_ms
+    if snapshot.generation < generation:
+        reason = f"generation {snapshot.generation}, the fleet's is {generation}"
+        return SnapshotAssessment(SnapshotVerdict.OLDER, reason, PRIORS, snapshot)
+    if age_ms < -slack_ms:
+        reason = f"written {-age_ms:.0f} ms after now"
+        return SnapshotAssessment(SnapshotVerdict.FUTURE, reason, PRIORS, snapshot)
+    if age_ms > fresh_for_ms:
+        reason = f"{age_ms:.0f} ms old, fresh for {fresh_for_ms:.0f}"
+        return SnapshotAssessment(SnapshotVerdict.STALE, reason, PRIORS, snapshot)
+    return SnapshotAssessment(SnapshotVerdict.FRESH, "", snapshot.learned, snapshot)
--- a/snowthread/recovery/storage.py
+++ b/snowthread/recovery/storage.py
@@ -1,4 +1,4 @@
-"""The files of a node's state folder: written atomically, read back whole or not at all.
+"""The files of a node's state folder: written atomically, read back complete or not at all.
 
 Write order: the bytes go to a temporary file in the same folder, are fsynced, renamed over the file, and the
 folder is fsynced. A crash before the rename leaves the old file; after it, the new one. A file system that
@@ -142,15 +142,15 @@
     return write(folder, key_log.new_key_log(), KEY_LOG_FILE)
 
 
-def open_key_log(folder: Path, blind_until: float) -> OpenedKeyLog:
+def open_key_log(folder: Path, any_until_ms: float) -> OpenedKeyLog:
     """Read the key log and open it for appending.
 
-    One that is not whole is replaced by an empty one in which any key may have run until ``blind_until``
-    (wall ms), so that the next start does not take it for a whole one.
+    An incomplete one is replaced by an empty one in which any key may have run until ``any_until_ms`` (wall
+    ms), so that the next start does not take it for a complete one.
     """
     found = read_key_log(folder)
-    if found.verdict is not KeyLogVerdict.WHOLE:
-        error = write(folder, key_log.new_key_log(blind_until), KEY_LOG_FILE)
+    if found.verdict is not KeyLogVerdict.COMPLETE:
+        error = write(folder, key_log.new_key_log(any_until_ms), KEY_LOG_FILE)
         if error is not None:
             return OpenedKeyLog(found, error=error)
     try:
--- a/tests/recovery/test_manager.py
+++ b/tests/recovery/test_manager.py
@@ -19,7 +19,9 @@
 from snowthread.recovery.settings import RecoverySettings
 
 EXAMPLE = Path(__file__).parent.parent.parent / "examples" / "node.json"
-FIRST, SECOND = f"{1:016x}", f"{2:016x}"  # attempts' ids
+# Attempts' ids.
+FIRST = f"{1:016x}"
+SECOND = f"{2:016x}"
 
 
 class Harness:
--- a/tests/recovery/test_membership.py
+++ b/tests/recovery/test_membership.py
@@ -23,7 +23,8 @@
 
 
 def test_lost_incarnation_is_never_taken_for_the_one_of_the_same_number() -> None:
-    first, second = Membership(0, peers=3), Membership(0, peers=3)
+    first = Membership(0, peers=3)
+    second = Membership(0, peers=3)
     first.handle_answer(b"FLEET 1 3 1 0", 0.0)
     assert first.incarnation == 1
     second.handle_answer(b"FLEET 1 3 1 1", 9.0)
--- a/tests/recovery/test_snapshot.py
+++ b/tests/recovery/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots found at a start: whole and fresh ones are used, all others rejected with a reason."""
+"""Snapshots found at a start: complete and fresh ones are used, all others rejected with a reason."""
 
 from __future__ import annotations
 
@@ -10,14 +10,13 @@
 from snowthread.recovery import storage
 from snowthread.recovery.snapshot import (
     HEADER,
-    PRIORS,
     LearnedTimes,
     Snapshot,
     SnapshotVerdict,
-    assess,
     decode,
     encode,
 )
+from snowthread.recovery.snapshot_assessment import PRIORS, assess
 
 NOW = 1_800_000_000_000.0
 LEARNED = LearnedTimes({"match": 0.4}, {"match": 0.5}, {"match": 0.08}, read_per_s=40.0)
@@ -28,7 +27,7 @@
     return assess(data, generation=generation, now_ms=NOW, fresh_for_ms=fresh_for_ms).verdict
 
 
-def test_whole_recent_snapshot_of_this_generation_is_used() -> None:
+def test_complete_recent_snapshot_of_this_generation_is_used() -> None:
     result = assess(encode(SNAPSHOT), generation=7, now_ms=NOW, fresh_for_ms=30_000.0)
     assert result.verdict is SnapshotVerdict.FRESH and result.initial_state == LEARNED
 
@@ -109,7 +108,7 @@
     assert verdict_of(storage.read(tmp_path)) is SnapshotVerdict.TORN
 
 
-def test_incarnation_is_kept_and_an_unreadable_one_counts_as_none(tmp_path: Path) -> None:
+def test_written_incarnation_is_read_back_and_an_unreadable_one_counts_as_none(tmp_path: Path) -> None:
     assert storage.read_incarnation(tmp_path) == 0
     assert storage.write_incarnation(tmp_path, 7) is None and storage.read_incarnation(tmp_path) == 7
     (tmp_path / storage.INCARNATION_FILE).write_bytes(b"spoilt")
--- a/tests/stored/test_stored_recovery.py
+++ b/tests/stored/test_stored_recovery.py
@@ -14,14 +14,8 @@
 from snowthread.core.idempotency import key_digest
 from snowthread.recovery import key_log, storage
 from snowthread.recovery.membership import FleetView, Membership, MemberStatus
-from snowthread.recovery.snapshot import (
-    LearnedTimes,
-    Snapshot,
-    SnapshotVerdict,
-    assess,
-    decode,
-    encode,
-)
+from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotVerdict, decode, encode
+from snowthread.recovery.snapshot_assessment import assess
 
 STORED = Path(__file__).parents[2] / "tests" / "data" / "stored"
 START = 1_764_576_000_000.0
@@ -127,7 +121,7 @@
 
 def test_stored_key_log_holds_its_keys_until_their_times() -> None:
     found = key_log.read_key_log((STORED / "warm" / "keys.ring").read_bytes())
-    assert found.verdict is key_log.KeyLogVerdict.WHOLE and found.reason == ""
+    assert found.verdict is key_log.KeyLogVerdict.COMPLETE and found.reason == ""
     assert found.keys == {
         key_digest("key-1"): 1_764_576_001_000.0,
         key_digest("key-2"): 1_764_576_002_000.5,
@@ -149,7 +143,7 @@
     (tmp_path / "keys.ring").write_bytes((STORED / "warm" / "keys.ring").read_bytes())
     result = storage.open_key_log(tmp_path, 0.0)
     found, opened = result.found, result.key_log
-    assert found.verdict is key_log.KeyLogVerdict.WHOLE and opened is not None and result.error is None
+    assert found.verdict is key_log.KeyLogVerdict.COMPLETE and opened is not None and result.error is None
     assert opened.append(key_digest("key-4"), START + 4000.0, START)
     again = key_log.read_key_log((tmp_path / "keys.ring").read_bytes())
     assert again.sequence == 4 and again.keys[key_digest("key-4")] == START + 4000.0 and len(again.keys) == 4
