--- a/snowthread/sites/client_filter.py
+++ b/snowthread/sites/client_filter.py
@@ -20,6 +20,7 @@
 
 LOG_INTERVAL_MS = 10_000.0
 MS_PER_S = 1000.0
+RETRY_AFTER_RATIO = 0.5  # of Retry-After to the latency objective of the request's class
 
 Reducer = Callable[[State, events.Event, float], list[effects.Effect]]
 
@@ -70,7 +71,8 @@
         )
 
     def _node_load(self, state: State) -> NodeLoad:
-        controller, cores = state.controller, state.settings.cores
+        controller = state.controller
+        cores = state.settings.cores
         return NodeLoad(
             blocking_probability=controller.blocking_probability if controller is not None else 0.0,
             queued=sum(_is_queued(request) for request in state.requests.values()),
@@ -83,13 +85,15 @@
         while True:
             yield Wait(until_ms=self._loop.clock.now() + LOG_INTERVAL_MS)
             if self.counts:
-                counts, self.counts = self.counts, Counter()
+                counts = self.counts
+                self.counts = Counter()
                 logger.bind(event="site.edge", **counts).info("other sites' clients: {}", dict(counts))
 
 
 def _shedding_order(state: State) -> dict[str, int]:
     """Return each class's position in the order of shedding, from its priority weight and core time."""
-    controller, weight_per_core_s = state.controller, {}
+    controller = state.controller
+    weight_per_core_s = {}
     for index, request_class in enumerate(state.settings.classes):
         core_time_s = controller.estimates.base_core_time_s[index] if controller is not None else 0.0
         weight_per_core_s[request_class.name] = request_class.priority_weight / (core_time_s or 1.0)
@@ -99,7 +103,7 @@
 def _retry_after_ms(settings: Settings, request_class: RequestClass | None) -> float:
     if request_class is None or not settings.supports_retry_after:
         return 0.0
-    return MS_PER_S * min(settings.max_retry_after_s, request_class.latency_objective_s / 2.0)
+    return MS_PER_S * min(settings.max_retry_after_s, RETRY_AFTER_RATIO * request_class.latency_objective_s)
 
 
 def _is_queued(request: Request) -> bool:
--- a/snowthread/sites/membership.py
+++ b/snowthread/sites/membership.py
@@ -106,8 +106,11 @@
     ) -> SiteMembership:
         """Return the view of a site that has just started.
 
-        All others are suspect, since none has been heard yet, so nothing moves. Raises ValueError for more
-        than ``MAX_SITES`` sites.
+        All others are suspect, since none has been heard yet, so nothing moves. ``now_ms`` is the time on the
+        caller's clock.
+
+        Raises:
+            ValueError: There are more than ``MAX_SITES`` sites.
         """
         names = sorted(set(others) - {own_site})
         if len(names) >= MAX_SITES:
@@ -139,7 +142,8 @@
             peer.record_interval(now_ms - peer.last_heard_ms)
         else:  # intervals before a loss or of another incarnation say nothing about the present ones
             peer.reset_interval(self.rules.heartbeat_interval_ms)
-        peer.last_heartbeat, peer.last_heard_ms = heartbeat, now_ms
+        peer.last_heartbeat = heartbeat
+        peer.last_heard_ms = now_ms
         if peer.status is SiteStatus.SUSPECT:
             # A new incarnation has lost its state, whether or not its absence was noticed.
             is_known = same_incarnation or last is None
@@ -168,7 +172,7 @@
         return changes
 
     def is_isolated(self) -> bool:
-        """Return whether this site hears none of the others, so can't tell their loss from its own."""
+        """Return whether this site hears none of the others: it may be cut off itself."""
         return all(peer.status in (SiteStatus.SUSPECT, SiteStatus.LOST) for peer in self.peers.values())
 
     def reachable_sites(self) -> frozenset[str]:
@@ -186,7 +190,9 @@
 
     def _change_status(self, name: str, status: SiteStatus, now_ms: float) -> list[StatusChange]:
         peer = self.peers[name]
-        previous, peer.status, peer.since_ms = peer.status, status, now_ms
+        previous = peer.status
+        peer.status = status
+        peer.since_ms = now_ms
         return [StatusChange(name, previous, status)] if previous is not status else []
 
 
--- a/snowthread/sites/recovery_ramp.py
+++ b/snowthread/sites/recovery_ramp.py
@@ -66,7 +66,8 @@
     def mark_recovering(self, now_ms: float) -> None:
         """Note that the site is reachable again; it gets no load before its wait is over."""
         if self.recovering_since_ms is None:
-            self.recovering_since_ms = self.last_step_ms = now_ms
+            self.recovering_since_ms = now_ms
+            self.last_step_ms = now_ms
 
     def tick(self, now_ms: float, health: SiteHealth | None) -> float:
         """Advance the ramp and return the current share; without a measurement the share does not change."""
--- a/snowthread/sites/settings.py
+++ b/snowthread/sites/settings.py
@@ -32,7 +32,7 @@
 
 
 def read_site_settings(block: Block) -> SiteSettings:
-    """Check the block and return its settings; ConfigError names the key that can't be used."""
+    """Check the block and return its settings; ConfigError names the key that cannot be used."""
     own_site = block.text("name")
     assigned: list[_AssignedRange] = []
     for home in block.blocks("home", MAX_HOME_BLOCKS):
@@ -50,7 +50,7 @@
 
 
 def _read_range(home: Block, text: str, site: str, assigned: list[_AssignedRange]) -> _AssignedRange:
-    """Read ``"7"`` or ``"3-5"``; a range that overlaps another site's is an error."""
+    """Read ``"7"`` or ``"3-5"``; ConfigError where it is no range, or overlaps one of another site."""
     low, dash, high = text.partition("-")
     first = _read_number(home, low)
     last = _read_number(home, high) if dash else first
--- a/snowthread/sites/spillover.py
+++ b/snowthread/sites/spillover.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass
 
 MAX_SPARE_SHARE = 0.8  # a measurement is one heartbeat old, and the target's own load changes meanwhile
+MAX_DELAY_RATIO = 0.5  # of the round trip to the latency objective
 NEGLIGIBLE_RATE_PER_S = 1e-9
 
 
@@ -37,12 +38,12 @@
     """Allocate a load to the targets.
 
     A target whose round trip takes half of the latency objective gets nothing: its responses would come too
-    late to be worth the work.
+    late to be of use.
     """
     capacities = {
         name: MAX_SPARE_SHARE * target.spare_capacity_per_s
         for name, target in targets.items()
-        if target.delay_ms < latency_objective_ms / 2.0 and target.spare_capacity_per_s > 0.0
+        if target.delay_ms < MAX_DELAY_RATIO * latency_objective_ms and target.spare_capacity_per_s > 0.0
     }
     weights = {
         name: capacity / (1.0 + targets[name].delay_ms / latency_objective_ms)
--- a/tests/sites/test_site_membership.py
+++ b/tests/sites/test_site_membership.py
@@ -29,7 +29,8 @@
         reachable: dict[str, set[str]] | None = None,
     ) -> list[StatusChange]:
         """Advance the time; a site without an interval between its heartbeats is silent."""
-        changes, end = [], self.now_ms + duration_ms
+        changes = []
+        end = self.now_ms + duration_ms
         due = {name: self.now_ms + interval for name, interval in intervals_ms.items()}
         while self.now_ms < end:
             self.now_ms += STEP_MS
@@ -65,7 +66,8 @@
 
 
 def test_a_slow_or_uneven_link_loses_no_site() -> None:
-    sites, rng = all_up(), random.Random(5)
+    sites = all_up()
+    rng = random.Random(5)
     for _ in range(200):
         sites.run(rng.uniform(100.0, 700.0), {"b": rng.uniform(100.0, 690.0), "c": 250.0})
     assert all(change.current is not SiteStatus.LOST for change in sites.changes)
