--- a/emulators/node_under_faults.py
+++ b/emulators/node_under_faults.py
@@ -37,9 +37,22 @@
 START_TIMEOUT_MS = 30_000.0
 LOOP_STEP_S = 0.02
 HOST = "127.0.0.1"
+MAX_OBJECTIVE_RATIO = 0.7  # of a class's latency objective to its deadline
+MIN_KEY_WINDOW_S = 15.951  # of classes with idempotency keys
+MS_PER_S = 1000.0
+POLL_MS = 50.0
 SOURCES = ("127.0.0.2", "127.0.0.3", "127.0.0.4")  # of the balancers
 
 
+class NodeStartError(RuntimeError):
+    """The node did not start."""
+
+    def __init__(self, log: str) -> None:
+        """Give what the node has logged."""
+        self.log = log
+        super().__init__(f"the node did not start: {log}")
+
+
 @dataclass(slots=True)
 class NodeScenario:
     """What is played: the node's settings, its machine, and the load in shares of its capacity."""
@@ -61,22 +74,24 @@
         settings["domain"] |= {"cores": self.model.cores, "preemption": self.preemption} | dict(self.domain)
         settings["rules"] |= {
             "fall_multiple": self.model.fall_multiple,
-            "overload_for_s": self.model.overload_window_ms / 1000.0,
+            "overload_for_s": self.model.overload_window_ms / MS_PER_S,
             "cold_share": self.model.cold_share,
-            "ramp_time_s": self.model.warmup_ms / 1000.0,
+            "ramp_time_s": self.model.warmup_ms / MS_PER_S,
         }
         for request_class in settings["classes"]:
             is_keyed = request_class["name"] in self.keyed_classes
             request_class["effect"] = "idempotency_key" if is_keyed else "read_like"
             if self.deadline_s:
                 request_class["deadline_s"] = self.deadline_s
-                request_class["goal_time_s"] = min(request_class["goal_time_s"], 0.7 * self.deadline_s)
-            request_class["window_s"] = max(request_class["window_s"], 15.951 if is_keyed else 0.0)
+                request_class["goal_time_s"] = min(
+                    request_class["goal_time_s"], MAX_OBJECTIVE_RATIO * self.deadline_s
+                )
+            request_class["window_s"] = max(request_class["window_s"], MIN_KEY_WINDOW_S if is_keyed else 0.0)
         return settings
 
     def requests_per_s(self) -> float:
         """Return the rate of arrivals."""
-        return self.load * self.model.cores / self.model.mean_run_ms * 1000.0
+        return self.load * self.model.cores / self.model.mean_run_ms * MS_PER_S
 
 
 class NodeUnderFaults:
@@ -98,8 +113,8 @@
         self.runtime = StrictRuntime(self.loop, runtime, scenario.model, self.generator)
         self.database = MeteredDatabase(self.loop, database, scenario.database_ms)
         RegistryEmulator(self.loop, registry, SiteScript())
-        self.runtime_link = Relay(self.loop, addresses.reserve(), runtime, self.generator, "runtime")
-        self.database_link = Relay(self.loop, addresses.reserve(), database, self.generator, "database")
+        self.runtime_link = Relay(self.loop, addresses.reserve(), runtime, self.generator)
+        self.database_link = Relay(self.loop, addresses.reserve(), database, self.generator)
         self._config_path = folder / "node.json"
         self._config_path.write_text(json.dumps(self._fields(registry)))
         self.load = LoadGenerator(
@@ -129,7 +144,11 @@
         self._resources.close()
 
     def start_node(self) -> None:
-        """Start the node and wait until it listens."""
+        """Start the node and wait until it listens.
+
+        Raises:
+            NodeStartError: It ended before, or took too long.
+        """
         self.runtime.forget_node()
         environment = os.environ | {"NODE_CONFIG": str(self._config_path), "PYTHONPATH": str(ROOT)}
         log = self._resources.enter_context(self.log_path.open("ab"))
@@ -141,8 +160,8 @@
         links = self.runtime.links
         while self.runtime.links == links or not self._listens():
             if self.process.poll() is not None or self.loop.clock.now() > deadline_ms:
-                raise RuntimeError(f"the node did not start: {self.log()}")
-            self.run_for(50.0)
+                raise NodeStartError(self.log())
+            self.run_for(POLL_MS)
 
     def _listens(self) -> bool:
         with socket.socket() as probe:
--- a/snowthread/demo.py
+++ b/snowthread/demo.py
@@ -48,15 +48,22 @@
     require_repository("demo")
     with ExitStack() as stack:
         folder = keep or Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        try:
-            records = _run(folder, seconds)
-        except StartError as error:
-            raise ConfigError(str(error)) from error
-        _write_report(records, output)
+        _write_report(_run(folder, seconds), output)
 
 
 def _run(folder: Path, seconds: float) -> Path:
-    """Run the demo in a folder, and return the folder of its records."""
+    """Run the demo in a folder, and return the folder of its records.
+
+    Raises:
+        ConfigError: The fleet did not start.
+    """
+    try:
+        return _play(folder, seconds)
+    except StartError as error:
+        raise ConfigError(str(error)) from error
+
+
+def _play(folder: Path, seconds: float) -> Path:
     from snowthread.lab.demo_display import display
     from snowthread.lab.demo_fleet import DemoFleet
     from snowthread.lab.demo_timeline import play
@@ -78,7 +85,7 @@
     report = Report([records])
     output.write_text(report.html(), encoding="utf-8")
     output.with_suffix(".json").write_bytes(report.json())
-    click.echo("\nWhat the records tell:")
+    click.echo("\nWhat the records show:")
     for sentence in report.timeline.sentences:
         click.echo(f"- {sentence.text}")
     click.echo(f"{output} has it with its charts.")
--- a/snowthread/lab/address_reservation.py
+++ b/snowthread/lab/address_reservation.py
@@ -27,11 +27,7 @@
         self._sockets: list[socket.socket] = []
 
     def reserve(self, kind: socket.SocketKind = socket.SOCK_STREAM) -> Address:
-        """Return an address whose port no other socket of this kind has.
-
-        Raises:
-            OSError: No port or no file descriptor is left.
-        """
+        """Return an address whose port no other socket of this kind has; OSError where none is left."""
         sock = self._any_port.open(kind)
         self._sockets.append(sock)
         sock.bind(self._any_port)
--- a/snowthread/lab/cli.py
+++ b/snowthread/lab/cli.py
@@ -10,6 +10,7 @@
 
 from snowthread.config import ConfigError
 
+DEFAULT_LAB_CORES = 2
 SCENARIO = click.argument("scenario", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 SUMMARY = click.argument("summary", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 
@@ -23,7 +24,8 @@
 @SCENARIO
 def plan(scenario: Path) -> None:
     """Print the plan a scenario makes with its seed, one JSON line a step."""
-    from snowthread.lab.plan import plan_lines, read_scenario
+    from snowthread.lab.scenario import plan_lines
+    from snowthread.lab.scenario_file import read_scenario
 
     for line in plan_lines(read_scenario(scenario)):
         click.echo(line)
@@ -40,7 +42,7 @@
 @click.option(
     "--lab-cores",
     type=click.IntRange(1),
-    default=2,
+    default=DEFAULT_LAB_CORES,
     show_default=True,
     help="Cores that the lab and its emulators share; the nodes have the others.",
 )
@@ -54,13 +56,7 @@
 @click.option("-o", "--output", type=click.Path(file_okay=False, path_type=Path))
 def replay(summary: Path, output: Path | None) -> None:
     """Run the scenario of an earlier summary again with its seed; its plan must be the same."""
-    from snowthread.lab.plan import plan_lines, read_scenario
-
-    before = json.loads(summary.read_text())
-    scenario = Path(before["file"])
-    if plan_lines(read_scenario(scenario)) != before["plan"]:
-        raise ConfigError(f"{scenario} makes another plan now than the one of {summary}")
-    click.echo(json.dumps(_run(scenario, output)))
+    click.echo(json.dumps(_run(_scenario_with_same_plan(summary), output, DEFAULT_LAB_CORES)))
 
 
 @lab.command()
@@ -74,16 +70,28 @@
     click.echo(str(output))
 
 
-def _run(path: Path, output: Path | None, lab_cores: int = 2) -> dict[str, object]:
+def _scenario_with_same_plan(summary: Path) -> Path:
+    from snowthread.lab.scenario import plan_lines
+    from snowthread.lab.scenario_file import read_scenario
+
+    before = json.loads(summary.read_text())
+    scenario = Path(before["file"])
+    if plan_lines(read_scenario(scenario)) != before["plan"]:
+        raise ConfigError(f"{scenario} makes another plan now than the one of {summary}")
+    return scenario
+
+
+def _run(path: Path, output: Path | None, lab_cores: int) -> dict[str, object]:
     """Run a scenario, write its summary and report into its folder, and return the summary."""
-    from snowthread.lab.plan import read_scenario
     from snowthread.lab.report import render_report
     from snowthread.lab.runner import ScenarioRunner
+    from snowthread.lab.scenario_file import read_scenario
 
     scenario = read_scenario(path)
     folder = output or Path(tempfile.mkdtemp(prefix=f"lab-{scenario.name}-"))
     summary = ScenarioRunner(scenario, folder, lab_cores).run() | {"file": str(path)}
-    summary_file, report_file = folder / "summary.json", folder / "report.html"
+    summary_file = folder / "summary.json"
+    report_file = folder / "report.html"
     summary_file.write_text(json.dumps(summary))
     report_file.write_text(render_report(summary), encoding="utf-8")
     click.echo(f"{report_file} and {summary_file}", err=True)
--- a/snowthread/lab/cores.py
+++ b/snowthread/lab/cores.py
@@ -1,13 +1,8 @@
-"""Processor cores of a run: which processes use which, and how much time they used."""
+"""Processor cores of a run: which processes use which."""
 
 from __future__ import annotations
 
 import os
-from pathlib import Path
-
-# Fields of /proc/PID/stat after the process name: user and system time, in clock ticks.
-USER_TICKS_FIELD = 11
-SYSTEM_TICKS_FIELD = 12
 
 
 class CoreAllocation:
@@ -37,14 +32,3 @@
     def release(self) -> None:
         """Let this process use all cores again."""
         os.sched_setaffinity(0, self._available)
-
-
-def cpu_seconds(pid: int) -> float | None:
-    """Return the processor time that a process has used; None where it has ended."""
-    try:
-        stat = Path(f"/proc/{pid}/stat").read_text()
-    except OSError:
-        return None
-    fields = stat.rpartition(")")[2].split()
-    ticks = int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])
-    return ticks / os.sysconf("SC_CLK_TCK")
--- /dev/null
+++ b/snowthread/lab/datagram_relay.py
@@ -0,0 +1,58 @@
+"""The relay of the lab between a node and the registry, which exchange datagrams."""
+
+from __future__ import annotations
+
+import contextlib
+import socket
+
+from snowthread.address import Address
+from snowthread.lab.faults import LinkFaults
+from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+
+DATAGRAM_BYTES_MAX = 65536
+ANY_PORT = Address("127.0.0.1", 0)
+
+
+class DatagramRelay:
+    """The link between one node and the registry: forwards datagrams, or drops them while partitioned."""
+
+    def __init__(self, loop: EventLoop, target: Address) -> None:
+        """Receive on a free loopback port: its ``address``."""
+        self.loop = loop
+        self.faults = LinkFaults()
+        self._client_side = ANY_PORT.open(socket.SOCK_DGRAM)
+        self._client_side.bind(ANY_PORT)
+        self._target_side = target.open(socket.SOCK_DGRAM)
+        self._target_side.connect(target)
+        self._client: Address | None = None
+        self.address = Address(*self._client_side.getsockname()[:2])
+        self._tasks = [loop.spawn(self._forward_requests()), loop.spawn(self._forward_answers())]
+
+    def close(self) -> None:
+        """Close both sockets."""
+        for task in self._tasks:
+            self.loop.end_task(task)
+
+    def _forward_requests(self) -> TaskSteps:
+        try:
+            while True:
+                yield Wait(self._client_side.fileno(), READABLE)
+                # Where there is no registry, the datagram is lost, as on a network.
+                with contextlib.suppress(OSError):
+                    datagram, client = self._client_side.recvfrom(DATAGRAM_BYTES_MAX)
+                    self._client = Address(*client)
+                    if not self.faults.partitioned:
+                        self._target_side.send(datagram)
+        finally:
+            self.loop.close(self._client_side)
+
+    def _forward_answers(self) -> TaskSteps:
+        try:
+            while True:
+                yield Wait(self._target_side.fileno(), READABLE)
+                with contextlib.suppress(OSError):
+                    datagram = self._target_side.recv(DATAGRAM_BYTES_MAX)
+                    if self._client is not None and not self.faults.partitioned:
+                        self._client_side.sendto(datagram, self._client)
+        finally:
+            self.loop.close(self._target_side)
--- a/snowthread/lab/demo_fleet.py
+++ b/snowthread/lab/demo_fleet.py
@@ -85,7 +85,11 @@
         return NodeProcess(name, number, listen, self.folder, command, {"NODE_CONFIG": str(config)})
 
     def start(self) -> None:
-        """Start the nodes one after the other; raise StartError where one does not accept connections."""
+        """Start the nodes one after the other.
+
+        Raises:
+            StartError: A node does not accept connections in time.
+        """
         for node in self.nodes:
             node.start()
             self.loop.spawn(self._wait_until_accepting(node))
--- a/snowthread/lab/demo_timeline.py
+++ b/snowthread/lab/demo_timeline.py
@@ -10,8 +10,9 @@
 from snowthread.lab.demo_display import Display
 from snowthread.lab.demo_fleet import DATABASE_MS, LOOP_STEP_S, NODES, DemoFleet
 
+MS_PER_S = 1000.0
 SLOW_DATABASE_MS = 150.0
-# When things happen, as shares of the whole time.
+# When things happen, as shares of the demo's length.
 SLOW_FROM = 0.25
 SLOW_UNTIL = 0.45
 DEPLOY_FROM = 0.6
@@ -62,7 +63,7 @@
     fleet: DemoFleet, number: int, at_s: float, how: signal.Signals, restart_after_s: float
 ) -> list[DemoStep]:
     name = fleet.nodes[number].name
-    stopped = f"{name} is killed" if how is signal.SIGKILL else f"{name} is told to shut down"
+    stopped = f"{name} is killed" if how is signal.SIGKILL else f"{name} shuts down gracefully"
     return [
         DemoStep(at_s, stopped, fleet.stopper(number, how)),
         DemoStep(at_s + restart_after_s, f"{name} starts again", fleet.restarter(number)),
@@ -76,7 +77,7 @@
     clock = fleet.loop.clock
     begin_ms = clock.now()
     fleet.start_load(seconds)
-    while (now_s := (clock.now() - begin_ms) / 1000.0) < seconds:
+    while (now_s := (clock.now() - begin_ms) / MS_PER_S) < seconds:
         fleet.loop.run_once(LOOP_STEP_S)
         while steps and steps[0].at_s <= now_s:
             step = steps.pop(0)
--- a/snowthread/lab/deployment.py
+++ b/snowthread/lab/deployment.py
@@ -6,18 +6,24 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from collections.abc import Mapping
+from dataclasses import asdict, dataclass
 from pathlib import Path
 from typing import Any
 
-from snowthread.lab.plan import Scenario
+from snowthread.address import Address
+from snowthread.lab.processes import format_address
+from snowthread.lab.scenario import Scenario
 
+MS_PER_S = 1000.0
 REFERENCE_RUN_MS = 301.6  # of core time, in the mean over the classes by their shares
 WARM_UP_S = 17.0  # from a cold start of a machine until it is warm
-DATABASE_CALLS_PER_SLOT_MAX = 5.0  # calls that the database holds without collapsing, over its slots
+DATABASE_CALLS_PER_SLOT_MAX = 5.0  # calls in progress or waiting that the database survives, over its slots
 MEMORY_KB_PER_CORE = 8000.0
 SHUTDOWN_TIMEOUT_MS = 1500
-RETRY_DELAY_MIN_MS, RETRY_DELAY_MAX_MS = 900.0, 14_000.0  # of a keyed retry: within its window
+# Of a keyed retry: within its window.
+RETRY_DELAY_MIN_MS = 900.0
+RETRY_DELAY_MAX_MS = 14_000.0
 # Numbers of the balancers in requests: of this site's clients, and of another site's.
 OWN_BALANCER = 0
 FOREIGN_BALANCER = 100
@@ -83,6 +89,15 @@
 )
 
 
+@dataclass(frozen=True, slots=True)
+class ServiceAddresses:
+    """Where the emulated services listen."""
+
+    runtimes: list[Address]  # one a node
+    database: Address
+    registry: Address
+
+
 def time_scale(scenario: Scenario) -> float:
     """Return the scenario's times over those of the reference site."""
     return scenario.run_ms / REFERENCE_RUN_MS
@@ -99,36 +114,70 @@
 
 
 def requests_per_s(scenario: Scenario) -> float:
-    """Return the rate of requests to the whole fleet."""
-    capacity_per_s = scenario.nodes * scenario.cores * 1000.0 / scenario.run_ms
+    """Return the rate of requests to all nodes together."""
+    capacity_per_s = scenario.nodes * scenario.cores * MS_PER_S / scenario.run_ms
     return scenario.load.share * capacity_per_s
 
 
-def balancer_classes(scenario: Scenario) -> dict[str, Any]:
-    """Return the classes, and the range of retry delays, for ``emulators.balancers``."""
+def services_plan(scenario: Scenario, addresses: ServiceAddresses) -> dict[str, Any]:
+    """Return the plan that ``emulators.fleet_services`` reads."""
+    return {
+        "runtimes": [format_address(address) for address in addresses.runtimes],
+        "database": format_address(addresses.database),
+        "roster": format_address(addresses.registry),
+        "cores": scenario.cores,
+        "run_ms": run_times_ms(scenario),
+        "call_ms": scenario.call_ms,
+        "slots": scenario.slots,
+        "seed": scenario.seed,
+        "warmth": asdict(scenario.machine) | {"over_ms": deadlines_ms(scenario)},
+        "calls": [kind.name for kind in REQUEST_CLASSES if kind.makes_calls],
+    }
+
+
+def balancers_plan(
+    scenario: Scenario, fronts: Mapping[str, Address], registry: Address, source_network: str
+) -> dict[str, Any]:
+    """Return the plan that ``emulators.balancers`` reads.
+
+    ``fronts`` are the addresses of the nodes for balancers, by name; ``source_network`` is the first part of
+    the balancers' own addresses.
+    """
     scale = time_scale(scenario)
     return {
+        "nodes": {name: format_address(address) for name, address in fronts.items()},
+        "roster": format_address(registry),
+        "sources": source_network,
+        "seed": scenario.seed,
+        "per_s": requests_per_s(scenario),
+        "seconds": scenario.duration_ms / MS_PER_S,
+        "keyed": scenario.load.keyed,
+        "repeats": scenario.load.repeats,
+        "foreign": scenario.load.foreign,
+        "own_number": OWN_BALANCER,
+        "others_number": FOREIGN_BALANCER,
         "again_ms": [RETRY_DELAY_MIN_MS * scale, RETRY_DELAY_MAX_MS * scale],
-        "classes": [
-            {
-                "name": kind.name,
-                "share": kind.share,
-                "goal_ms": kind.latency_objective_ms * scale,
-                "deadline_ms": kind.deadline_ms * scale,
-                "worth": kind.priority_weight,
-                "late_value": kind.late_value,
-                "skip_worth": kind.value_without_calls or 1.0,
-                "keyed": kind.keyed,
-            }
-            for kind in REQUEST_CLASSES
-        ],
+        "classes": [_traffic_fields(kind, scale) for kind in REQUEST_CLASSES],
+    }
+
+
+def _traffic_fields(kind: RequestClass, scale: float) -> dict[str, Any]:
+    return {
+        "name": kind.name,
+        "share": kind.share,
+        "goal_ms": kind.latency_objective_ms * scale,
+        "deadline_ms": kind.deadline_ms * scale,
+        "worth": kind.priority_weight,
+        "late_value": kind.late_value,
+        "skip_worth": kind.value_without_calls or 1.0,
+        "keyed": kind.keyed,
     }
 
 
 def node_fields(scenario: Scenario, example: dict[str, Any]) -> dict[str, Any]:
     """Return a node's configuration: the example's, with the classes and sizes of the scenario."""
     settings = example["settings"]
-    scale_s = time_scale(scenario) / 1000.0
+    scale_s = time_scale(scenario) / MS_PER_S
     settings["classes"] = [_class_fields(kind, scale_s) for kind in REQUEST_CLASSES]
     settings["domain"] |= {
         "cores": scenario.cores,
--- a/snowthread/lab/faults.py
+++ b/snowthread/lab/faults.py
@@ -19,6 +19,8 @@
 import random
 from dataclasses import dataclass
 
+MS_PER_S = 1000.0
+
 
 @dataclass(slots=True)
 class LinkFaults:
@@ -32,13 +34,15 @@
 
     def clear(self) -> None:
         """Heal the link; connections that were cut stay closed."""
-        self.delay_ms = self.jitter_ms = self.bytes_per_s = 0.0
+        self.delay_ms = 0.0
+        self.jitter_ms = 0.0
+        self.bytes_per_s = 0.0
         self.partitioned = False
 
 
 @dataclass(slots=True)
 class Pacing:
-    """The state of one direction of one connection that keeps its chunks in order."""
+    """What keeps the chunks of one direction of one connection in order."""
 
     cuts_at_open: int
     last_release_ms: float = 0.0
@@ -51,7 +55,7 @@
     jitter_ms = generator.uniform(0.0, faults.jitter_ms) if faults.jitter_ms else 0.0
     at_ms = now_ms + faults.delay_ms + jitter_ms
     if faults.bytes_per_s > 0:
-        at_ms = max(at_ms, pacing.last_release_ms) + size * 1000.0 / faults.bytes_per_s
+        at_ms = max(at_ms, pacing.last_release_ms) + size * MS_PER_S / faults.bytes_per_s
     pacing.last_release_ms = max(at_ms, pacing.last_release_ms)
     return pacing.last_release_ms
 
--- a/snowthread/lab/fleet.py
+++ b/snowthread/lab/fleet.py
@@ -13,24 +13,20 @@
 import signal
 import socket
 import time
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from pathlib import Path
 
 from snowthread.address import Address
 from snowthread.lab.address_reservation import AddressReservation
 from snowthread.lab.cores import CoreAllocation
+from snowthread.lab.datagram_relay import DatagramRelay
 from snowthread.lab.deployment import (
-    FOREIGN_BALANCER,
-    OWN_BALANCER,
-    REQUEST_CLASSES,
-    balancer_classes,
-    deadlines_ms,
+    ServiceAddresses,
+    balancers_plan,
     features_file,
     node_fields,
-    requests_per_s,
-    run_times_ms,
+    services_plan,
 )
-from snowthread.lab.plan import LinkName, Scenario
 from snowthread.lab.processes import (
     FLEET_HOST,
     LOOPBACK_NETWORK,
@@ -43,7 +39,8 @@
     require_repository,
     stop_nodes,
 )
-from snowthread.lab.relay import DatagramRelay, Relay
+from snowthread.lab.relay import Relay
+from snowthread.lab.scenario import LinkName, Scenario
 from snowthread.net.loop import EventLoop, TaskSteps
 from snowthread.recovery import storage
 
@@ -74,15 +71,6 @@
             relay.close()
 
 
-@dataclass(frozen=True, slots=True)
-class _ServiceAddresses:
-    """Where the emulated services listen."""
-
-    runtimes: list[Address]  # one a node
-    database: Address
-    registry: Address
-
-
 class Fleet:
     """The processes and relays of one run of a scenario, in a folder of its own."""
 
@@ -96,69 +84,38 @@
         self._cores = cores
         folder.mkdir(parents=True, exist_ok=True)
         self._reservation = AddressReservation(FLEET_HOST)
-        addresses = _ServiceAddresses(
+        addresses = ServiceAddresses(
             runtimes=[self._reservation.reserve() for _ in range(scenario.nodes)],
             database=self._reservation.reserve(),
             registry=self._reservation.reserve(socket.SOCK_DGRAM),
         )
-        self.services = self._start_services(addresses)
+        plan = services_plan(scenario, addresses)
+        self.services = self._start_emulator("emulators.fleet_services", plan, folder / "fleet.json")
         self.links: dict[str, NodeLinks] = {}
         self.nodes: dict[str, NodeProcess] = {}
         self._create_nodes(addresses)
-        self.balancers = self._start_balancers(addresses.registry)
-
-    def _start_services(self, addresses: _ServiceAddresses) -> EmulatorProcess:
-        scenario = self.scenario
-        plan = {
-            "runtimes": [format_address(address) for address in addresses.runtimes],
-            "database": format_address(addresses.database),
-            "roster": format_address(addresses.registry),
-            "cores": scenario.cores,
-            "run_ms": run_times_ms(scenario),
-            "call_ms": scenario.call_ms,
-            "slots": scenario.slots,
-            "seed": scenario.seed,
-            "warmth": asdict(scenario.machine) | {"over_ms": deadlines_ms(scenario)},
-            "calls": [kind.name for kind in REQUEST_CLASSES if kind.makes_calls],
-        }
-        return self._start_emulator("emulators.fleet_services", plan, self.folder / "fleet.json")
-
-    def _start_balancers(self, registry: Address) -> EmulatorProcess:
-        scenario = self.scenario
-        plan = {
-            "nodes": {name: format_address(links.front.address) for name, links in self.links.items()},
-            "roster": format_address(registry),
-            "sources": LOOPBACK_NETWORK,
-            "seed": scenario.seed,
-            "per_s": requests_per_s(scenario),
-            "seconds": scenario.duration_ms / 1000.0,
-            "keyed": scenario.load.keyed,
-            "repeats": scenario.load.repeats,
-            "foreign": scenario.load.foreign,
-            "own_number": OWN_BALANCER,
-            "others_number": FOREIGN_BALANCER,
-            **balancer_classes(scenario),
-        }
-        return self._start_emulator("emulators.balancers", plan, self.folder / "balancers.json")
+        fronts = {name: links.front.address for name, links in self.links.items()}
+        plan = balancers_plan(scenario, fronts, addresses.registry, LOOPBACK_NETWORK)
+        self.balancers = self._start_emulator("emulators.balancers", plan, folder / "balancers.json")
 
     def _start_emulator(self, module: str, plan: dict[str, object], path: Path) -> EmulatorProcess:
         path.write_text(json.dumps(plan))
         return EmulatorProcess(module, str(path), log=path.with_suffix(".log"))
 
-    def _create_nodes(self, addresses: _ServiceAddresses) -> None:
+    def _create_nodes(self, addresses: ServiceAddresses) -> None:
         generator = random.Random(self.scenario.seed)
         for number, name in enumerate(self.scenario.node_names()):
             listen = self._reservation.reserve()
-            database = self._create_relay(name, addresses.database, generator)
-            front = self._create_relay(name, listen, generator)
+            database = self._create_relay(addresses.database, generator)
+            front = self._create_relay(listen, generator)
             front.close()
-            links = NodeLinks(front, database, DatagramRelay(self.loop, addresses.registry, name))
+            links = NodeLinks(front, database, DatagramRelay(self.loop, addresses.registry))
             self.links[name] = links
             self.nodes[name] = self._create_node(name, number, listen, addresses.runtimes[number], links)
 
-    def _create_relay(self, name: str, target: Address, generator: random.Random) -> Relay:
+    def _create_relay(self, target: Address, generator: random.Random) -> Relay:
         listen = self._reservation.reserve()
-        return Relay(self.loop, listen, target, random.Random(generator.random()), name)
+        return Relay(self.loop, listen, target, random.Random(generator.random()))
 
     def _create_node(
         self, name: str, number: int, listen: Address, runtime: Address, links: NodeLinks
@@ -175,7 +132,8 @@
             "roster": format_address(links.registry.address),
             "seed": f"{self.scenario.seed * 1000 + number:016x}",
         }
-        config, features = folder / "node.json", folder / "features.hcl"
+        config = folder / "node.json"
+        features = folder / "features.hcl"
         config.write_text(json.dumps(fields))
         features.write_text(features_file(self.scenario, folder))
         environment = {"NODE_CONFIG": str(config), "TMPDIR": str(state), "NODE_LOG": "INFO"}
@@ -183,7 +141,11 @@
         return NodeProcess(name, number, listen, folder, command, environment)
 
     def start(self) -> None:
-        """Start all nodes and run the loop until each accepts connections."""
+        """Start all nodes and run the loop until each accepts connections.
+
+        Raises:
+            StartError: A node has ended, or the nodes took too long.
+        """
         self._cores.assign_lab(self.services.process.pid, self.balancers.process.pid)
         for node in self.nodes.values():
             if self.scenario.comeback:  # as an operator does for a new machine: no incarnation ran keys
@@ -228,7 +190,7 @@
         self.start_node(node)
 
     def announce_down(self, node: NodeProcess) -> None:
-        """Tell the balancers that requests open at a node now may go without an answer."""
+        """Notify the balancers that requests open at a node now may go without an answer."""
         self.balancers.send(f"down {node.name}")
 
     def accepting_nodes(self) -> int:
--- a/snowthread/lab/processes.py
+++ b/snowthread/lab/processes.py
@@ -14,6 +14,7 @@
 import subprocess
 import sys
 from collections.abc import Generator, Iterable, Mapping
+from contextlib import ExitStack
 from dataclasses import dataclass
 from pathlib import Path
 from typing import IO, Any
@@ -27,9 +28,12 @@
 STOP_TIMEOUT_S = 10.0
 CONNECT_TIMEOUT_S = 0.2
 ACCEPT_POLL_MS = 25.0  # between two attempts to connect to a node that was started
+_OCTET_VALUES = 250
+_HIGH_OCTET = 1 + os.getpid() // _OCTET_VALUES % _OCTET_VALUES
+_LOW_OCTET = os.getpid() % _OCTET_VALUES
 # The loopback network of this process: .1 is the host of nodes and emulators, .2 and on are those of the
 # balancers. Fleets that run side by side never collide.
-LOOPBACK_NETWORK = f"127.{1 + os.getpid() // 250 % 250}.{os.getpid() % 250}"
+LOOPBACK_NETWORK = f"127.{_HIGH_OCTET}.{_LOW_OCTET}"
 FLEET_HOST = f"{LOOPBACK_NETWORK}.1"
 
 
@@ -43,8 +47,22 @@
         super().__init__(f"{names} did not start" + (f"; see {folder}" if folder else ""))
 
 
+class EmulatorEndedError(RuntimeError):
+    """An emulator ended before its time."""
+
+    def __init__(self, module: str, log: Path | None) -> None:
+        """Name the module, and the log of its process."""
+        self.module = module
+        self.log = log
+        super().__init__(f"{module} ended; see {log}")
+
+
 def require_repository(command: str) -> None:
-    """Raise ConfigError where the emulators of the repository are not there."""
+    """Check that the emulators of the repository are there.
+
+    Raises:
+        ConfigError: They are not.
+    """
     if not (ROOT / "emulators").is_dir():
         raise ConfigError(f"the {command} needs the repository round it: run it from a clone")
 
@@ -96,7 +114,8 @@
             env=os.environ | {"PYTHONPATH": str(ROOT)} | dict(self.environment),
         )
         self.starts += 1
-        self.killed = self.accepting = False
+        self.killed = False
+        self.accepting = False
 
     def wait_until_accepting(
         self, loop: EventLoop, timeout_ms: float = math.inf
@@ -148,18 +167,23 @@
     """A module of ``emulators`` that runs as a process and takes commands, one a line, on standard input."""
 
     def __init__(self, module: str, *arguments: str, log: Path | None = None) -> None:
-        """Start it and wait until it prints that it is ready; raise StartError where it ends before."""
+        """Start it and wait until it prints that it is ready; its standard error goes to ``log``.
+
+        Raises:
+            StartError: It ended before.
+        """
         self.module = module
         self._log = log
-        self.process = subprocess.Popen(
-            [sys.executable, "-m", module, *arguments],
-            cwd=ROOT,
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-            stderr=subprocess.DEVNULL if log is None else log.open("wb"),
-            text=True,
-            env=os.environ | {"PYTHONPATH": str(ROOT)},
-        )
+        with ExitStack() as stack:
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", module, *arguments],
+                cwd=ROOT,
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                stderr=subprocess.DEVNULL if log is None else stack.enter_context(log.open("wb")),
+                text=True,
+                env=os.environ | {"PYTHONPATH": str(ROOT)},
+            )
         if "ready" not in self._read_line():
             self.process.wait()
             raise StartError(module, log)
@@ -171,11 +195,15 @@
         self.process.stdin.flush()
 
     def report(self) -> dict[str, Any]:
-        """Ask for its report and return it."""
+        """Request its report and return it.
+
+        Raises:
+            EmulatorEndedError: The process has ended.
+        """
         self.send("report")
         line = self._read_line()
         if not line:
-            raise RuntimeError(f"{self.module} ended; see {self._log}")
+            raise EmulatorEndedError(self.module, self._log)
         report: dict[str, Any] = json.loads(line)
         return report
 
--- /dev/null
+++ b/snowthread/lab/relay_direction.py
@@ -0,0 +1,147 @@
+"""One direction of a TCP connection that a relay of the lab forwards, through the faults of its link.
+
+What a direction reads waits in a bounded queue until :mod:`snowthread.lab.faults` releases it. Reading stops
+while the queue is full, so that a slow link causes back pressure as a real one does.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import random
+import socket
+import struct
+from collections import deque
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from snowthread.lab.faults import LinkFaults, Pacing, is_cut, release_ms
+from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, TaskSteps, Wait
+
+QUEUE_BYTES_MAX = 1 << 20  # of one direction of a connection
+CHUNK_BYTES = 65536
+FAULT_POLL_MS = 50.0  # how often a waiting direction reads the faults again
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, with a timeout of 0 s
+DIRECTIONS = 2
+
+
+@dataclass(frozen=True, slots=True)
+class RelayedLink:
+    """What the connections of a link share."""
+
+    loop: EventLoop
+    faults: LinkFaults
+    generator: random.Random  # draws the jitter
+
+
+class ConnectionState:
+    """What the two directions of one connection share."""
+
+    __slots__ = ("broken", "directions_ended")
+
+    def __init__(self) -> None:
+        self.broken = False
+        self.directions_ended = 0
+
+
+class _QueuedChunk(NamedTuple):
+    """Bytes that were read, and when they may be forwarded."""
+
+    release_ms: float
+    data: bytes
+
+
+class RelayDirection:
+    """One direction of a relayed connection: reads, delays and writes until it ends, breaks or is cut."""
+
+    def __init__(
+        self, link: RelayedLink, source: socket.socket, sink: socket.socket, connection: ConnectionState
+    ) -> None:
+        self._link = link
+        self._faults = link.faults
+        self._loop = link.loop
+        self._source = source
+        self._sink = sink
+        self._connection = connection
+        self._pacing = Pacing(link.faults.cuts)
+        self._queue: deque[_QueuedChunk] = deque()
+        self._queued_bytes = 0
+        self._source_ended = False
+
+    def run(self) -> TaskSteps:
+        """Forward until the source has ended and all of it is written; then wait for the other direction."""
+        try:
+            while self._queue or not self._source_ended:
+                if self._must_close():
+                    return
+                now = self._loop.clock.now()
+                if self._is_due(now):
+                    if not self._write_first_chunk():
+                        yield Wait(self._sink.fileno(), WRITABLE | HANGUP, now + FAULT_POLL_MS)
+                    continue
+                wake_ms = self._wake_ms(now)
+                if self._source_ended or self._queued_bytes >= QUEUE_BYTES_MAX:
+                    yield Wait(until_ms=wake_ms)
+                    continue
+                if (yield Wait(self._source.fileno(), READABLE, wake_ms)):
+                    self._read_chunk()
+            self._sink.shutdown(socket.SHUT_WR)
+            self._connection.directions_ended += 1
+            while self._connection.directions_ended < DIRECTIONS and not self._must_close():
+                yield Wait(until_ms=self._loop.clock.now() + FAULT_POLL_MS)
+        except OSError:
+            self._connection.broken = True
+        finally:
+            self._close()
+
+    def _must_close(self) -> bool:
+        return is_cut(self._faults, self._pacing) or self._connection.broken
+
+    def _is_due(self, now: float) -> bool:
+        return bool(self._queue) and not self._faults.partitioned and self._queue[0].release_ms <= now
+
+    def _wake_ms(self, now: float) -> float:
+        """Return when to look again: as the first chunk is due, or to read the faults anew."""
+        poll_ms = now + FAULT_POLL_MS
+        if self._queue and not self._faults.partitioned:
+            return min(self._queue[0].release_ms, poll_ms)
+        return poll_ms
+
+    def _read_chunk(self) -> None:
+        try:
+            data = self._source.recv(CHUNK_BYTES)
+        except BlockingIOError:
+            return
+        if not data:
+            self._source_ended = True
+            return
+        now = self._loop.clock.now()
+        at_ms = release_ms(self._faults, self._pacing, now, len(data), self._link.generator)
+        self._queue.append(_QueuedChunk(at_ms, data))
+        self._queued_bytes += len(data)
+
+    def _write_first_chunk(self) -> bool:
+        """Write what the sink takes of the first chunk; return whether it took all of it."""
+        chunk = self._queue.popleft()
+        try:
+            sent = self._sink.send(chunk.data)
+        except BlockingIOError:
+            sent = 0
+        self._queued_bytes -= sent
+        if sent == len(chunk.data):
+            return True
+        self._queue.appendleft(_QueuedChunk(chunk.release_ms, chunk.data[sent:]))
+        return False
+
+    def _close(self) -> None:
+        if is_cut(self._faults, self._pacing):
+            self._connection.broken = True
+        if self._connection.broken:
+            _reset_on_close(self._source)
+        self._loop.close(self._source)
+        self._loop.close(self._sink)
+
+
+def _reset_on_close(sock: socket.socket) -> None:
+    """Have the socket close with a reset, as a cut link or the kernel of a dead peer would."""
+    with contextlib.suppress(OSError):
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
--- a/snowthread/lab/runner.py
+++ b/snowthread/lab/runner.py
@@ -6,13 +6,15 @@
 
 from __future__ import annotations
 
+import contextlib
 import os
 from pathlib import Path
 from typing import Any
 
-from snowthread.lab.cores import CoreAllocation, cpu_seconds
+from snowthread.lab.cores import CoreAllocation
 from snowthread.lab.fleet import LOOP_STEP_S, Fleet
-from snowthread.lab.plan import Scenario, plan_lines
+from snowthread.lab.process_usage import cpu_seconds
+from snowthread.lab.scenario import Scenario, plan_lines
 from snowthread.lab.summary import summarize, summarize_records
 from snowthread.lab.timeline import Timeline
 from snowthread.net.clock import Clock
@@ -21,13 +23,12 @@
 
 LAST_ANSWERS_MS = 2500.0  # after the last request: by then every request was answered or is late
 SAMPLE_INTERVAL_MS = 1000.0
-DEFAULT_LAB_CORES = 2
 
 
 class ScenarioRunner:
     """One run of a scenario in a folder of its own."""
 
-    def __init__(self, scenario: Scenario, folder: Path, lab_cores: int = DEFAULT_LAB_CORES) -> None:
+    def __init__(self, scenario: Scenario, folder: Path, lab_cores: int) -> None:
         """Start everything but the nodes."""
         self._scenario = scenario
         self._folder = folder
@@ -39,7 +40,7 @@
         self._cpu_s: dict[str, float] = {}
 
     def run(self) -> dict[str, Any]:
-        """Run the whole scenario, stop all processes, and return the summary."""
+        """Run the scenario to its end, stop all processes, and return the summary."""
         try:
             self._fleet.start()
             self._run_timeline()
@@ -69,9 +70,8 @@
 
     def _measure_cpu(self) -> None:
         for name, pid in ({"lab": os.getpid()} | self._fleet.pids()).items():
-            used_s = cpu_seconds(pid)
-            if used_s is not None:
-                self._cpu_s[name] = round(used_s, 2)
+            with contextlib.suppress(OSError):  # it has ended
+                self._cpu_s[name] = round(cpu_seconds(pid), 2)
 
     def _close(self) -> None:
         self._fleet.close()
--- a/snowthread/lab/summary.py
+++ b/snowthread/lab/summary.py
@@ -16,13 +16,15 @@
 from typing import Any, NamedTuple
 
 from snowthread.lab.deployment import DATABASE_CALLS_PER_SLOT_MAX
-from snowthread.lab.plan import Action, Scenario
+from snowthread.lab.scenario import Action, Scenario
 from snowthread.records.model import Record
 
 FULL_SERVICE_SHARE = 0.95  # of the baseline
 DIP_SHARE = 0.9  # of the baseline
 FULL_SERVICE_SECONDS = 3  # in a row
 SETTLING_SECONDS = 2  # at the start of a run: not part of the baseline
+MIN_VALUE_ASKED = 1e-9  # where nothing was asked, the baseline is 0
+MS_PER_S = 1000.0
 STALE_AFTER_OBJECTIVES = 2.0  # age of a run time, in latency objectives, from which it counts as stale
 STALE_TOLERANCE_S = 0.25  # the nodes check the age this often
 NODE_FAULTS = frozenset({Action.KILL, Action.TERM, Action.STOP})
@@ -63,12 +65,13 @@
     class had not been confirmed for more than ``STALE_AFTER_OBJECTIVES``.
     """
     objectives_s: dict[str, float] = {}
-    stale = decisions = 0
+    stale = 0
+    decisions = 0
     starts: Counter[str] = Counter()
     for record in records:
         fields = record.fields
         if record.kind == "start":
-            objectives_s |= {name: objective_ms / 1000.0 for name, objective_ms, _ in fields["classes"]}
+            objectives_s |= {name: objective_ms / MS_PER_S for name, objective_ms, _ in fields["classes"]}
         elif record.kind == "note":
             if found := _start_finding(fields):
                 starts[found] += 1
@@ -117,7 +120,7 @@
     @property
     def fault_s(self) -> float | None:
         """When the first node was disturbed."""
-        faults = [step.at_ms / 1000.0 for step in self.scenario.steps if step.do in NODE_FAULTS]
+        faults = [step.at_ms / MS_PER_S for step in self.scenario.steps if step.do in NODE_FAULTS]
         return faults[0] if faults else None
 
     @property
@@ -125,9 +128,9 @@
         return range(self.seconds if self.fault_s is None else int(self.fault_s), self.seconds)
 
     def services_by_second(self, name: str) -> list[Any]:
-        """Return a count of the services, which they keep by second of their clock, by second of the run."""
+        """Return a count that the services made by second of their clock, by second of the run."""
         counts = self.services[name]
-        begin = int(self.traffic["begin"] // 1000)
+        begin = int(self.traffic["begin"] // MS_PER_S)
         return [counts.get(str(begin + second), 0) for second in range(self.seconds)]
 
     def largest_after_fault(self, name: str) -> float:
@@ -154,7 +157,8 @@
 
 
 def _request_figures(reports: _Reports) -> dict[str, Any]:
-    traffic, keyed_runs = reports.traffic, reports.services["keyed"]
+    traffic = reports.traffic
+    keyed_runs = reports.services["keyed"]
     tries = traffic["tries"]
     return {
         "asked": int(sum(reports.table["asked"])),
@@ -172,10 +176,11 @@
 
 
 def _service_figures(reports: _Reports) -> dict[str, Any]:
-    table, after = reports.table, reports.seconds_after_fault
+    table = reports.table
+    after = reports.seconds_after_fault
     calm = range(min(SETTLING_SECONDS, after.start), after.start)
     value_asked = sum(table["worth_asked"][second] for second in calm)
-    baseline = sum(table["worth"][second] for second in calm) / max(1e-9, value_asked)
+    baseline = sum(table["worth"][second] for second in calm) / max(MIN_VALUE_ASKED, value_asked)
     recovery = Recovery(0.0, 0)
     if reports.fault_s is not None:
         recovery = measure_recovery(_service_by_second(reports), reports.fault_s, baseline)
@@ -199,11 +204,11 @@
 def _database_figures(reports: _Reports) -> dict[str, Any]:
     scenario = reports.scenario
     capacity_per_s = scenario.database_per_s
-    held_max = DATABASE_CALLS_PER_SLOT_MAX * scenario.slots
+    calls_max = DATABASE_CALLS_PER_SLOT_MAX * scenario.slots
     return {
         "database_per_s": round(capacity_per_s, 1),
         "database_peak_over_capacity": round(reports.largest_after_fault("calls") / capacity_per_s, 3),
-        "database_held_over_limit": round(reports.largest_after_fault("held") / held_max, 3),
+        "database_held_over_limit": round(reports.largest_after_fault("held") / calls_max, 3),
         "database_refused": reports.services["database_refused"],
         "old_lives": reports.services["old_lives"],
     }
--- a/snowthread/lab/timeline.py
+++ b/snowthread/lab/timeline.py
@@ -8,16 +8,16 @@
 
 from snowthread.lab import state_damage
 from snowthread.lab.fleet import Fleet, state_folder
-from snowthread.lab.plan import Action, LinkName, Step
 from snowthread.lab.processes import NodeProcess
+from snowthread.lab.scenario import Action, LinkName, Step
 
-SIGNALS = {
+SIGNAL_OF_ACTION = {
     Action.KILL: signal.SIGKILL,
     Action.TERM: signal.SIGTERM,
     Action.STOP: signal.SIGSTOP,
     Action.CONT: signal.SIGCONT,
 }
-STATE_DAMAGE = {
+DAMAGE_OF_ACTION = {
     Action.WIPE: state_damage.wipe,
     Action.TEAR: state_damage.truncate_files,
     Action.SPOIL: state_damage.corrupt_files,
@@ -26,7 +26,7 @@
 
 
 class Timeline:
-    """Applies steps to a fleet, and keeps which ones it applied."""
+    """Applies steps to a fleet, and records which ones it applied."""
 
     def __init__(self, fleet: Fleet) -> None:
         """Apply nothing until :meth:`schedule`."""
@@ -59,12 +59,12 @@
                 services.send(f"generation {self._generation}")
 
     def _apply_to_node(self, node: NodeProcess, step: Step) -> None:
-        if step.do in SIGNALS:
-            self._fleet.signal_node(node, SIGNALS[step.do])
+        if step.do in SIGNAL_OF_ACTION:
+            self._fleet.signal_node(node, SIGNAL_OF_ACTION[step.do])
         elif step.do is Action.START:
             self._fleet.restart_node(node)
-        elif step.do in STATE_DAMAGE:
-            STATE_DAMAGE[step.do](state_folder(node.folder))
+        elif step.do in DAMAGE_OF_ACTION:
+            DAMAGE_OF_ACTION[step.do](state_folder(node.folder))
         elif step.link:
             self._apply_to_link(node, step)
 
@@ -77,7 +77,8 @@
             case Action.PARTITION:
                 faults.partitioned = True
             case Action.DELAY:
-                faults.delay_ms, faults.jitter_ms = step.value, step.jitter_ms
+                faults.delay_ms = step.value
+                faults.jitter_ms = step.jitter_ms
             case Action.BANDWIDTH:
                 faults.bytes_per_s = step.value
             case Action.CUT:
--- a/tests/lab/test_address_reservation.py
+++ b/tests/lab/test_address_reservation.py
@@ -21,7 +21,7 @@
 from snowthread.lab.cores import CoreAllocation
 from snowthread.lab.demo_fleet import DemoFleet
 from snowthread.lab.fleet import Fleet
-from snowthread.lab.plan import read_scenario
+from snowthread.lab.scenario_file import read_scenario
 from snowthread.net.clock import Clock
 from snowthread.net.loop import EventLoop
 
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -52,7 +52,7 @@
 
 SCENARIOS = {
     "service": FleetScenario(KILL_TWO, recovery=False),
-    "kept": FleetScenario(
+    "intact": FleetScenario(
         KILL_TWO + step("partition", "3200ms", link="roster", nodes=["n2"], **{"for": "2s"})
     ),
     "wiped": FleetScenario(KILL_TWO + WIPE_TWO),
@@ -123,7 +123,7 @@
     assert summary["asked"] > 400 and summary["tries"]["repeats"] > 100
     assert summary["answered_twice"] == summary["spoilt"] == 0
     # Some twenty processes share the test's cores, and a host may hold them all up for a while: a few answers
-    # are late by 110 ms and more then. The benchmark, which tells how much was stolen, allows none.
+    # are late by 110 ms and more then. The benchmark, which reports how much was stolen, allows none.
     assert summary["lost"] <= 0.01 * summary["asked"] and summary["late"] <= 0.05 * summary["asked"]
     assert 0 < summary["gone_with_node"] < 150  # open at the kills and the stop, and only those
     assert summary["alive_by_s"][-1] == 3 and min(summary["alive_by_s"]) < 3
@@ -138,10 +138,10 @@
             assert result_of(name).summary["keyed_runs_doubled"] == 0, name
 
 
-def test_kept_state_is_trusted_and_keys_of_the_earlier_incarnation_are_indeterminate(
+def test_intact_state_is_trusted_and_keys_of_the_earlier_incarnation_are_indeterminate(
     result_of: Results,
 ) -> None:
-    result = result_of("kept")
+    result = result_of("intact")
     starts = result.summary["starts"]
     assert starts["ring whole"] == 5 and starts["snapshot fresh"] == 2
     assert ", all for" not in result.log("n1", 2)  # not all keys, as with wiped state
@@ -155,7 +155,7 @@
     assert "all for 5.3 s" in result.log("n1", 2)
     assert starts["life"] == 2  # the count was lost too: the registry knows the earlier incarnations
     assert result.summary["old_lives"] >= 2
-    assert result.summary["tries"]["Failed"] > result_of("kept").summary["tries"]["Failed"]
+    assert result.summary["tries"]["Failed"] > result_of("intact").summary["tries"]["Failed"]
 
 
 def test_torn_state_and_an_older_generation_are_reported_and_not_trusted(result_of: Results) -> None:
@@ -164,7 +164,7 @@
     assert starts["snapshot torn"] == 1 and starts["snapshot older"] == 1 and "snapshot fresh" not in starts
 
 
-def test_node_restarted_within_the_window_keeps_keys_indeterminate_to_its_end(result_of: Results) -> None:
+def test_node_restarted_within_the_window_has_keys_indeterminate_to_its_end(result_of: Results) -> None:
     result = result_of("twice")
     assert result.summary["lives"]["n1"] == 3
     third = result.log("n1", 3)
@@ -180,14 +180,15 @@
 
 
 def test_partition_from_the_registry_delays_no_node(result_of: Results) -> None:
-    result = result_of("kept")
+    result = result_of("intact")
     assert "snapshot: fresh" in result.log("n2", 2)  # confirmed once the link is back
     assert result.summary["service_by_s"][-1] > 0.5
 
 
 def test_foreign_keys_never_run_and_foreign_requests_are_rejected_first(result_of: Results) -> None:
     summary = result_of("foreign").summary
-    own, foreign = summary["homes"]["own"], summary["homes"]["foreign"]
+    own = summary["homes"]["own"]
+    foreign = summary["homes"]["foreign"]
     assert summary["foreign_keys_run"] == 0 and summary["keys_run"] > 50
     assert foreign["dispense failed"] == foreign["dispense asked"] > 20 and own.get("dispense failed", 0) < 5
 
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -125,7 +125,9 @@
 
 
 def test_jitter_keeps_the_order_of_a_connection() -> None:
-    faults, pacing, generator = LinkFaults(delay_ms=10.0, jitter_ms=100.0), Pacing(0), random.Random(3)
+    faults = LinkFaults(delay_ms=10.0, jitter_ms=100.0)
+    pacing = Pacing(0)
+    generator = random.Random(3)
     times = [release_ms(faults, pacing, float(at), 10, generator) for at in range(0, 100, 5)]
     assert times == sorted(times) and len(set(times)) > 5
 
--- a/tests/lab/test_plan.py
+++ b/tests/lab/test_scenario_file.py
@@ -7,7 +7,8 @@
 import pytest
 
 from snowthread.config import ConfigError
-from snowthread.lab.plan import plan_lines, read_scenario
+from snowthread.lab.scenario import plan_lines
+from snowthread.lab.scenario_file import read_scenario
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -19,12 +20,11 @@
 
 
 def test_example_gives_the_same_plan_twice_and_simultaneous_steps_the_same_nodes() -> None:
-    first, second = (
-        read_scenario(ROOT / "deploy" / "restart.hcl"),
-        read_scenario(ROOT / "deploy" / "restart.hcl"),
-    )
+    path = ROOT / "deploy" / "restart.hcl"
+    first = read_scenario(path)
+    second = read_scenario(path)
     assert plan_lines(first) == plan_lines(second)
-    kill, wipe = first.steps[0], first.steps[1]
+    kill, wipe = first.steps[:2]
     assert (kill.do, wipe.do) == ("kill", "wipe") and kill.nodes == wipe.nodes and len(kill.nodes) == 4
     assert [step.do for step in first.steps] == ["kill", "wipe", "slow", "start", "heal"]
 
