--- a/snowthread/config.py
+++ b/snowthread/config.py
@@ -19,6 +19,7 @@
 from snowthread.admission.controller import Controller
 from snowthread.admission.settings import Dependency, Settings
 from snowthread.admission.settings_parser import parse_settings
+from snowthread.config_shape import Shape, missing_key, shape_of
 
 CONFIG_ERROR_STATUS = 2
 """Exit status for a configuration that can't be used, as click has it for a wrong command line."""
@@ -50,38 +51,6 @@
         return ConfigError(self.reason, key=self.key, path=path)
 
 
-Shape = dict[str, Any]
-"""The keys of an object, each with the shape of its value; of a list of objects, the keys that all have."""
-
-
-def shape_of(value: object) -> Shape:
-    """Return the keys in a value, however deep."""
-    if isinstance(value, dict):
-        return {key: shape_of(inner) for key, inner in value.items()}
-    if isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
-        common = set.intersection(*(set(item) for item in value))
-        return {key: shape_of(value[0][key]) for key in sorted(common)}
-    return {}
-
-
-def missing_key(value: object, shape: Shape, prefix: str = "") -> str | None:
-    """Return the first key of the shape that the value lacks, with the keys round it, or None.
-
-    A key with an empty value is not missing: what it may contain is checked elsewhere.
-    """
-    if isinstance(value, list):
-        return next(filter(None, (missing_key(item, shape, prefix) for item in value)), None)
-    if not isinstance(value, dict):
-        return None
-    for key, inner_shape in shape.items():
-        if key not in value:
-            return prefix + key
-        found = missing_key(value[key], inner_shape, f"{prefix}{key}: ")
-        if found is not None:
-            return found
-    return None
-
-
 @dataclass(frozen=True, slots=True)
 class Config:
     """A checked configuration."""
--- a/snowthread/node/signals.py
+++ b/snowthread/node/signals.py
@@ -41,7 +41,8 @@
 
     def start(self) -> None:
         """Listen from now on; signals that were blocked so far arrive at once."""
-        reader, writer = self._sockets = socket.socketpair()
+        reader, writer = socket.socketpair()
+        self._sockets = (reader, writer)
         reader.setblocking(False)
         writer.setblocking(False)
         signal.set_wakeup_fd(writer.fileno())
--- a/tests/core/test_configuration_file.py
+++ b/tests/core/test_configuration_file.py
@@ -11,7 +11,8 @@
 import pytest
 from support.exchange import EXAMPLE, ExchangePlayer
 
-from snowthread.config import Config, ConfigError, load, missing_key, shape_of
+from snowthread.config import Config, ConfigError, load
+from snowthread.config_shape import missing_key, shape_of
 from snowthread.reload import reload
 
 
