--- a/snowthread/frontends/admin/server.py
+++ b/snowthread/frontends/admin/server.py
@@ -38,7 +38,7 @@
     def __init__(self, loop: EventLoop, address: Address, routes: RouteTable) -> None:
         self._loop = loop
         self._routes = dict(routes)
-        self._listener = _open_listener(address)
+        self._listener = open_listener(address, LISTEN_BACKLOG)
         self._clients: dict[_Client, None] = {}  # the oldest first
         loop.spawn(self._accept())
 
@@ -134,15 +134,3 @@
             rejection = AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, f"{route.method} is wanted")
             return encode(rejection, {"Allow": route.method})
         return encode(route.handler())
-
-
-def _open_listener(address: Address) -> socket.socket:
-    """Return a listening socket.
-
-    Raises:
-        OSError: the address is not available; the error names it, as the balancers' one may also fail.
-    """
-    try:
-        return open_listener(address, LISTEN_BACKLOG)
-    except OSError as error:
-        raise OSError(error.errno, error.strerror, f"{address.host}:{address.port}") from None
--- a/snowthread/net/listening.py
+++ b/snowthread/net/listening.py
@@ -9,22 +9,33 @@
 from snowthread.address import Address
 
 
+class ListenError(OSError):
+    """An address at which no socket can listen; ``filename`` has it as text."""
+
+    def __init__(self, address: Address, cause: OSError) -> None:
+        super().__init__(cause.errno, cause.strerror, f"{address.host}:{address.port}")
+        self.address = address
+
+
 def open_listener(address: Address, backlog: int) -> socket.socket:
     """Return a new socket that listens at an address.
 
     The kernel queues ``backlog`` connections until they are accepted.
 
     Raises:
-        OSError: the address is not available.
+        ListenError: the address is not available, or no descriptor is left.
     """
-    listener = address.open(socket.SOCK_STREAM)
+    try:
+        listener = address.open(socket.SOCK_STREAM)
+    except OSError as error:
+        raise ListenError(address, error) from None
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(address)
         listener.listen(backlog)
-    except OSError:
+    except OSError as error:
         listener.close()
-        raise
+        raise ListenError(address, error) from None
     return listener
 
 
--- a/tests/net/test_listening.py
+++ b/tests/net/test_listening.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import errno
 import os
 import socket
 
@@ -9,15 +10,18 @@
 from support.exchange import loopback
 
 from snowthread.address import Address
-from snowthread.net.listening import adopt_listener, open_listener
+from snowthread.net.listening import ListenError, adopt_listener, open_listener
 
 
 def test_inherited_listener_is_shared_and_other_sockets_are_rejected() -> None:
     with loopback(socket.SOCK_STREAM) as original, loopback(socket.SOCK_DGRAM) as datagrams:
         with pytest.raises(OSError, match="does not listen"):
             adopt_listener(os.dup(datagrams.fileno()))
-        with pytest.raises(OSError):
-            open_listener(Address(*original.getsockname()), backlog=1)  # in use: only the descriptor helps
+        address = Address(*original.getsockname())
+        with pytest.raises(ListenError) as caught:
+            open_listener(address, backlog=1)  # in use: only the descriptor helps
+        assert (caught.value.address, caught.value.errno) == (address, errno.EADDRINUSE)
+        assert caught.value.filename == "{}:{}".format(*address)
         adopted = adopt_listener(os.dup(original.fileno()))
         with socket.create_connection(original.getsockname()), adopted:
             assert adopted.accept()[0].getsockname() == original.getsockname()
