--- a/snowthread/clients/database.py
+++ b/snowthread/clients/database.py
@@ -91,8 +91,8 @@
     def _close_longest_idle(self) -> None:
         """Close the longest idle connection in the loop's next round.
 
-        It may be the one whose task completed its call and so brought us here; a task cannot be ended from
-        within.
+        It may be the one whose task completed its call and so started the next one; a task cannot be ended
+        from within.
         """
         self._wake(self._idle.pop_longest_idle())
 
--- a/snowthread/clients/idle_connections.py
+++ b/snowthread/clients/idle_connections.py
@@ -8,7 +8,7 @@
 from snowthread.clients.database_connection import DatabaseConnection
 
 IDLE_CONNECTIONS_MAX = 12
-MIN_IDLE_MS = 30.0  # before a connection's next call: surplus bytes behind a reply show by then
+MIN_IDLE_MS = 30.0  # before a connection's next call: surplus bytes behind a reply have arrived by then
 
 
 class IdleConnections:
--- a/snowthread/clients/runtime.py
+++ b/snowthread/clients/runtime.py
@@ -1,4 +1,4 @@
-"""The runtime's client: connects again and again, sends commands in order and posts each notice once.
+"""The runtime's client: reconnects, sends commands in order and posts each notice once.
 
 :mod:`.runtime_link` has the timeouts of one link, :mod:`.command_queue` what is unsent on it and
 :mod:`.runtime_codec` the protocol.
--- a/snowthread/config.py
+++ b/snowthread/config.py
@@ -75,8 +75,7 @@
 def load(environment: Mapping[str, str], previous: Config | None = None) -> Config:
     """Return the configuration that the environment names.
 
-    It may lack no key that the ``previous`` one had: half a file would else pass for one that leaves things
-    out.
+    It may lack no key that the ``previous`` one had: a truncated file would be taken for one that omits them.
 
     Raises:
         ConfigError: the file, a field or a variable can't be used.
--- a/snowthread/config_shape.py
+++ b/snowthread/config_shape.py
@@ -1,4 +1,4 @@
-"""Which keys a configuration file has: one that lacks a key that it had before may be half a file."""
+"""Which keys a configuration file has: one that lacks a key it had before may be truncated."""
 
 from __future__ import annotations
 
--- a/snowthread/frontends/balancers/sweeper.py
+++ b/snowthread/frontends/balancers/sweeper.py
@@ -43,7 +43,7 @@
                 if self._has_expired(connection, now_ms, closes_after_farewell):
                     _close_expired(connection)
         self._abort_largest_unsent()
-        self._retire_idle(now_ms)
+        self._send_farewell_to_idle(now_ms)
 
     def _has_expired(
         self, connection: BalancerConnection, now_ms: float, closes_after_farewell: bool
@@ -78,7 +78,7 @@
             unsent_bytes -= connection.unsent_bytes
             connection.abort()
 
-    def _retire_idle(self, now_ms: float) -> None:
+    def _send_farewell_to_idle(self, now_ms: float) -> None:
         """Send a farewell to connections that are idle too long, or too many."""
         excess = len(self._idle_since_ms) - self.max_idle_connections
         for number, since_ms in list(self._idle_since_ms.items()):
--- a/snowthread/net/connect.py
+++ b/snowthread/net/connect.py
@@ -23,7 +23,7 @@
         self.loop = loop
         self.deadline_ms = deadline_ms
         self.sock: socket.socket | None = None
-        self.failure = Failure(Progress.NOT_CONNECTED, "not tried")
+        self.failure = Failure(Progress.NOT_CONNECTED, "not attempted")
 
     def steps(self) -> TaskSteps:
         """Connect, or set ``failure``."""
--- a/snowthread/node/descriptors.py
+++ b/snowthread/node/descriptors.py
@@ -36,7 +36,7 @@
     def balancer_connections_beside(self, peer_descriptors: int) -> int:
         """Return the most balancer connections while a peer process has so many descriptors open.
 
-        Both processes of a node share its limit. What the reserve covers anyway takes nothing away.
+        Both processes of a node share its limit. Descriptors that the reserve covers are not subtracted.
         """
         covered = RESERVED_DESCRIPTORS - PROCESS_DESCRIPTORS
         return self.balancer_connections - max(0, peer_descriptors - covered)
--- a/snowthread/node/shutdown.py
+++ b/snowthread/node/shutdown.py
@@ -119,6 +119,6 @@
         node.stop()
 
     def _has_unread_work(self) -> bool:
-        """Read what lies in the sockets: where the loop was late, the quiet may be its own."""
+        """Read what has arrived and return whether it is work: a late loop is quiet as it read nothing."""
         self._node.balancers.read_pending()
         return self._node.balancers.busy
--- a/tests/frontends/test_admin.py
+++ b/tests/frontends/test_admin.py
@@ -92,5 +92,8 @@
 def test_invalid_environment_variable_is_named_in_the_error(environment: dict[str, str], named: str) -> None:
     with pytest.raises(ConfigError, match=named):
         load({"NODE_CONFIG": str(EXAMPLE)} | environment)
+
+
+def test_environment_variables_name_the_listener_and_the_admin_address() -> None:
     config = load({"NODE_CONFIG": str(EXAMPLE), "NODE_FD": "3", "NODE_ADMIN_ADDR": "127.0.0.1:9"})
     assert config.listen_descriptor == 3 and config.admin == ("127.0.0.1", 9)
