--- a/snowthread/console/cli.py
+++ b/snowthread/console/cli.py
@@ -34,7 +34,8 @@
     from snowthread.console.screen import ViewOptions, render_text
     from snowthread.records.reader import Findings, merge
 
-    fleet, look = Fleet(), ViewOptions(sort, only)
+    fleet = Fleet()
+    look = ViewOptions(sort, only)
     if once or not sys.stdout.isatty():
         for record in merge(places, Findings()):
             fleet.add(record)
--- a/snowthread/console/keyboard.py
+++ b/snowthread/console/keyboard.py
@@ -19,7 +19,7 @@
         self._saved: list[Any] | None = None  # the terminal's attributes, while it is a terminal
 
     def __enter__(self) -> Keyboard:
-        """Stop the terminal from waiting for whole lines."""
+        """Stop the terminal from waiting for complete lines."""
         if sys.stdin.isatty():
             self._saved = termios.tcgetattr(sys.stdin)
             tty.setcbreak(sys.stdin)
--- a/snowthread/console/model.py
+++ b/snowthread/console/model.py
@@ -67,8 +67,12 @@
         self.history.append(self.read)
 
     def _update_counts(self, fields: Fields) -> None:
-        self.read = self.served_in_time = self.rejected = self.failed = 0
-        self.rejections, self.tenants = {}, {}
+        self.read = 0
+        self.served_in_time = 0
+        self.rejected = 0
+        self.failed = 0
+        self.rejections = {}
+        self.tenants = {}
         for _class_name, tenant, counts in fields.get("totals", ()):
             self.read += counts.get("read", 0)
             self.served_in_time += counts.get("served", 0)
@@ -104,13 +108,13 @@
 
 
 class Fleet:
-    """All nodes that records tell of; ``now`` is the time of the newest record."""
+    """All nodes that appear in records; ``now`` is the time of the newest record."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, NodeView] = {}
         self.lines: deque[EventLine] = deque(maxlen=LINES_MAX)
         self.now = 0.0
-        self.left_out = 0  # records of nodes beyond those kept
+        self.left_out = 0  # records of nodes beyond NODES_MAX
 
     def add(self, record: Record) -> None:
         """Take one more record."""
@@ -119,12 +123,14 @@
             if len(self.nodes) >= NODES_MAX:
                 self.left_out += 1
                 return
-            view = self.nodes[record.node] = NodeView(record.node)
+            view = NodeView(record.node)
+            self.nodes[record.node] = view
         self.now = max(self.now, record.at)
         if record.boot != view.boot:
             if record.kind != RecordKind.START and view.boot and record.at < view.at:
                 return  # of an earlier boot, read late
-            view.boot, view.recorded_state = record.boot, NodeState.UP
+            view.boot = record.boot
+            view.recorded_state = NodeState.UP
         view.at = record.at
         if record.kind == RecordKind.SECOND:
             view.update(record.fields)
--- a/snowthread/console/screen.py
+++ b/snowthread/console/screen.py
@@ -64,7 +64,7 @@
 
 
 def draw(fleet: Fleet, look: ViewOptions, width: int, height: int) -> RenderableType:
-    """Return the whole screen for so many columns and lines."""
+    """Return the screen for so many columns and lines."""
     views = fleet.shown(look.sort, look.only)
     rows = max(ROWS_MIN, (height - OTHER_LINES) * 2 // 3)
     page = _page(views, look.page, rows)
--- a/snowthread/console/tail.py
+++ b/snowthread/console/tail.py
@@ -1,4 +1,4 @@
-"""Follow files of records while they grow: whole frames only, each file from where it was left."""
+"""Follow files of records while they grow: complete frames only, each file from where it was left."""
 
 from __future__ import annotations
 
--- a/snowthread/incident/charts.py
+++ b/snowthread/incident/charts.py
@@ -12,7 +12,8 @@
 from snowthread.incident.times import format_clock
 
 POINTS_MAX = 240  # of one line: longer stretches are averaged
-WIDTH, HEIGHT = 900, 260  # in the chart's own units; the page scales them
+WIDTH = 900
+HEIGHT = 260  # in the chart's own units; the page scales them
 LABELS = 6  # times below the chart
 COLORS = ("#2b6cb0", "#c05621", "#2f855a", "#b83280", "#6b46c1", "#b7791f")
 READ = "read"  # legends of the lines
--- a/snowthread/incident/clock_fit.py
+++ b/snowthread/incident/clock_fit.py
@@ -96,7 +96,7 @@
 
     coefficients: Floats
     residuals: Floats
-    kept: Mask  # samples that were not left out
+    included: Mask  # samples that were not left out
     drift_columns: dict[int, int]  # by index of the segment
 
 
@@ -169,28 +169,28 @@
     """Fit repeatedly, each time without the samples whose delay was long, until these stay the same."""
     drift_columns = _drift_columns(samples)
     matrix = _design_matrix(samples, drift_columns)
-    kept: Mask = np.ones(len(samples.age_ms), dtype=bool)
+    included: Mask = np.ones(len(samples.age_ms), dtype=bool)
     for _ in range(ROUNDS):
-        solution = np.linalg.lstsq(matrix[kept], samples.age_ms[kept], rcond=None)[0]
+        solution = np.linalg.lstsq(matrix[included], samples.age_ms[included], rcond=None)[0]
         coefficients: Floats = np.asarray(solution, dtype=np.float64)
         residuals = samples.age_ms - matrix @ coefficients
-        median_residual = float(np.median(np.abs(residuals[kept])))
+        median_residual = float(np.median(np.abs(residuals[included])))
         near = residuals < OUTLIER_FACTOR * max(median_residual, RESIDUAL_MIN_MS)
-        if (near == kept).all() or not _covers_all_segments(near, samples):
+        if (near == included).all() or not _covers_all_segments(near, samples):
             break
-        kept = near
-    return _Fit(coefficients, residuals, kept, drift_columns)
+        included = near
+    return _Fit(coefficients, residuals, included, drift_columns)
 
 
-def _covers_all_segments(kept: Mask, samples: _Samples) -> bool:
-    return all((kept & (samples.segment == index)).any() for index in range(samples.segment_count))
+def _covers_all_segments(included: Mask, samples: _Samples) -> bool:
+    return all((included & (samples.segment == index)).any() for index in range(samples.segment_count))
 
 
 def _offset(group: int, index: int, samples: _Samples, fit: _Fit, start_ms: float) -> ClockOffset:
     own: Mask = samples.segment == index
-    kept = fit.kept & own
-    if kept.any():
-        spread_ms = float(np.quantile(np.abs(fit.residuals[kept]), BOUND_QUANTILE))
+    included = fit.included & own
+    if included.any():
+        spread_ms = float(np.quantile(np.abs(fit.residuals[included]), BOUND_QUANTILE))
     else:
         spread_ms = UNKNOWN_BOUND_MS
     drift_ppm = 0.0
--- a/snowthread/incident/event_episodes.py
+++ b/snowthread/incident/event_episodes.py
@@ -14,7 +14,7 @@
 SILENT_MS = 5_000.0  # a node that records nothing for so long, while others do, has crashed
 BOOT_OVERLAP_MS = 1000.0  # the next boot of a node may seem to begin so much before the end of the last
 CRASH_BOUND_MS = 1000.0
-OUTAGE_GAP_MS = 5_000.0  # at most, between outages of several nodes that are told as one
+OUTAGE_GAP_MS = 5_000.0  # at most, between outages of several nodes that make one episode
 DIRECTORY_LOST = "tenants.link_lost"  # events of the log
 DIRECTORY_REFRESHED = "tenants.refreshed"
 
@@ -132,7 +132,8 @@
     open_outages: dict[str, TimedEvent] = {}
     outages: list[_Outage] = []
     for event in series.events:
-        name, node = event.record.fields.get("event"), event.record.node
+        name = event.record.fields.get("event")
+        node = event.record.node
         if name == DIRECTORY_LOST:
             open_outages.setdefault(node, event)
         elif name == DIRECTORY_REFRESHED and node in open_outages:
--- a/snowthread/incident/figure_episodes.py
+++ b/snowthread/incident/figure_episodes.py
@@ -1,7 +1,7 @@
 """Find seconds that are unlike the rest in figures such as the duration of calls. Free of I/O.
 
 A figure's usual level is its median over all seconds, its spread the median distance from that: both hold as
-long as trouble fills less than half of the records. An episode begins where the figure lies above its upper
+long as faults fill less than half of the records. An episode begins where the figure lies above its upper
 threshold for some seconds in a row and ends where it has been at or below the lower one for some. Both lie
 many spreads away, so that chance does not make one in hundreds of quiet days.
 """
@@ -161,17 +161,20 @@
     """Return the seconds from where the figure is above its upper threshold until it is below the lower."""
     stretches: list[_Stretch] = []
     first: int | None = None
-    above = below = 0
+    above = 0
+    below = 0
     seconds = sorted(figure.by_second)
     for second in seconds:
         value = figure.by_second[second]
         above = above + 1 if value > figure.begin_above else 0
         below = below + 1 if value <= figure.end_at else 0
         if first is None and above >= BEGIN_S:
-            first, below = second - BEGIN_S + 1, 0
+            first = second - BEGIN_S + 1
+            below = 0
         elif first is not None and below >= END_S:
             stretches.append(_Stretch(first, second - END_S))
-            first, above = None, 0
+            first = None
+            above = 0
     if first is not None:
         last = seconds[-1]
         stretches.append(_Stretch(first, last, open_ended=figure.by_second[last] > figure.end_at))
--- a/snowthread/incident/report.py
+++ b/snowthread/incident/report.py
@@ -62,7 +62,7 @@
         return orjson.dumps(self.to_dict(), option=orjson.OPT_INDENT_2)
 
     def html(self) -> str:
-        """Return the whole page."""
+        """Return the page."""
         environment = Environment(
             loader=PackageLoader("snowthread.incident", "."),
             autoescape=True,
@@ -83,7 +83,7 @@
         )
 
     def _charts(self) -> list[str]:
-        """Return the charts of the whole fleet and of each class."""
+        """Return the charts of the fleet and of each class."""
         charts = [fleet_chart(self.series)] if self.series.nodes else []
         return charts + [class_chart(name, rows) for name, rows in sorted(self.series.classes.items())]
 
--- a/snowthread/incident/series.py
+++ b/snowthread/incident/series.py
@@ -81,7 +81,7 @@
     events: list[TimedEvent] = field(default_factory=list)
     boots: dict[BootId, BootSummary] = field(default_factory=dict)
     lost: int = 0  # records that are known to be missing
-    events_left_out: int = 0  # beyond those kept
+    events_left_out: int = 0  # beyond the limit
 
     @property
     def span(self) -> tuple[int, int]:
@@ -116,7 +116,8 @@
 def _add_to_boot(series: Series, record: Record, at: float) -> None:
     boot = series.boots.get(record.boot_id)
     if boot is None:
-        boot = series.boots[record.boot_id] = BootSummary(record.boot_id, at, at)
+        boot = BootSummary(record.boot_id, at, at)
+        series.boots[record.boot_id] = boot
     boot.extend(at)
     if record.number > 0:
         boot.last = record.key
--- a/snowthread/incident/timeline.py
+++ b/snowthread/incident/timeline.py
@@ -3,7 +3,7 @@
 Order: an episode is said to be before another only where their starts lie further apart than the bounds of
 both together. Cause: requests that were not served are attributed to another episode only where that began
 before or with them and went on, or had ended just before; where several qualify, all are named and the
-records are said not to tell which.
+report says that the records do not show which.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
 
 
 def began_before(episode: Episode, other: Episode) -> bool | None:
-    """Return whether an episode began before another; None if the clocks do not tell."""
+    """Return whether an episode began before another; None if the clocks do not show it."""
     if abs(episode.start - other.start) <= episode.bound_ms + other.bound_ms:
         return None
     return episode.start < other.start
