--- a/snowthread/frontends/balancers/codec.py
+++ b/snowthread/frontends/balancers/codec.py
@@ -46,7 +46,7 @@
 
 def decode(message: object) -> DecodedMessage:
     """Return what an unpacked message says."""
-    if not isinstance(message, list | tuple) or len(message) < MIN_ELEMENTS:
+    if not isinstance(message, (list, tuple)) or len(message) < MIN_ELEMENTS:
         return InvalidMessage(None, Violation.NOT_A_MESSAGE)
     if (
         message[0] == NOTIFICATION_KIND
--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -24,6 +24,10 @@
 
 MIN_CONNECTION_LIMIT = 8  # connections that are allowed however low the limit is set
 
+# Types of responses, in tuples: a union written where it is used is made anew for each response.
+_REFUNDING = (effects.Served, effects.Rejected)
+_WITHOUT_RESULT = (effects.Rejected, effects.Failed)
+
 
 class BalancerServer:
     """Owns all balancers' connections."""
@@ -159,9 +163,9 @@
         if connection is None or number not in connection.open_numbers:
             return
         connection.open_numbers.discard(number)
-        if isinstance(effect.response, effects.Served | effects.Rejected):
+        if isinstance(effect.response, _REFUNDING):
             connection.abuse_budget.refund()
-        if isinstance(effect.response, effects.Rejected | effects.Failed):
+        if isinstance(effect.response, _WITHOUT_RESULT):
             _log_without_result(effect.response)
         connection.write(encode(number, effect.response, effect.load_report))
         if self._draining and not connection.open_numbers:
