--- a/tests/node/test_site_settings.py
+++ b/tests/node/test_site_settings.py
@@ -2,6 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
+from typing import Any
+
 import pytest
 from support.node_harness import START, NodeHarness, StartNode
 from support.node_peers import (
@@ -22,20 +25,38 @@
 CLASS_DEADLINE_MS = 5300.0  # of the class "recalc", in the example
 
 
+@pytest.fixture
+def fields(below: str) -> Iterator[dict[str, Any]]:
+    """Return the configuration of a node that could be made with what is below it."""
+    harness = NodeHarness(settings=example_settings(below=below))
+    yield harness.fields
+    harness.close()
+
+
 @pytest.mark.parametrize("below", ["shared", "tier", "silent"])
-def test_database_address_is_required_only_where_runs_make_calls(below: str) -> None:
-    fields = NodeHarness(settings=example_settings(below=below)).fields
+def test_database_address_is_valid_or_an_error_whatever_is_below(fields: dict[str, Any]) -> None:
     assert config.parse(fields).database is not None
-    for absent in ("", None):
-        if below == "silent":
-            assert config.parse(fields | {"index": absent}).database is None
-        else:
-            with pytest.raises(config.ConfigError, match="index: an address is wanted"):
-                config.parse(fields | {"index": absent})
     with pytest.raises(config.ConfigError, match="index: 'nowhere'"):
         config.parse(fields | {"index": "nowhere"})
 
 
+@pytest.mark.parametrize("absent", ["", None])
+@pytest.mark.parametrize("below", ["shared", "tier"])
+def test_database_address_is_required_where_runs_make_calls(
+    fields: dict[str, Any], absent: str | None
+) -> None:
+    with pytest.raises(config.ConfigError, match="index: an address is wanted"):
+        config.parse(fields | {"index": absent})
+
+
+@pytest.mark.parametrize("absent", ["", None])
+@pytest.mark.parametrize("below", ["silent"])
+def test_database_address_may_be_absent_where_runs_make_no_calls(
+    fields: dict[str, Any], absent: str | None
+) -> None:
+    assert config.parse(fields | {"index": absent}).database is None
+
+
 def test_call_without_a_database_is_skipped_and_its_run_is_answered(start_node: StartNode) -> None:
     harness = start_node(
         settings=example_settings(below="silent", class_skip_worth=[0.6, 0.0, 0.0]), index=""
--- a/tests/stored/test_hot_restart_messages.py
+++ b/tests/stored/test_hot_restart_messages.py
@@ -165,7 +165,7 @@
 
     def start_node(self) -> ExchangePlayer:
         """Start the node; it takes its role by what it finds in the folder."""
-        self.player = ExchangePlayer(door=os.dup(self.door.fileno()), folder=str(self.folder))
+        self.player = ExchangePlayer(os.dup(self.door.fileno()), str(self.folder))
         self.player.settle()
         return self.player
 
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -57,8 +57,10 @@
 class ExchangePlayer(NodeHarness):
     """A node and its peers, which do what an exchange says."""
 
-    def __init__(self, door: int | None = None, folder: str | None = None, **changes: Any) -> None:
-        super().__init__(door, folder, **changes)
+    def __init__(
+        self, listen_descriptor: int | None = None, handover_directory: str | None = None, **changes: Any
+    ) -> None:
+        super().__init__(listen_descriptor, handover_directory, **changes)
         self.index = address(self.listeners["index"]).encode()
         self._named_steps: dict[str, Callable[[Step], None]] = {
             "clock": self._step_clock,
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -110,7 +110,7 @@
     def _start_process(self) -> ExchangePlayer:
         exit_descriptor, alive_descriptor = os.pipe()
         self._exit_descriptors.append(exit_descriptor)
-        player = ExchangePlayer(door=os.dup(self._listening.fileno()), folder=self._directory)
+        player = ExchangePlayer(os.dup(self._listening.fileno()), self._directory)
         self._alive_descriptors[id(player)] = alive_descriptor
         self.all.append(player)
         return player
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -51,17 +51,22 @@
     ``roster`` (the registry) is a datagram socket. Balancers and operators connect under names of their own.
     """
 
-    def __init__(self, door: int | None = None, folder: str | None = None, **changes: Any) -> None:
-        """Make a node with changes to the example's configuration; ``door`` is a listening descriptor."""
+    def __init__(
+        self, listen_descriptor: int | None = None, handover_directory: str | None = None, **changes: Any
+    ) -> None:
+        """Make a node with changes to the example's configuration."""
         self.listeners = {"runtime": loopback(socket.SOCK_STREAM), "index": loopback(socket.SOCK_STREAM)}
         self.peers: dict[str, socket.socket] = {"roster": loopback(socket.SOCK_DGRAM)}
         fields: dict[str, Any] = json.loads(EXAMPLE.read_bytes())
         fields |= {name: address(sock) for name, sock in (self.listeners | self.peers).items()}
         self.clock = ManualClock(START)
         self.fields = fields | {"listen": "127.0.0.1:0", "admin_addr": "127.0.0.1:0"} | changes
-        self.node = Node(
-            replace(config.parse(self.fields), listen_descriptor=door, handover_directory=folder), self.clock
+        parsed = replace(
+            config.parse(self.fields),
+            listen_descriptor=listen_descriptor,
+            handover_directory=handover_directory,
         )
+        self.node = Node(parsed, self.clock)
         self.ended = False  # whether the peer that was received from last was closed by the node
 
     def close(self) -> None:
