--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -46,15 +46,8 @@
 
     def run_load(self) -> RunLoad:
         """Return the controller's count of runs and the limits that it is compared with."""
-        open_requests = self.state.open_requests
-        return RunLoad(
-            running=open_requests.cores.running,
-            indeterminate=open_requests.cores.indeterminate,
-            excess_runs=open_requests.cores.excess_runs,
-            at_calls=len(open_requests.calls),
-            limit=self.concurrency.limit,
-            ceiling=self.concurrency.ceiling(self.state.age_s(self._now)),
-        )
+        ceiling = self.concurrency.ceiling(self.state.age_s(self._now))
+        return RunLoad.of(self.state.open_requests, self.concurrency.limit, ceiling)
 
     def handle(self, now: float, event: events.Event) -> list[Action]:
         """Take one event, at ``now`` seconds, and return what to do about it, in order."""
--- a/snowthread/admission/run_load.py
+++ b/snowthread/admission/run_load.py
@@ -4,6 +4,8 @@
 
 from dataclasses import dataclass
 
+from snowthread.admission.open_requests import OpenRequests
+
 
 @dataclass(frozen=True, slots=True)
 class RunLoad:
@@ -16,6 +18,13 @@
     limit: float
     ceiling: float
 
+    @classmethod
+    def of(cls, open_requests: OpenRequests, limit: float, ceiling: float) -> RunLoad:
+        """Return the present counts, with these limits."""
+        cores = open_requests.cores
+        at_calls = len(open_requests.calls)
+        return cls(cores.running, cores.indeterminate, cores.excess_runs, at_calls, limit, ceiling)
+
     def __str__(self) -> str:
         return (
             f"{self.running} runs counted, {self.indeterminate} of them indeterminate, "
