--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -11,19 +11,18 @@
 from snowthread.admission.timer_queue import DEADLINE_TIMER, UPDATE_TIMER
 
 
-def test_a_call_with_effects_is_retried_only_where_it_never_ran() -> None:
-    for outcome, again in (
-        (Outcome.TIMED_OUT, False),
-        (Outcome.DISCONNECTED, False),
-        (Outcome.OVERLOADED, True),
-    ):
-        controller = started_controller(dependency=Dependency.TIER)
-        arrive(controller, 0.1, 1, "once")
-        assert request_ids(controller.handle(0.2, CallNeeded(1)), StartCall) == [1]
-        now = controller.handle(0.3, CallFinished(1, outcome, 0.1))
-        later = controller.handle(0.4, TimerFired(DEADLINE_TIMER))
-        assert (request_ids(later, StartCall) == [1]) is again
-        assert (request_ids(now, Fail) == [1]) is not again
+@pytest.mark.parametrize(
+    ("outcome", "again"),
+    [(Outcome.TIMED_OUT, False), (Outcome.DISCONNECTED, False), (Outcome.OVERLOADED, True)],
+)
+def test_a_call_with_effects_is_retried_only_where_it_never_ran(outcome: Outcome, again: bool) -> None:
+    controller = started_controller(dependency=Dependency.TIER)
+    arrive(controller, 0.1, 1, "once")
+    assert request_ids(controller.handle(0.2, CallNeeded(1)), StartCall) == [1]
+    now = controller.handle(0.3, CallFinished(1, outcome, 0.1))
+    later = controller.handle(0.4, TimerFired(DEADLINE_TIMER))
+    assert (request_ids(later, StartCall) == [1]) is again
+    assert (request_ids(now, Fail) == [1]) is not again
 
 
 def test_calls_in_flight_stay_within_the_quota() -> None:
@@ -127,18 +126,20 @@
     assert request_ids(controller.handle(1.13, TimerFired(DEADLINE_TIMER)), StartCall) == [31]
 
 
-def test_a_quota_of_zero_makes_no_call_and_a_tiny_one_is_charged_what_calls_used() -> None:
-    for share, most in ((0.0, 0), (0.02, 2)):
-        controller = started_controller(
-            dependency=Dependency.SHARED, call_quota=share, call_quota_window_s=5.0, abandoned_call_s=0.2
-        )
-        made = 0
-        for n in range(1, 12):
-            arrive(controller, 3.0 * n, n, "once")
-            calls = request_ids(controller.handle(3.0 * n, CallNeeded(n)), StartCall)
-            made += len(calls)
-            if calls:
-                controller.handle(3.0 * n + 0.05, CallFinished(n, Outcome.TIMED_OUT, 0.05))
-            controller.handle(3.0 * n + 1.0, RequestAbandoned(n))
-            controller.handle(3.0 * n + 1.0, RunFinished(n, Outcome.CANCELLED, 1.0))
-        assert made <= most
+@pytest.mark.parametrize(("share", "most"), [(0.0, 0), (0.02, 2)])
+def test_a_quota_of_zero_makes_no_call_and_a_tiny_one_is_charged_what_calls_used(
+    share: float, most: int
+) -> None:
+    controller = started_controller(
+        dependency=Dependency.SHARED, call_quota=share, call_quota_window_s=5.0, abandoned_call_s=0.2
+    )
+    made = 0
+    for n in range(1, 12):
+        arrive(controller, 3.0 * n, n, "once")
+        calls = request_ids(controller.handle(3.0 * n, CallNeeded(n)), StartCall)
+        made += len(calls)
+        if calls:
+            controller.handle(3.0 * n + 0.05, CallFinished(n, Outcome.TIMED_OUT, 0.05))
+        controller.handle(3.0 * n + 1.0, RequestAbandoned(n))
+        controller.handle(3.0 * n + 1.0, RunFinished(n, Outcome.CANCELLED, 1.0))
+    assert made <= most
--- a/tests/admission/test_estimators.py
+++ b/tests/admission/test_estimators.py
@@ -48,16 +48,16 @@
     assert spans[1] == pytest.approx(AVERAGED_REQUESTS) and spans[0] <= AVERAGED_REQUESTS
 
 
-def test_hints_count_as_far_as_core_times_confirm_them() -> None:
-    for true, low, high in ((1.0, 3.0, 4.01), (0.0, 0.99, 1.5)):
-        controller = started_controller()
-        for n in range(1, 200):
-            hint = (0.1, 0.4)[n % 2]
-            arrive(controller, n * 1.0, n, work_hint_s=hint)
-            took = 0.2 * (hint / 0.2) ** true
-            controller.handle(n * 1.0 + took, RunFinished(n, Outcome.SUCCESS, took))
-        ratio = controller.estimates.work_of(0, 0.4) / controller.estimates.work_of(0, 0.1)
-        assert low <= ratio <= high
+@pytest.mark.parametrize(("true", "low", "high"), [(1.0, 3.0, 4.01), (0.0, 0.99, 1.5)])
+def test_hints_count_as_far_as_core_times_confirm_them(true: float, low: float, high: float) -> None:
+    controller = started_controller()
+    for n in range(1, 200):
+        hint = (0.1, 0.4)[n % 2]
+        arrive(controller, n * 1.0, n, work_hint_s=hint)
+        took = 0.2 * (hint / 0.2) ** true
+        controller.handle(n * 1.0 + took, RunFinished(n, Outcome.SUCCESS, took))
+    ratio = controller.estimates.work_of(0, 0.4) / controller.estimates.work_of(0, 0.1)
+    assert low <= ratio <= high
 
 
 def test_a_run_that_ends_as_it_starts_divides_by_nothing() -> None:
--- a/tests/admission/test_health.py
+++ b/tests/admission/test_health.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import pytest
 from support.admission_controller import started_controller
 
 from snowthread.admission.actions import SetHealth
@@ -10,18 +11,18 @@
 from snowthread.admission.timer_queue import UPDATE_TIMER
 
 
-def test_an_outlier_is_ejected_and_comes_back() -> None:
+@pytest.mark.parametrize(("done", "read", "leaves"), [(0.1, 1, True), (0.1, 8, False)])
+def test_an_outlier_is_ejected_and_comes_back(done: float, read: int, leaves: bool) -> None:
     # Full cores throughout: healthy, then far slower; or many more arrivals, read and rejected.
-    for done, read, leaves in ((0.1, 1, True), (0.1, 8, False)):
-        controller = started_controller()
-        health: list[bool] = []
-        for n in range(1, 160):
-            slow = 60 <= n < 100
-            estimates = controller.estimates
-            estimates.work_done, estimates.requests_read = (done, read) if slow else (2.0, 1)
-            out = controller.handle(n * UPDATE_PERIOD_S, TimerFired(UPDATE_TIMER, core_utilization=1.0))
-            health += [a.healthy for a in out if isinstance(a, SetHealth)]
-        assert health == ([False, True] if leaves else [])
+    controller = started_controller()
+    health: list[bool] = []
+    for n in range(1, 160):
+        slow = 60 <= n < 100
+        estimates = controller.estimates
+        estimates.work_done, estimates.requests_read = (done, read) if slow else (2.0, 1)
+        out = controller.handle(n * UPDATE_PERIOD_S, TimerFired(UPDATE_TIMER, core_utilization=1.0))
+        health += [a.healthy for a in out if isinstance(a, SetHealth)]
+    assert health == ([False, True] if leaves else [])
 
 
 def test_a_server_that_shuts_down_does_not_become_healthy_again() -> None:
--- a/tests/admission/test_idle_connections.py
+++ b/tests/admission/test_idle_connections.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable
 
+import pytest
 from support.admission_controller import arrive, started_controller
 
 from snowthread.admission.actions import SetIdleTimeout
@@ -12,19 +13,23 @@
 from snowthread.admission.timer_queue import UPDATE_TIMER
 
 
-def test_idle_connections_close_early_where_callers_hardly_come_back() -> None:
+@pytest.mark.parametrize(
+    ("upstreams", "idle_s", "early"), [(1000, 30.0, True), (4, 30.0, False), (1000, 0.0, False)]
+)
+def test_idle_connections_close_early_where_callers_hardly_come_back(
+    upstreams: int, idle_s: float, early: bool
+) -> None:
     # A thousand callers on a hundred slots: open for their full idle time they fill the table.
-    for upstreams, idle_s, early in ((1000, 30.0, True), (4, 30.0, False), (1000, 0.0, False)):
-        controller = started_controller(caller_count=upstreams, idle_timeout_s=idle_s)
-        said: list[float] = []
-        for n in range(1, 120):
-            arrive(controller, n * 0.2, n)
-            said += [
-                a.timeout_s
-                for a in controller.handle(n * 0.2, TimerFired(UPDATE_TIMER))
-                if isinstance(a, SetIdleTimeout)
-            ]
-        assert (0.0 < said[-1] < idle_s if said else False) is early
+    controller = started_controller(caller_count=upstreams, idle_timeout_s=idle_s)
+    said: list[float] = []
+    for n in range(1, 120):
+        arrive(controller, n * 0.2, n)
+        said += [
+            a.timeout_s
+            for a in controller.handle(n * 0.2, TimerFired(UPDATE_TIMER))
+            if isinstance(a, SetIdleTimeout)
+        ]
+    assert (0.0 < said[-1] < idle_s if said else False) is early
 
 
 def test_idle_connections_stay_while_requests_lie_unread() -> None:
--- a/tests/admission/test_load_report.py
+++ b/tests/admission/test_load_report.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import pytest
 from support.admission_controller import arrive, started_controller
 
 from snowthread.admission.actions import PublishLoad, Reject
@@ -12,16 +13,18 @@
 from snowthread.admission.timer_queue import UPDATE_TIMER
 
 
-def test_retry_after_carries_the_blocking_probability_where_no_load_report_does() -> None:
-    for signal, said in ((LoadReportKind.NONE, 1.0), (LoadReportKind.LEVEL, 0.2)):
-        controller = started_controller(
-            supports_retry_after=True, max_retry_after_s=1.0, caller_count=4, load_report_kind=signal
-        )
-        for n in (1, 2, 3):
-            arrive(controller, 0.1, n)
-        controller.state.blocking.probability, controller.estimates.request_rate = 1.0 - 1e-9, 20.0
-        (rejection,) = [a for a in arrive(controller, 0.2, 4) if isinstance(a, Reject)]
-        assert rejection.retry_after_s == said
+@pytest.mark.parametrize(("signal", "said"), [(LoadReportKind.NONE, 1.0), (LoadReportKind.LEVEL, 0.2)])
+def test_retry_after_carries_the_blocking_probability_where_no_load_report_does(
+    signal: LoadReportKind, said: float
+) -> None:
+    controller = started_controller(
+        supports_retry_after=True, max_retry_after_s=1.0, caller_count=4, load_report_kind=signal
+    )
+    for n in (1, 2, 3):
+        arrive(controller, 0.1, n)
+    controller.state.blocking.probability, controller.estimates.request_rate = 1.0 - 1e-9, 20.0
+    (rejection,) = [a for a in arrive(controller, 0.2, 4) if isinstance(a, Reject)]
+    assert rejection.retry_after_s == said
 
 
 def test_the_published_share_settles_instead_of_running_on() -> None:
@@ -41,42 +44,45 @@
     assert max(said) < wanted + 0.12 and abs(said[-1] - wanted) < 0.05
 
 
-def test_do_not_retry_is_drawn_with_what_a_server_at_its_best_rate_would_block() -> None:
-    # 20 arrivals a second: as many as a healthy server can take twice over, or just what it can take.
-    for b, mu, best, cold, low, high in (
+@pytest.mark.parametrize(
+    ("b", "mu", "best", "cold", "low", "high"),
+    [
         (0.0, 10.0, 10.0, False, 0.0, 0.0),
         (0.5, 10.0, 10.0, False, 0.4, 0.7),
         (0.9, 2.0, 30.0, False, 0.0, 0.0),
         (0.9, 2.0, 10.0, False, 0.4, 0.7),
         (0.5, 10.0, 10.0, True, 0.0, 0.0),
-    ):
-        controller = started_controller(starts_cold=cold, warmup_s=10.0)
-        arrive(controller, 0.1, 1)
-        controller.handle(0.5, RunFinished(1, Outcome.SUCCESS, 0.4))
-        (
-            controller.state.blocking.probability,
-            controller.estimates.service_rate,
-            controller.estimates.best_work_speed,
-            controller.estimates.arrival_rate,
-        ) = b, mu, best, 20.0
-        said = []
-        for n in range(2, 402):
-            said += [
-                a.do_not_retry for a in arrive(controller, 1.0, n, unread_s=0.65) if isinstance(a, Reject)
-            ]
-        assert len(said) > 300 and low <= sum(said) / len(said) <= high
+    ],
+)
+def test_do_not_retry_is_drawn_with_what_a_server_at_its_best_rate_would_block(
+    b: float, mu: float, best: float, cold: bool, low: float, high: float
+) -> None:
+    # 20 arrivals a second: as many as a healthy server can take twice over, or just what it can take.
+    controller = started_controller(starts_cold=cold, warmup_s=10.0)
+    arrive(controller, 0.1, 1)
+    controller.handle(0.5, RunFinished(1, Outcome.SUCCESS, 0.4))
+    (
+        controller.state.blocking.probability,
+        controller.estimates.service_rate,
+        controller.estimates.best_work_speed,
+        controller.estimates.arrival_rate,
+    ) = b, mu, best, 20.0
+    said = []
+    for n in range(2, 402):
+        said += [a.do_not_retry for a in arrive(controller, 1.0, n, unread_s=0.65) if isinstance(a, Reject)]
+    assert len(said) > 300 and low <= sum(said) / len(said) <= high
 
 
-def test_each_kind_of_load_report_asks_for_less_in_an_overload() -> None:
-    for signal in (LoadReportKind.LEVEL, LoadReportKind.CREDIT, LoadReportKind.WEIGHT):
-        controller = started_controller(load_report_kind=signal, caller_count=2)
-        values: list[float] = []
-        for n in range(1, 30):
-            controller.estimates.work_arrived, controller.estimates.work_done = 5.0, 2.0
-            out = controller.handle(n * UPDATE_PERIOD_S, TimerFired(UPDATE_TIMER, core_utilization=1.0))
-            values += [a.value for a in out if isinstance(a, PublishLoad)]
-        assert len(values) > 5
-        assert (values[-1] > values[0]) is (signal is LoadReportKind.LEVEL)
+@pytest.mark.parametrize("signal", [LoadReportKind.LEVEL, LoadReportKind.CREDIT, LoadReportKind.WEIGHT])
+def test_each_kind_of_load_report_asks_for_less_in_an_overload(signal: LoadReportKind) -> None:
+    controller = started_controller(load_report_kind=signal, caller_count=2)
+    values: list[float] = []
+    for n in range(1, 30):
+        controller.estimates.work_arrived, controller.estimates.work_done = 5.0, 2.0
+        out = controller.handle(n * UPDATE_PERIOD_S, TimerFired(UPDATE_TIMER, core_utilization=1.0))
+        values += [a.value for a in out if isinstance(a, PublishLoad)]
+    assert len(values) > 5
+    assert (values[-1] > values[0]) is (signal is LoadReportKind.LEVEL)
 
 
 def test_a_published_share_that_hardly_anyone_hears_is_not_taken_for_heard() -> None:
--- a/tests/admission/test_recovery_pacer.py
+++ b/tests/admission/test_recovery_pacer.py
@@ -4,6 +4,8 @@
 
 import random
 
+import pytest
+
 from snowthread.admission.backoff import Backoff
 from snowthread.admission.call_budget import CallBudget
 from snowthread.admission.recovery_pacer import MAX_QUEUED_CALLS, CallPermission, RecoveryPacer
@@ -34,18 +36,18 @@
     assert pacer.release_calls(1101.0)[0]
 
 
-def test_fleets_of_any_size_together_keep_to_the_slots_in_the_mean() -> None:
-    for nodes in (3, 7, 40):
-        fleet = [recovery_pacer(sharing=nodes, slots=60.0) for _ in range(nodes)]
-        in_flight = []
-        for step in range(50):
-            for number, node in enumerate(fleet):
-                node.request_call(step * 10.0, f"{number}-{step}", 0, True, 0.0)
-            in_flight.append(sum(len(node.calls_in_flight) for node in fleet))
-            for node in fleet:  # the oldest call ends
-                if len(node.calls_in_flight) > 1:
-                    node.call_ended(step * 10.0, next(iter(node.calls_in_flight)), True, True)
-        assert max(in_flight) <= 60.0 * 1.5 + nodes
+@pytest.mark.parametrize("nodes", [3, 7, 40])
+def test_fleets_of_any_size_together_keep_to_the_slots_in_the_mean(nodes: int) -> None:
+    fleet = [recovery_pacer(sharing=nodes, slots=60.0) for _ in range(nodes)]
+    in_flight = []
+    for step in range(50):
+        for number, node in enumerate(fleet):
+            node.request_call(step * 10.0, f"{number}-{step}", 0, True, 0.0)
+        in_flight.append(sum(len(node.calls_in_flight) for node in fleet))
+        for node in fleet:  # the oldest call ends
+            if len(node.calls_in_flight) > 1:
+                node.call_ended(step * 10.0, next(iter(node.calls_in_flight)), True, True)
+    assert max(in_flight) <= 60.0 * 1.5 + nodes
 
 
 def test_an_abandoned_call_takes_its_slot_for_as_long_as_calls_take() -> None:
--- a/tests/admission/test_settings.py
+++ b/tests/admission/test_settings.py
@@ -6,8 +6,9 @@
 from support.admission_controller import started_controller
 
 
-def test_settings_that_cannot_work_are_an_error() -> None:
-    for field, value in (
+@pytest.mark.parametrize(
+    ("field", "value"),
+    [
         ("cores", 0),
         ("classes", ()),
         ("abandoned_call_s", -1.0),
@@ -15,6 +16,8 @@
         ("idle_timeout_s", -1.0),
         ("load_report_ttl_s", float("nan")),
         ("memory_kb", float("nan")),
-    ):
-        with pytest.raises(ValueError, match=field):
-            started_controller(**{field: value})
+    ],
+)
+def test_settings_that_cannot_work_are_an_error(field: str, value: object) -> None:
+    with pytest.raises(ValueError, match=field):
+        started_controller(**{field: value})
--- a/tests/admission/test_shutdown.py
+++ b/tests/admission/test_shutdown.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import pytest
 from support.admission_controller import arrive, request_ids, started_controller
 
 from snowthread.admission.actions import AwaitOriginal, Fail, Reject, SetHealth, StartRun
@@ -9,26 +10,26 @@
 from snowthread.admission.timer_queue import DEADLINE_TIMER
 
 
-def test_a_request_read_just_before_the_stop_is_answered_at_once() -> None:
+@pytest.mark.parametrize("busy", [0, 6])
+def test_a_request_read_just_before_the_stop_is_answered_at_once(busy: int) -> None:
     # It reached the machine within the grace and lay unread until all else was answered; no timer of its own
     # comes before the stop.
-    for busy in (0, 6):
-        controller = started_controller(propagates_deadline=True)
-        for n in range(busy):
-            arrive(controller, 0.5, 10 + n, time_left_s=9.0)
-        controller.handle(1.0, ShutdownNotice(2.6))
-        controller.handle(3.3, TimerFired(DEADLINE_TIMER))
-        actions = arrive(controller, 3.4, 1, time_left_s=2.0, unread_s=1.9)
-        assert request_ids(actions, Reject) == [1] and request_ids(actions, StartRun) == []
-        # A request that holds a key but is known no more has run: its retry fails and is never rejected.
-        again = arrive(controller, 3.4, 2, "keyed", time_left_s=2.0, unread_s=1.9, original_id=99)
-        assert (
-            request_ids(again, Fail) == [2]
-            and request_ids(again, Reject)
-            == request_ids(again, StartRun)
-            == request_ids(again, AwaitOriginal)
-            == []
-        )
+    controller = started_controller(propagates_deadline=True)
+    for n in range(busy):
+        arrive(controller, 0.5, 10 + n, time_left_s=9.0)
+    controller.handle(1.0, ShutdownNotice(2.6))
+    controller.handle(3.3, TimerFired(DEADLINE_TIMER))
+    actions = arrive(controller, 3.4, 1, time_left_s=2.0, unread_s=1.9)
+    assert request_ids(actions, Reject) == [1] and request_ids(actions, StartRun) == []
+    # A request that holds a key but is known no more has run: its retry fails and is never rejected.
+    again = arrive(controller, 3.4, 2, "keyed", time_left_s=2.0, unread_s=1.9, original_id=99)
+    assert (
+        request_ids(again, Fail) == [2]
+        and request_ids(again, Reject)
+        == request_ids(again, StartRun)
+        == request_ids(again, AwaitOriginal)
+        == []
+    )
 
 
 def test_nothing_runs_that_arrived_after_the_grace() -> None:
