--- a/snowthread/admission/__init__.py
+++ b/snowthread/admission/__init__.py
@@ -10,7 +10,7 @@
 - ``settlement`` rejects, fails and removes, ``retry_rule`` writes rejections, ``idempotency`` remembers keys;
 - ``run_results``, ``downstream_calls`` and ``lost_runs`` say what follows from the ends of runs and calls;
 - ``periodic_update`` updates ``estimators``, ``load_report``, ``idle_connections`` and ``health``;
-- ``graceful_shutdown`` has the times of a shutdown.
+- ``graceful_shutdown`` answers all before the stop, by ``shutdown_times``.
 
 Beside them are the state (``node_state``, ``state``) and types (``settings``, ``events``, ``actions``,
 ``reasons``, ``request``, ``run_load``); accounting and arithmetic that decide nothing (``open_requests``,
--- a/snowthread/admission/arrivals.py
+++ b/snowthread/admission/arrivals.py
@@ -42,20 +42,7 @@
     work = state.estimates.work_of(class_index, event.work_hint_s)
     stretch_s = kind.objective_stretch * (state.estimates.run_time_s[class_index] * work)
     objective_at = min(deadline_at, arrived_at + kind.latency_objective_s + stretch_s)
-    request = RequestRecord(
-        id=event.request_id,
-        class_index=class_index,
-        request_class=kind,
-        arrived_at=arrived_at,
-        deadline_at=deadline_at,
-        objective_at=objective_at,
-        expires_at=deadline_at if kind.late_weight_factor > 0.0 else objective_at,
-        memory_kb=event.memory_kb,
-        work=work,
-        work_hint_s=event.work_hint_s,
-        tenant=event.tenant,
-        original_id=event.original_id,
-    )
+    request = RequestRecord.of_arrival(event, class_index, kind, work, arrived_at, deadline_at, objective_at)
     weight = kind.priority_weight * state.quotas.weight_ratio(now, event.tenant)
     weight *= attempt_weight_ratio(event.is_retry)
     request.weight = weight if settings.weighs_by_work else weight / work
--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -3,17 +3,18 @@
 from collections.abc import Callable
 
 from snowthread.admission import events
-from snowthread.admission.actions import Action, LogNotice, Notice, SetHealth
+from snowthread.admission.actions import Action, SetHealth
 from snowthread.admission.arrivals import request_arrived
 from snowthread.admission.deadline_rule import ANSWER_MARGIN_S, check_deadline
 from snowthread.admission.estimators import TIME_TOLERANCE_S
+from snowthread.admission.graceful_shutdown import answer_all_before_stop, shutdown_noticed
 from snowthread.admission.lost_runs import check_lost_run, run_count_uncertain, run_indeterminate
 from snowthread.admission.periodic_update import begin_period, update
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.run_load import RunLoad
 from snowthread.admission.run_results import call_finished, call_needed, run_finished
 from snowthread.admission.settings import Settings, check_settings
-from snowthread.admission.settlement import reject, reject_all, request_abandoned
+from snowthread.admission.settlement import reject, request_abandoned
 from snowthread.admission.start_rule import start_queued
 from snowthread.admission.state import State
 from snowthread.admission.timer_queue import DEADLINE_TIMER, UPDATE_TIMER, TimerQueue
@@ -100,12 +101,6 @@
     return taken
 
 
-def _shutdown_noticed(state: State, now: float, event: events.ShutdownNotice) -> list[Action]:
-    state.shutdown.set(now, event)
-    notice = LogNotice(Notice.GRACEFUL_SHUTDOWN_BEGUN)
-    return [notice, SetHealth(False), *state.load_report.shut_down()]
-
-
 def _timer_fired(state: State, now: float, event: events.TimerFired) -> list[Action]:
     taken: list[Action] = []
     if event.label == UPDATE_TIMER:
@@ -120,8 +115,7 @@
         if not request.is_answered:
             taken += check_deadline(state, now, request)
         taken += check_lost_run(state, now, request)
-    if state.shutdown.must_answer_all(now):
-        taken += reject_all(state, now, RejectReason.SHUTDOWN)
+    taken += answer_all_before_stop(state, now)
     return taken
 
 
@@ -129,7 +123,7 @@
     events.Started: _started,
     events.RequestArrived: request_arrived,
     events.TimerFired: _timer_fired,
-    events.ShutdownNotice: _shutdown_noticed,
+    events.ShutdownNotice: shutdown_noticed,
     events.SettingsChanged: _settings_changed,
     events.TenantsChanged: _tenants_changed,
     events.RequestAbandoned: request_abandoned,
--- a/snowthread/admission/graceful_shutdown.py
+++ b/snowthread/admission/graceful_shutdown.py
@@ -1,38 +1,26 @@
-"""The graceful shutdown: which requests are still served, and by when everything is answered."""
+"""The graceful shutdown: at the notice, in the grace period after it, and shortly before the stop.
 
-import math
+What arrives after the grace period is rejected (``ShutdownTimes.forbids_start``).
+"""
 
+from snowthread.admission.actions import Action, LogNotice, Notice, SetHealth
 from snowthread.admission.events import ShutdownNotice
-from snowthread.admission.node_state import NodeState
-from snowthread.admission.request import RequestRecord
+from snowthread.admission.reasons import RejectReason
+from snowthread.admission.settlement import reject
+from snowthread.admission.state import State
 
-ANSWER_ALL_MARGIN_S = 0.3  # before the stop: the last answers have to reach their callers
 
+def shutdown_noticed(state: State, now: float, event: ShutdownNotice) -> list[Action]:
+    """Leave the registry and ask callers to send nothing; what is queued and runs goes on."""
+    state.shutdown.set(now, event)
+    notice = LogNotice(Notice.GRACEFUL_SHUTDOWN_BEGUN)
+    return [notice, SetHealth(False), *state.load_report.shut_down()]
 
-class ShutdownTimes:
-    """The times of the shutdown notice and of the stop, and what follows from them."""
 
-    def __init__(self, state: NodeState) -> None:
-        self._state = state
-        self._noticed_at = math.inf
-        self._stop_at = math.inf
-
-    @property
-    def is_set(self) -> bool:
-        """True from the notice on."""
-        return self._stop_at < math.inf
-
-    def set(self, now: float, event: ShutdownNotice) -> None:
-        """Take the notice, and plan the time at which all is answered."""
-        self._noticed_at = min(self._noticed_at, now - event.received_ago_s)
-        self._stop_at = now + event.time_left_s
-        self._state.deadlines.add(max(now, self._stop_at - ANSWER_ALL_MARGIN_S))
-
-    def must_answer_all(self, now: float) -> bool:
-        """Return whether the stop is so near that whatever is open is answered now."""
-        return now >= self._stop_at - ANSWER_ALL_MARGIN_S
-
-    def forbids_start(self, now: float, request: RequestRecord) -> bool:
-        """Return whether a request arrived after the drain grace period, or all must be answered now."""
-        is_late = request.arrived_at > self._noticed_at + self._state.settings.drain_grace_s
-        return is_late or self.must_answer_all(now)
+def answer_all_before_stop(state: State, now: float) -> list[Action]:
+    """Reject, or fail where it may have run, every request that is not answered shortly before the stop."""
+    taken: list[Action] = []
+    if state.shutdown.must_answer_all(now):
+        for request in [r for r in state.open_requests.by_id.values() if not r.is_answered]:
+            taken += reject(state, now, request, RejectReason.SHUTDOWN)
+    return taken
--- a/snowthread/admission/reasons.py
+++ b/snowthread/admission/reasons.py
@@ -9,7 +9,7 @@
     """The rule that rejected a request; the value is what the debug log says."""
 
     UNKNOWN_CLASS = "unknown class"  # arrivals.request_arrived: no such class in the settings
-    SHUTDOWN = "shutting down"  # admission_rule.reject_reason, and controller shortly before the stop
+    SHUTDOWN = "shutting down"  # admission_rule.reject_reason, graceful_shutdown.answer_all_before_stop
     TENANT = "tenant not allowed"  # admission_rule.reject_reason, and controller when tenants change
     MEMORY = "memory short"  # admission_rule.reject_reason, by memory_limit.exceeds_memory_limit
     BLOCKED = "blocking probability"  # admission_rule.reject_reason, by blocking.BlockingRule.is_blocked
--- a/snowthread/admission/request.py
+++ b/snowthread/admission/request.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from snowthread.admission.events import RequestArrived
 from snowthread.admission.settings import Idempotency, RequestClass
 
 
@@ -54,6 +55,33 @@
     reserved_call_s: float = 0.0  # call-seconds reserved for its call in flight
     priority: float = 0.0  # in the wait queue: the highest goes first
 
+    @classmethod
+    def of_arrival(  # one argument for each value that is computed for a newcomer
+        cls,
+        event: RequestArrived,
+        class_index: int,
+        request_class: RequestClass,
+        work: float,
+        arrived_at: float,
+        deadline_at: float,
+        objective_at: float,
+    ) -> RequestRecord:
+        """Return the record of a request just read, without its weight and priority."""
+        return cls(
+            id=event.request_id,
+            class_index=class_index,
+            request_class=request_class,
+            arrived_at=arrived_at,
+            deadline_at=deadline_at,
+            objective_at=objective_at,
+            expires_at=deadline_at if request_class.late_weight_factor > 0.0 else objective_at,
+            memory_kb=event.memory_kb,
+            work=work,
+            work_hint_s=event.work_hint_s,
+            tenant=event.tenant,
+            original_id=event.original_id,
+        )
+
     @property
     def is_indeterminate(self) -> bool:
         """True where the host lost sight of the run, and nothing was heard of it since."""
--- a/snowthread/admission/settlement.py
+++ b/snowthread/admission/settlement.py
@@ -18,14 +18,6 @@
     return [rejection(state, now, request, reason), *settle(state, now, request)]
 
 
-def reject_all(state: State, now: float, reason: RejectReason) -> list[Action]:
-    """Reject every request that is not answered."""
-    taken: list[Action] = []
-    for request in [r for r in state.open_requests.by_id.values() if not r.is_answered]:
-        taken += reject(state, now, request, reason)
-    return taken
-
-
 def fail(state: State, now: float, request: RequestRecord) -> list[Action]:
     """Fail a request: the answer that leaves open whether it ran."""
     return [Fail(request.id), *settle(state, now, request)]
--- /dev/null
+++ b/snowthread/admission/shutdown_times.py
@@ -0,0 +1,38 @@
+"""The times of a graceful shutdown: of its notice, and of the stop."""
+
+import math
+
+from snowthread.admission.events import ShutdownNotice
+from snowthread.admission.node_state import NodeState
+from snowthread.admission.request import RequestRecord
+
+ANSWER_ALL_MARGIN_S = 0.3  # before the stop: the last answers have to reach their callers
+
+
+class ShutdownTimes:
+    """Says what may still start, and when whatever is open has to be answered."""
+
+    def __init__(self, state: NodeState) -> None:
+        self._state = state
+        self._noticed_at = math.inf
+        self._stop_at = math.inf
+
+    @property
+    def is_set(self) -> bool:
+        """True from the notice on."""
+        return self._stop_at < math.inf
+
+    def set(self, now: float, event: ShutdownNotice) -> None:
+        """Take the notice, and plan the time at which all is answered."""
+        self._noticed_at = min(self._noticed_at, now - event.received_ago_s)
+        self._stop_at = now + event.time_left_s
+        self._state.deadlines.add(max(now, self._stop_at - ANSWER_ALL_MARGIN_S))
+
+    def must_answer_all(self, now: float) -> bool:
+        """Return whether the stop is so near that whatever is open is answered now."""
+        return now >= self._stop_at - ANSWER_ALL_MARGIN_S
+
+    def forbids_start(self, now: float, request: RequestRecord) -> bool:
+        """Return whether a request arrived after the drain grace period, or all must be answered now."""
+        is_late = request.arrived_at > self._noticed_at + self._state.settings.drain_grace_s
+        return is_late or self.must_answer_all(now)
--- a/snowthread/admission/state.py
+++ b/snowthread/admission/state.py
@@ -5,13 +5,13 @@
 from snowthread.admission.blocking import BlockingRule
 from snowthread.admission.concurrency import ConcurrencyLimit
 from snowthread.admission.downstream_calls import DownstreamCalls
-from snowthread.admission.graceful_shutdown import ShutdownTimes
 from snowthread.admission.health import OutlierDetector
 from snowthread.admission.idle_connections import IdleTimeout
 from snowthread.admission.load_report import LoadReport
 from snowthread.admission.node_state import NodeState
 from snowthread.admission.quotas import TenantQuotas
 from snowthread.admission.settings import Settings
+from snowthread.admission.shutdown_times import ShutdownTimes
 from snowthread.admission.timer_queue import TimerQueue
 
 
