--- a/snowthread/admission/blocking.py
+++ b/snowthread/admission/blocking.py
@@ -5,7 +5,7 @@
 from snowthread.admission.node_state import NodeState
 from snowthread.admission.request import RequestRecord
 
-MAX_DEBT_WORK_PER_CORE = 4.0  # work of rejections that heavier requests may pass on to lighter ones
+MAX_DEBT_REJECTIONS_PER_CORE = 4.0  # passed on to lighter requests, before a heavy one is rejected
 
 
 class BlockingRule:
@@ -33,7 +33,7 @@
         self._mean_weight += change / AVERAGED_REQUESTS if self._mean_weight else change
         is_blocked = self._state.generator.random() < probability
         if is_blocked and request.weight > self._mean_weight:
-            max_debt_work = MAX_DEBT_WORK_PER_CORE * self._state.settings.cores * request.work
+            max_debt_work = MAX_DEBT_REJECTIONS_PER_CORE * self._state.settings.cores * request.work
             is_blocked = self._debt_work >= max_debt_work
             self._debt_work += 0.0 if is_blocked else request.work
         elif probability and request.weight < self._mean_weight and self._debt_work > 0.0 and not is_blocked:
--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -57,11 +57,11 @@
         self._now = now
         state.open_requests.cores.advance(elapsed_s)
         state.calls.advance(elapsed_s)
-        taken = _dispatch(state, now, event)
-        taken += state.calls.dispatch(now)
-        taken += start_queued(state, now)
-        taken += state.deadlines.arm(now, state.open_requests.by_id)
-        return taken
+        actions = _dispatch(state, now, event)
+        actions += state.calls.dispatch(now)
+        actions += start_queued(state, now)
+        actions += state.deadlines.arm(now, state.open_requests.by_id)
+        return actions
 
 
 def _dispatch(state: State, now: float, event: events.Event) -> list[Action]:
@@ -76,10 +76,10 @@
 
 def _started(state: State, now: float, _: events.Started) -> list[Action]:
     state.started_at = now
-    taken: list[Action] = [begin_period(state, now)]
+    actions: list[Action] = [begin_period(state, now)]
     if state.settings.deep_health_checks:
-        taken.append(SetHealth(True, shallow=True))
-    return taken
+        actions.append(SetHealth(True, shallow=True))
+    return actions
 
 
 def _settings_changed(state: State, _: float, event: events.SettingsChanged) -> list[Action]:
@@ -95,16 +95,16 @@
 
 
 def _tenants_changed(state: State, now: float, event: events.TenantsChanged) -> list[Action]:
-    taken: list[Action] = []
+    actions: list[Action] = []
     for request in state.quotas.change_tenants(event):
-        taken += reject(state, now, request, RejectReason.TENANT)
-    return taken
+        actions += reject(state, now, request, RejectReason.TENANT)
+    return actions
 
 
 def _timer_fired(state: State, now: float, event: events.TimerFired) -> list[Action]:
-    taken: list[Action] = []
+    actions: list[Action] = []
     if event.label == UPDATE_TIMER:
-        taken = update(state, now, event)
+        actions = update(state, now, event)
     elif not state.deadlines.fire(now):
         return []  # an earlier timer has replaced it: arming again would make a second chain of timers
     state.calls.next_dispatch_at = now
@@ -113,10 +113,10 @@
         if request is None:
             continue
         if not request.is_answered:
-            taken += check_deadline(state, now, request)
-        taken += check_lost_run(state, now, request)
-    taken += answer_all_before_stop(state, now)
-    return taken
+            actions += check_deadline(state, now, request)
+        actions += check_lost_run(state, now, request)
+    actions += answer_all_before_stop(state, now)
+    return actions
 
 
 _HANDLERS: dict[type, Callable[..., list[Action]]] = {
--- a/snowthread/admission/downstream_calls.py
+++ b/snowthread/admission/downstream_calls.py
@@ -48,7 +48,7 @@
 
     def __init__(self, state: NodeState) -> None:
         self._estimates = state.estimates
-        self._table = state.open_requests.calls
+        self._table = state.open_requests.call_table
         self._budget = self._table.budget
         self.apply_settings(state.settings)
         self._budget.available = self._budget.capacity
@@ -88,7 +88,7 @@
         if not pending or now < self.next_dispatch_at:
             return []
         self.next_dispatch_at = now + DISPATCH_INTERVAL_S
-        taken: list[Action] = []
+        actions: list[Action] = []
         in_flight = self._working_calls(now)
         waiting = 0
         for request in sorted(pending.values(), key=lambda r: (r.can_skip_call, r.objective_at)):
@@ -103,10 +103,10 @@
                 is_skipped = start is None
                 if start is not None:
                     in_flight += 1
-                    taken.append(start)
+                    actions.append(start)
             if is_skipped and request.can_skip_call:
-                taken.append(self._skip(request))
-        return taken
+                actions.append(self._skip(request))
+        return actions
 
     def _working_calls(self, now: float) -> int:
         """Return the calls in flight that the dependency works on; those that hang need nothing of it."""
--- a/snowthread/admission/graceful_shutdown.py
+++ b/snowthread/admission/graceful_shutdown.py
@@ -19,8 +19,8 @@
 
 def answer_all_before_stop(state: State, now: float) -> list[Action]:
     """Reject, or fail where it may have run, every request that is not answered shortly before the stop."""
-    taken: list[Action] = []
+    actions: list[Action] = []
     if state.shutdown.must_answer_all(now):
         for request in [r for r in state.open_requests.by_id.values() if not r.is_answered]:
-            taken += reject(state, now, request, RejectReason.SHUTDOWN)
-    return taken
+            actions += reject(state, now, request, RejectReason.SHUTDOWN)
+    return actions
--- a/snowthread/admission/lost_runs.py
+++ b/snowthread/admission/lost_runs.py
@@ -40,9 +40,9 @@
     if request.state is not RequestState.RUNNING or request.presumed_lost_at > now + TIME_TOLERANCE_S:
         return []
     if not request.is_answered:
-        taken = fail(state, now, request)
+        actions = fail(state, now, request)
         _presume_lost_later(state, now, request)
-        return taken
+        return actions
     state.estimates.run_wasted(request)
     return [AbandonRun(request.id), *remove(state, now, request)]
 
--- a/snowthread/admission/open_requests.py
+++ b/snowthread/admission/open_requests.py
@@ -21,7 +21,7 @@
         self.by_id: dict[int, RequestRecord] = {}
         self.queued: dict[int, RequestRecord] = {}  # paused ones included
         self.cores = Cores(settings)
-        self.calls = CallTable(self.cores)
+        self.call_table = CallTable(self.cores)
         self.memory = MemoryAccount(settings)
 
     def apply_settings(self, settings: Settings) -> None:
--- a/snowthread/admission/periodic_update.py
+++ b/snowthread/admission/periodic_update.py
@@ -25,9 +25,9 @@
     """Close a period and begin the next one."""
     state.open_requests.memory.expire_keys(now)
     elapsed_s = now - state.updated_at
-    taken = _close_period(state, now, elapsed_s, event) if elapsed_s > 0.0 else []
-    taken.append(begin_period(state, now))
-    return taken
+    actions = _close_period(state, now, elapsed_s, event) if elapsed_s > 0.0 else []
+    actions.append(begin_period(state, now))
+    return actions
 
 
 def _close_period(state: State, now: float, elapsed_s: float, event: TimerFired) -> list[Action]:
@@ -35,15 +35,15 @@
     utilization = event.core_utilization
     if utilization is None:
         utilization = cores.saturated_s / elapsed_s
-    taken = _learn(state, elapsed_s, utilization)
-    taken += state.idle_timeout.update(event.connections or 0.0, utilization)
+    actions = _learn(state, elapsed_s, utilization)
+    actions += state.idle_timeout.update(event.connections or 0.0, utilization)
     if not state.shutdown.is_set:
-        taken += state.outlier_detector.update(now)
+        actions += state.outlier_detector.update(now)
     state.calls.update_limit()
     reconcile_run_count(state, now, event.core_demand)
     is_saturated = cores.saturated_s >= SATURATED_PERIOD_RATIO * elapsed_s
     state.concurrency.update(utilization, is_saturated, event.core_demand, state.age_s(now))
-    return taken
+    return actions
 
 
 def _learn(state: State, elapsed_s: float, utilization: float) -> list[Action]:
--- a/snowthread/admission/run_load.py
+++ b/snowthread/admission/run_load.py
@@ -22,7 +22,7 @@
     def of(cls, open_requests: OpenRequests, limit: float, ceiling: float) -> RunLoad:
         """Return the present counts, with these limits."""
         cores = open_requests.cores
-        at_calls = len(open_requests.calls)
+        at_calls = len(open_requests.call_table)
         return cls(cores.running, cores.indeterminate, cores.excess_runs, at_calls, limit, ceiling)
 
     def __str__(self) -> str:
--- a/snowthread/admission/run_results.py
+++ b/snowthread/admission/run_results.py
@@ -22,14 +22,14 @@
         may_resume = may_start(state, now, request)
         return [] if may_resume else reject(state, now, request, RejectReason.PREEMPTED)
     was_running = request.state is RequestState.RUNNING
-    taken = remove(state, now, request)
+    actions = remove(state, now, request)
     if event.outcome is Outcome.SUCCESS and was_running:
         state.estimates.run_succeeded(now, request)
         base_s = state.estimates.base_core_time_s[request.class_index]
         state.concurrency.cut_if_slow(now, request, base_s)
     else:
         state.estimates.run_wasted(request)
-    return taken
+    return actions
 
 
 def call_needed(state: State, now: float, request: RequestRecord, _: CallNeeded) -> list[Action]:
--- a/snowthread/admission/settlement.py
+++ b/snowthread/admission/settlement.py
@@ -40,7 +40,7 @@
 
 def remove(state: State, now: float, request: RequestRecord, forget_key: bool = False) -> list[Action]:
     """Remove a request that is over; forget its key where it never ran."""
-    taken = state.open_requests.memory.forget_key(request) if forget_key else []
+    actions = state.open_requests.memory.forget_key(request) if forget_key else []
     state.calls.remove(now, request)
     state.open_requests.remove(request)
-    return taken
+    return actions
--- a/snowthread/admission/start_rule.py
+++ b/snowthread/admission/start_rule.py
@@ -15,7 +15,7 @@
     """Start queued requests, the highest priority first, as long as one more is allowed."""
     queued = state.open_requests.queued
     cores = state.open_requests.cores
-    taken: list[Action] = []
+    actions: list[Action] = []
     while queued and cores.occupied < int(state.concurrency.limit):
         request = _next_request(state, now)
         if request is None:
@@ -23,16 +23,18 @@
         if not request.has_started:
             state.quotas.count_run(now, request.tenant)
         state.open_requests.start(now, request)
-        taken.append(StartRun(request.id))
+        actions.append(StartRun(request.id))
         state.deadlines.watch(request, min(request.deadline_at, request.objective_at))
-    return taken
+    return actions
 
 
 def _next_request(state: State, now: float) -> RequestRecord | None:
     """Return the request that starts next, or None where the ceiling or memory allows no other run."""
     open_requests = state.open_requests
     # Whatever may come to be on the cores at once: runs at calls return to them without a decision here.
-    possible_runs = open_requests.cores.running + open_requests.cores.excess_runs + len(open_requests.calls)
+    possible_runs = (
+        open_requests.cores.running + open_requests.cores.excess_runs + len(open_requests.call_table)
+    )
     if not state.concurrency.allows_another_run(possible_runs, state.age_s(now)):
         return None
     startable = [request for request in open_requests.queued.values() if may_start(state, now, request)]
--- a/tests/admission/test_concurrency.py
+++ b/tests/admission/test_concurrency.py
@@ -49,6 +49,7 @@
         for started in request_ids(arrive(controller, 0.1, n, "ask"), StartRun):
             controller.handle(0.1, CallNeeded(started))
     assert (
-        controller.state.open_requests.cores.running + len(controller.state.open_requests.calls.in_flight)
+        controller.state.open_requests.cores.running
+        + len(controller.state.open_requests.call_table.in_flight)
         <= controller.concurrency.ceiling(0.1) + 1
     )
--- a/tests/admission/test_decisions_page.py
+++ b/tests/admission/test_decisions_page.py
@@ -13,7 +13,9 @@
 
 import pytest
 
+from snowthread.admission.actions import Notice
 from snowthread.admission.reasons import RejectReason
+from snowthread.records.model import FIELD_DESCRIPTIONS, RecordKind, Totals
 
 ROOT = Path(__file__).parents[2]
 PAGE = (ROOT / "docs/decisions.md").read_text()
@@ -121,6 +123,25 @@
     assert f"`{member.value}`" in PAGE
 
 
+@pytest.mark.parametrize("notice", Notice, ids=lambda notice: notice.name)
+def test_each_notice_stands_on_the_page(notice: Notice) -> None:
+    assert f"`{notice.value.partition(':')[0]}: " in PAGE
+
+
+def test_records_named_as_evidence_are_in_the_model() -> None:
+    named = {
+        name
+        for row in rows(PAGE)
+        for part in row.seen_in.split(";")
+        if part.strip().startswith("records:")
+        for name in re.findall(r"`(\w+)`", part)
+    }
+    kinds = {kind.value for kind in RecordKind}
+    fields = {name for described in FIELD_DESCRIPTIONS.values() for name in described}
+    assert len(named) > 15
+    assert named <= kinds | fields | set(Totals.NAMES)
+
+
 @pytest.mark.parametrize("path", POLICY)
 def test_each_module_of_the_policy_stands_on_the_page_with_its_constants(path: str) -> None:
     module = importlib.import_module(path.removesuffix(".py").replace("/", "."))
--- a/tests/core/test_reconfiguration.py
+++ b/tests/core/test_reconfiguration.py
@@ -126,7 +126,7 @@
     ]
     assert len(runs) == 5
     assert (
-        controller.state.open_requests.calls.budget.capacity > 0.0
+        controller.state.open_requests.call_table.budget.capacity > 0.0
         and controller.state.calls._min_limit == 2.0
     )
 
