--- a/snowthread/admission/settlement.py
+++ b/snowthread/admission/settlement.py
@@ -18,14 +18,6 @@
     return [rejection(state, now, request, reason), *settle(state, now, request)]
 
 
-def reject_all(state: State, now: float, reason: RejectReason) -> list[Action]:
-    """Reject every request that is not answered."""
-    taken: list[Action] = []
-    for request in [r for r in state.open_requests.by_id.values() if not r.is_answered]:
-        taken += reject(state, now, request, reason)
-    return taken
-
-
 def fail(state: State, now: float, request: RequestRecord) -> list[Action]:
     """Fail a request: the answer that leaves open whether it ran."""
     return [Fail(request.id), *settle(state, now, request)]
@@ -48,7 +40,7 @@
 
 def remove(state: State, now: float, request: RequestRecord, forget_key: bool = False) -> list[Action]:
     """Remove a request that is over; forget its key where it never ran."""
-    taken = state.open_requests.memory.forget_key(request) if forget_key else []
+    actions = state.open_requests.memory.forget_key(request) if forget_key else []
     state.calls.remove(now, request)
     state.open_requests.remove(request)
-    return taken
+    return actions
