--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -6,9 +6,16 @@
 from snowthread.admission.settings import Idempotency, Outcome
 from snowthread.core import effects, events
 from snowthread.core.load_samples import schedule_timer
-from snowthread.core.request_lifecycle import answer, cancel_call, finish, finish_follower
+from snowthread.core.request_lifecycle import (
+    answer,
+    cancel_call,
+    finish,
+    finish_follower,
+    release_if_answered,
+)
+from snowthread.core.run_commands import send_command
+from snowthread.core.run_completion import record_result, run_completed
 from snowthread.core.run_evidence import note_run
-from snowthread.core.runs import record_result, release_if_answered, run_completed, send_command
 from snowthread.core.state import HandoverRole, RequestPhase
 from snowthread.core.transition import HandlerTable, Transition
 
--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -8,8 +8,7 @@
 from snowthread.admission.settings import Idempotency, RequestClass
 from snowthread.core import effects, events
 from snowthread.core.key_claims import ClaimDecision, claim_key, withdraw_claim
-from snowthread.core.request_lifecycle import cancel_call
-from snowthread.core.runs import release_if_answered
+from snowthread.core.request_lifecycle import cancel_call, release_if_answered
 from snowthread.core.state import HandoverRole, Request, State
 from snowthread.core.transition import HandlerTable, Transition
 
--- a/snowthread/core/downstream_calls.py
+++ b/snowthread/core/downstream_calls.py
@@ -5,7 +5,7 @@
 from snowthread.admission import events as admission_events
 from snowthread.admission.settings import Outcome
 from snowthread.core import effects, events
-from snowthread.core.runs import send_command
+from snowthread.core.run_commands import send_command
 from snowthread.core.state import RequestPhase
 from snowthread.core.transition import HandlerTable, Transition
 
--- a/snowthread/core/load_samples.py
+++ b/snowthread/core/load_samples.py
@@ -6,7 +6,8 @@
 from snowthread.admission.controller import UPDATE_TIMER
 from snowthread.core import effects, events
 from snowthread.core.peer_process import report_load
-from snowthread.core.runs import end_runs_stopped_unseen, request_load_sample, resume_runs, sync_tag
+from snowthread.core.run_commands import request_load_sample
+from snowthread.core.runtime_resync import end_runs_stopped_unseen, resume_runs, sync_tag
 from snowthread.core.state import HandoverRole, State
 from snowthread.core.transition import HandlerTable, Transition
 
--- a/snowthread/core/reducer.py
+++ b/snowthread/core/reducer.py
@@ -1,8 +1,9 @@
 """The one place where the state of a node changes: an event in, the effects that it causes out.
 
-Each concern has a module of its own with handlers registered by event type: arrivals, runs, downstream
-calls, load samples, shutdown, settings, and for a hot restart the peer process, key claims and key
-replication. The actions of the admission controller are carried out by ``action_handlers``.
+Each concern has a module of its own with handlers registered by event type: arrivals, ends of runs, the
+link to the runtime, downstream calls, load samples, shutdown, settings, and for a hot restart the peer
+process, key claims and key replication. The actions of the admission controller are carried out by
+``action_handlers``.
 """
 
 from __future__ import annotations
@@ -16,7 +17,8 @@
     key_replication,
     load_samples,
     peer_process,
-    runs,
+    run_completion,
+    runtime_resync,
     settings_reload,
     shutdown,
 )
@@ -26,7 +28,8 @@
 
 EVENT_HANDLERS: HandlerTable = {
     **arrivals.HANDLERS,
-    **runs.HANDLERS,
+    **run_completion.HANDLERS,
+    **runtime_resync.HANDLERS,
     **downstream_calls.HANDLERS,
     **load_samples.HANDLERS,
     **shutdown.HANDLERS,
--- a/snowthread/core/request_lifecycle.py
+++ b/snowthread/core/request_lifecycle.py
@@ -91,3 +91,9 @@
     if request.call_in_flight:
         request.call_in_flight = False
         transition.emit(effects.CancelCall(request.attempt_id))
+
+
+def release_if_answered(transition: Transition, request: Request) -> None:
+    """Finish a request that was answered or cancelled; one that runs stays until its run ends."""
+    if request.phase is not RequestPhase.RUNNING:
+        finish(transition, request, None)
--- /dev/null
+++ b/snowthread/core/run_completion.py
@@ -0,0 +1,63 @@
+"""Ends of runs: the result is recorded, and the request is answered or queued again."""
+
+from __future__ import annotations
+
+from snowthread.admission import events as admission_events
+from snowthread.admission.settings import Outcome
+from snowthread.core import effects, events
+from snowthread.core.request_lifecycle import answer, cancel_call, complete_followers, finish
+from snowthread.core.state import HandoverRole, RequestPhase
+from snowthread.core.transition import HandlerTable, Transition
+
+
+def run_completed(transition: Transition, event: events.RunCompleted) -> None:
+    """Finish the request whose run ended, or queue it again where its run was preempted."""
+    state = transition.state
+    result = event.result if event.outcome is Outcome.SUCCESS else None
+    if event.outcome is not Outcome.NOT_STARTED:
+        record_result(transition, event.attempt_id, result)
+    request = state.requests_by_attempt_id.get(event.attempt_id)
+    if request is None or request.phase is not RequestPhase.RUNNING:
+        return
+    cancel_call(transition, request)
+    request.pending_call_notice = None
+    request.stopping = False
+    request.link_number = 0
+    if event.outcome is Outcome.CANCELLED and request.response_address is not None:
+        # Stopped while an answer is owed. A keyed attempt does not start again, so its followers fail.
+        request.phase = RequestPhase.QUEUED
+        if request.idempotency_key:
+            complete_followers(transition, request, None)
+    else:
+        answer(transition, request, effects.Failed() if result is None else effects.Served(result))
+        finish(transition, request, result)
+    duration_s = state.admission_clock.duration_s(event.duration_ms)
+    transition.dispatch(admission_events.RunFinished(request.number, event.outcome, duration_s))
+
+
+def record_result(transition: Transition, attempt_id: str, result: bytes | None) -> None:
+    """Enter the end of a run into the idempotency table, and notify a peer process of it."""
+    state = transition.state
+    state.idempotency_table.complete(attempt_id, result)
+    if state.handover_role is HandoverRole.STANDALONE:
+        return
+    record = state.idempotency_table.find_by_attempt(attempt_id)
+    if record is not None and not record.remote:
+        transition.send_to_peer_process(events.KeyRunCompleted(attempt_id, result))
+
+
+def command_rejected(transition: Transition, event: events.CommandRejected) -> None:
+    """End a run whose start or stop the runtime rejected."""
+    request = transition.state.requests_by_attempt_id.get(event.attempt_id)
+    if request is None or request.phase is not RequestPhase.RUNNING:
+        return
+    if event.is_start or request.stopping:
+        # A start that was not carried out proves that nothing ran, so the idempotency key is free again.
+        outcome = Outcome.NOT_STARTED if event.is_start else Outcome.FAILURE
+        run_completed(transition, events.RunCompleted(event.attempt_id, outcome, 0.0, b""))
+
+
+HANDLERS: HandlerTable = {
+    events.RunCompleted: run_completed,
+    events.CommandRejected: command_rejected,
+}
--- a/snowthread/core/runs.py
+++ b/snowthread/core/runtime_resync.py
@@ -1,4 +1,11 @@
-"""Runs: commands to the runtime, ends of runs, and what a broken link to the runtime leaves open."""
+"""Resynchronisation with the runtime after a broken link: which runs go on, and which commands are repeated.
+
+1. The link breaks (:func:`runtime_disconnected`): each command is read, unsent or possibly lost.
+2. There is a link again (:func:`runtime_connected`): what was unsent is sent, and a load sample requested.
+   The runtime first repeats the notices that the node missed.
+3. The sample arrives (:func:`resume_runs`): all missed notices were read, so a run without one is where its
+   last command put it, unless that command may be lost.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +14,10 @@
 from snowthread.admission import events as admission_events
 from snowthread.admission.settings import Idempotency, Outcome, Preemption
 from snowthread.core import effects, events
-from snowthread.core.command_log import SentCommand
-from snowthread.core.request_lifecycle import answer, cancel_call, complete_followers, finish
+from snowthread.core.run_commands import request_load_sample, send_command
+from snowthread.core.run_completion import run_completed
 from snowthread.core.run_evidence import note_link_lost, note_link_ready, note_run
-from snowthread.core.state import HandoverRole, Request, RequestPhase, State
+from snowthread.core.state import Request, RequestPhase, State
 from snowthread.core.transition import HandlerTable, Transition
 
 
@@ -19,85 +26,6 @@
     return f"sync-{link_number}"
 
 
-def send_command(transition: Transition, command: effects.Command) -> None:
-    """Send a command to the runtime, or queue it while there is no link."""
-    state = transition.state
-    if not state.runtime_connected:
-        state.unsent_commands.append(command)
-        return
-    sent = state.command_log.add(command)
-    request = state.requests_by_attempt_id.get(command.attempt_id)
-    if request is not None:
-        _note_command(request, sent)
-    transition.emit(command)
-
-
-def _note_command(request: Request, sent: SentCommand) -> None:
-    if isinstance(sent.command, effects.StopRun):
-        request.stop_command = sent
-        return
-    request.last_command, request.last_command_lost = sent, False
-    if isinstance(sent.command, effects.StartRun):
-        request.link_number, request.start_confirmed = sent.link_number, False
-
-
-def request_load_sample(transition: Transition, tag: str) -> None:
-    """Request a load sample, whose echo also confirms the commands sent before it."""
-    transition.state.command_log.sample_requested(tag)
-    transition.emit(effects.RequestLoadSample(tag))
-
-
-def run_completed(transition: Transition, event: events.RunCompleted) -> None:
-    """Finish the request whose run ended, or queue it again where its run was preempted."""
-    state = transition.state
-    result = event.result if event.outcome is Outcome.SUCCESS else None
-    if event.outcome is not Outcome.NOT_STARTED:
-        record_result(transition, event.attempt_id, result)
-    request = state.requests_by_attempt_id.get(event.attempt_id)
-    if request is None or request.phase is not RequestPhase.RUNNING:
-        return
-    cancel_call(transition, request)
-    request.pending_call_notice, request.stopping, request.link_number = None, False, 0
-    if event.outcome is Outcome.CANCELLED and request.response_address is not None:
-        # Stopped while an answer is owed. A keyed attempt does not start again, so its followers fail.
-        request.phase = RequestPhase.QUEUED
-        if request.idempotency_key:
-            complete_followers(transition, request, None)
-    else:
-        answer(transition, request, effects.Failed() if result is None else effects.Served(result))
-        finish(transition, request, result)
-    duration_s = state.admission_clock.duration_s(event.duration_ms)
-    transition.dispatch(admission_events.RunFinished(request.number, event.outcome, duration_s))
-
-
-def record_result(transition: Transition, attempt_id: str, result: bytes | None) -> None:
-    """Enter the end of a run into the idempotency table, and tell a peer process of it."""
-    state = transition.state
-    state.idempotency_table.complete(attempt_id, result)
-    if state.handover_role is HandoverRole.STANDALONE:
-        return
-    record = state.idempotency_table.find_by_attempt(attempt_id)
-    if record is not None and not record.remote:
-        transition.send_to_peer_process(events.KeyRunCompleted(attempt_id, result))
-
-
-def command_rejected(transition: Transition, event: events.CommandRejected) -> None:
-    """End a run whose start or stop the runtime rejected."""
-    request = transition.state.requests_by_attempt_id.get(event.attempt_id)
-    if request is None or request.phase is not RequestPhase.RUNNING:
-        return
-    if event.is_start or request.stopping:
-        # A start that was not carried out proves that nothing ran, so the idempotency key is free again.
-        outcome = Outcome.NOT_STARTED if event.is_start else Outcome.FAILURE
-        run_completed(transition, events.RunCompleted(event.attempt_id, outcome, 0.0, b""))
-
-
-def release_if_answered(transition: Transition, request: Request) -> None:
-    """Finish a request that was answered or cancelled; one that runs stays until its run ends."""
-    if request.phase is not RequestPhase.RUNNING:
-        finish(transition, request, None)
-
-
 def runtime_connected(transition: Transition, event: events.RuntimeConnected) -> None:
     """Send the commands that waited for a link, and ask for the sample that ends the resynchronisation."""
     state = transition.state
@@ -233,8 +161,6 @@
 
 
 HANDLERS: HandlerTable = {
-    events.RunCompleted: run_completed,
-    events.CommandRejected: command_rejected,
     events.RuntimeConnected: runtime_connected,
     events.RuntimeDisconnected: runtime_disconnected,
 }
--- a/tests/core/test_load_samples.py
+++ b/tests/core/test_load_samples.py
@@ -18,7 +18,7 @@
     UTILIZATION_WINDOW_MS,
 )
 from snowthread.core.reducer import reduce
-from snowthread.core.runs import sync_tag
+from snowthread.core.runtime_resync import sync_tag
 from snowthread.core.state import State
 
 GAUGES = ("core_use", "on_cores", "heap_share", "links")
--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -13,7 +13,8 @@
     key_replication,
     load_samples,
     peer_process,
-    runs,
+    run_completion,
+    runtime_resync,
     settings_reload,
     shutdown,
 )
@@ -27,7 +28,8 @@
     key_replication,
     load_samples,
     peer_process,
-    runs,
+    run_completion,
+    runtime_resync,
     settings_reload,
     shutdown,
 )
--- a/tests/core/test_runs.py
+++ b/tests/core/test_runtime_resync.py
@@ -10,7 +10,7 @@
 from snowthread.admission.settings import Outcome
 from snowthread.core import effects, events
 from snowthread.core.reducer import reduce
-from snowthread.core.runs import sync_tag
+from snowthread.core.runtime_resync import sync_tag
 from snowthread.core.state import Request, State
 
 
