--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -13,6 +13,7 @@
     finish_follower,
     release_if_answered,
 )
+from snowthread.core.run import Run, RunState
 from snowthread.core.run_commands import send_command
 from snowthread.core.run_completion import record_result, run_completed
 from snowthread.core.run_evidence import note_run
@@ -25,6 +26,7 @@
     request = transition.state.requests.get(action.request_id)
     if request is not None and request.phase is RequestPhase.QUEUED:
         request.phase = RequestPhase.RUNNING
+        request.run = Run()
         send_command(transition, effects.StartRun(request.attempt_id, request.class_name, request.body))
 
 
@@ -32,10 +34,10 @@
     """Preempt a run; one whose start was not sent yet is over at once."""
     state = transition.state
     request = state.requests.get(action.request_id)
-    if request is None or request.phase is not RequestPhase.RUNNING or request.stopping:
+    if request is None or request.run is None or request.run.stop_requested:
         return
-    request.stopping = True
-    if request.link_number:
+    request.run.stop_requested = True
+    if request.run.state is not RunState.START_QUEUED:
         send_command(transition, effects.StopRun(request.attempt_id))
         return
     state.unsent_commands = [
@@ -48,7 +50,7 @@
     """Finish a request whose run is presumed lost; its key stays taken, for it may have run."""
     state = transition.state
     request = state.requests.get(action.request_id)
-    if request is not None and request.phase is RequestPhase.RUNNING:
+    if request is not None and request.run is not None:
         note_run(transition, request, "nothing was heard of it for longer than it can take: not counted")
         record_result(transition, request.attempt_id, None)
         finish(transition, request, None)
@@ -122,14 +124,15 @@
 def start_call(transition: Transition, action: actions.StartCall) -> None:
     """Make the downstream call that a run waits for."""
     request = transition.state.requests.get(action.request_id)
-    if request is None or request.pending_call_notice is None or request.call_in_flight:
+    run = None if request is None else request.run
+    if request is None or run is None or run.pending_call_notice is None or run.call_in_flight:
         return
-    request.call_in_flight = True
+    run.call_in_flight = True
     timeout_s = action.timeout_s or request.request_class.deadline_s
     transition.emit(
         effects.StartCall(
             request.attempt_id,
-            request.call_body,
+            run.call_body,
             transition.state.admission_clock.duration_ms(timeout_s),
             request.request_class.idempotency is Idempotency.IDEMPOTENT,
         )
@@ -139,9 +142,10 @@
 def skip_call(transition: Transition, action: actions.SkipCall) -> None:
     """Let a run go on without the downstream call that it waits for."""
     request = transition.state.requests.get(action.request_id)
-    if request is not None and request.pending_call_notice is not None:
-        send_command(transition, effects.SkipCall(request.attempt_id, request.pending_call_notice))
-        request.pending_call_notice = None
+    run = None if request is None else request.run
+    if request is not None and run is not None and run.pending_call_notice is not None:
+        send_command(transition, effects.SkipCall(request.attempt_id, run.pending_call_notice))
+        run.pending_call_notice = None
 
 
 def set_timer(transition: Transition, action: actions.SetTimer) -> None:
--- a/snowthread/core/command_log.py
+++ b/snowthread/core/command_log.py
@@ -12,7 +12,9 @@
 
 from snowthread.core.effects import Command
 
-OUTSTANDING_SAMPLES_MAX = 64  # load sample requests whose echo is awaited; the oldest are given up
+NO_LINK = 0  # the link number before the first link, and of a run whose start was sent on none
+FIRST_LINK = 1
+OUTSTANDING_SAMPLES_MAX = 64  # load sample requests whose echo is awaited; the oldest are dropped
 
 
 class SentCommand(NamedTuple):
@@ -25,9 +27,9 @@
 
 @dataclass(slots=True)
 class CommandLog:
-    """Numbers the commands sent, and keeps up to which one the present link's were read."""
+    """Numbers the commands sent, and records up to which of them the present link's were read."""
 
-    link_number: int = 0  # links to the runtime so far
+    link_number: int = NO_LINK  # of the present or the last link: the count of links so far
     sent: int = 0  # commands, on all links
     read: int = 0  # the number of the last command known to be read, on the present link
     _sent_before_sample: dict[str, int] = field(default_factory=dict)  # by tag, of the present link
--- a/snowthread/core/downstream_calls.py
+++ b/snowthread/core/downstream_calls.py
@@ -6,7 +6,6 @@
 from snowthread.admission.settings import Outcome
 from snowthread.core import effects, events
 from snowthread.core.run_commands import send_command
-from snowthread.core.state import RequestPhase
 from snowthread.core.transition import HandlerTable, Transition
 
 
@@ -14,25 +13,22 @@
     """Ask the controller for the call that a run waits for."""
     state = transition.state
     request = state.requests_by_attempt_id.get(event.attempt_id)
-    if request is None or request.phase is not RequestPhase.RUNNING:
+    if request is None or request.run is None:
         return
-    if request.indeterminate:  # the notice shows that the run goes on
-        request.indeterminate, request.link_number = False, state.link_number
-    request.start_confirmed = True
-    request.pending_call_notice, request.call_body = event.notice_number, event.body
+    request.run.call_requested(event.notice_number, event.body, state.link_number)
     transition.dispatch(admission_events.CallNeeded(request.number))
 
 
 def call_completed(transition: Transition, event: events.CallCompleted) -> None:
-    """Deliver the reply of a call to its run and tell the controller how the call ended."""
+    """Deliver the reply of a call to its run and report to the controller how the call ended."""
     state = transition.state
     request = state.requests_by_attempt_id.get(event.attempt_id)
-    if request is None or not request.call_in_flight:
+    run = None if request is None else request.run
+    if request is None or run is None or not run.call_in_flight:
         return
-    request.call_in_flight = False
+    run.call_in_flight = False
     if event.outcome is Outcome.SUCCESS:
-        request.answered_call_notice = request.pending_call_notice or 0
-        request.pending_call_notice = None
+        run.call_answered()
         send_command(transition, effects.DeliverReply(request.attempt_id, event.reply))
     duration_s = state.admission_clock.duration_s(event.duration_ms)
     transition.dispatch(admission_events.CallFinished(request.number, event.outcome, duration_s))
--- a/snowthread/core/request_lifecycle.py
+++ b/snowthread/core/request_lifecycle.py
@@ -1,7 +1,8 @@
 """The ways in which a request is answered and leaves the node.
 
 States of a request (:class:`~snowthread.core.state.RequestPhase`) and what moves it on. Actions are those of
-the admission controller; *finished* means that the request is no longer in the state.
+the admission controller; *finished* means that the request is no longer in the state. A request that is
+RUNNING has a :class:`~snowthread.core.run.Run` with states of its own.
 
 =================  =========================================  ===================================
 phase              event or action                            next
@@ -18,6 +19,7 @@
 RUNNING            ``RunCompleted``: cancelled, and an        QUEUED
                    answer is owed
 RUNNING            ``RunCompleted``: any other                finished
+RUNNING            action ``AbandonRun``                      finished
 AWAITING_ORIGINAL  the original's run ends                    finished, with the original's result
 AWAITING_ORIGINAL  action ``Reject``, ``Fail``;               finished
                    ``RequestCancelled``
@@ -37,7 +39,7 @@
 def answer(
     transition: Transition, request: Request, response: effects.Served | effects.Rejected | effects.Failed
 ) -> None:
-    """Send the final response, unless one was sent or nobody waits: a late result is no second response."""
+    """Send the final response, unless no answer is owed any more: a late result is no second response."""
     if request.response_address is not None:
         transition.respond(request.response_address, response)
         transition.state.requests_by_response_address.pop(request.response_address, None)
@@ -65,7 +67,8 @@
     transition: Transition, original: Request | IdempotencyRecord, result: bytes | None
 ) -> None:
     """Finish all requests that wait for the original with its result (None: failed)."""
-    followers, original.followers = original.followers, []
+    followers = original.followers
+    original.followers = []
     for number in followers:
         follower = transition.state.requests.get(number)
         if follower is not None:
@@ -88,8 +91,9 @@
 
 def cancel_call(transition: Transition, request: Request) -> None:
     """Cancel the downstream call in flight for the request's run, if there is one."""
-    if request.call_in_flight:
-        request.call_in_flight = False
+    run = request.run
+    if run is not None and run.call_in_flight:
+        run.call_in_flight = False
         transition.emit(effects.CancelCall(request.attempt_id))
 
 
--- a/snowthread/core/run_commands.py
+++ b/snowthread/core/run_commands.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 from snowthread.core import effects
-from snowthread.core.command_log import SentCommand
-from snowthread.core.state import Request
 from snowthread.core.transition import Transition
 
 
@@ -16,22 +14,11 @@
         return
     sent = state.command_log.add(command)
     request = state.requests_by_attempt_id.get(command.attempt_id)
-    if request is not None:
-        _note_command(request, sent)
+    if request is not None and request.run is not None:
+        request.run.command_sent(sent)
     transition.emit(command)
 
 
-def _note_command(request: Request, sent: SentCommand) -> None:
-    if isinstance(sent.command, effects.StopRun):
-        request.stop_command = sent
-        return
-    request.last_command = sent
-    request.last_command_lost = False
-    if isinstance(sent.command, effects.StartRun):
-        request.link_number = sent.link_number
-        request.start_confirmed = False
-
-
 def request_load_sample(transition: Transition, tag: str) -> None:
     """Request a load sample, whose echo also confirms the commands sent before it."""
     transition.state.command_log.sample_requested(tag)
--- a/snowthread/core/run_completion.py
+++ b/snowthread/core/run_completion.py
@@ -17,12 +17,10 @@
     if event.outcome is not Outcome.NOT_STARTED:
         record_result(transition, event.attempt_id, result)
     request = state.requests_by_attempt_id.get(event.attempt_id)
-    if request is None or request.phase is not RequestPhase.RUNNING:
+    if request is None or request.run is None:
         return
     cancel_call(transition, request)
-    request.pending_call_notice = None
-    request.stopping = False
-    request.link_number = 0
+    request.run = None
     if event.outcome is Outcome.CANCELLED and request.response_address is not None:
         # Stopped while an answer is owed. A keyed attempt does not start again, so its followers fail.
         request.phase = RequestPhase.QUEUED
@@ -49,9 +47,9 @@
 def command_rejected(transition: Transition, event: events.CommandRejected) -> None:
     """End a run whose start or stop the runtime rejected."""
     request = transition.state.requests_by_attempt_id.get(event.attempt_id)
-    if request is None or request.phase is not RequestPhase.RUNNING:
+    if request is None or request.run is None:
         return
-    if event.is_start or request.stopping:
+    if event.is_start or request.run.stop_requested:
         # A start that was not carried out proves that nothing ran, so the idempotency key is free again.
         outcome = Outcome.NOT_STARTED if event.is_start else Outcome.FAILURE
         run_completed(transition, events.RunCompleted(event.attempt_id, outcome, 0.0, b""))
--- a/snowthread/core/runtime_resync.py
+++ b/snowthread/core/runtime_resync.py
@@ -12,12 +12,14 @@
 from dataclasses import replace
 
 from snowthread.admission import events as admission_events
-from snowthread.admission.settings import Idempotency, Outcome, Preemption
+from snowthread.admission.settings import Idempotency, Outcome, Preemption, RequestClass
 from snowthread.core import effects, events
+from snowthread.core.command_log import FIRST_LINK, CommandLog
+from snowthread.core.run import Run
 from snowthread.core.run_commands import request_load_sample, send_command
 from snowthread.core.run_completion import run_completed
 from snowthread.core.run_evidence import note_link_lost, note_link_ready, note_run
-from snowthread.core.state import Request, RequestPhase, State
+from snowthread.core.state import Request
 from snowthread.core.transition import HandlerTable, Transition
 
 
@@ -35,11 +37,13 @@
         transition.ensure_controller(event.runtime_age_ms)
     state.command_log.begin_link()
     state.runtime_connected = True
-    if state.link_number > 1:
+    is_first_link = state.link_number == FIRST_LINK
+    if not is_first_link:
         state.reconnected_at_ms = transition.now_ms
-    waiting, state.unsent_commands = state.unsent_commands, []
+    waiting = state.unsent_commands
+    state.unsent_commands = []
     note_link_ready(transition, len(waiting))
-    if state.link_number == 1:  # runs that an earlier process of this node began may go on
+    if is_first_link:  # runs that an earlier process of this node began may go on
         transition.dispatch(admission_events.RunCountDoubted())
     for command in waiting:
         if command.attempt_id in state.requests_by_attempt_id:
@@ -53,37 +57,37 @@
     state.runtime_connected = False
     state.disconnected_at_ms = transition.now_ms
     for request in state.requests.values():
-        if request.phase is RequestPhase.RUNNING:
-            _mark_if_lost(state, request)
+        if request.run is not None:
+            _judge_last_command(state.command_log, request.run)
     unsent: list[effects.Command] = [
         command for command in event.unsent_commands if isinstance(command, effects.Command)
     ]
     for command in unsent:
-        if isinstance(command, effects.StartRun) and command.attempt_id in state.requests_by_attempt_id:
-            state.requests_by_attempt_id[command.attempt_id].link_number = 0
+        request_of_command = state.requests_by_attempt_id.get(command.attempt_id)
+        run = None if request_of_command is None else request_of_command.run
+        if isinstance(command, effects.StartRun) and run is not None:
+            run.start_unsent()
     state.unsent_commands = unsent + state.unsent_commands
     note_link_lost(transition, len(unsent))
     transition.dispatch(admission_events.RunCountDoubted())
 
 
-def _mark_if_lost(state: State, request: Request) -> None:
-    sent = request.last_command
-    if sent is None or sent.link_number != state.link_number:
-        return  # judged when that link broke
-    request.last_command_lost = not state.command_log.was_read(sent)
-    if not request.last_command_lost:
-        request.start_confirmed = True
+def _judge_last_command(command_log: CommandLog, run: Run) -> None:
+    sent = run.last_command
+    if sent is not None and sent.link_number == command_log.link_number:  # else judged when that link broke
+        run.link_broke(last_command_read=command_log.was_read(sent))
 
 
 def resume_runs(transition: Transition) -> None:
-    """Settle the runs begun on an earlier link, once all notices missed were read."""
+    """Resynchronise the runs begun on an earlier link, once all notices missed were read."""
     state = transition.state
     for request in list(state.requests.values()):
-        if request.phase is RequestPhase.RUNNING and 0 < request.link_number < state.link_number:
-            _resume_run(transition, request)
+        run = request.run
+        if run is not None and run.is_on_earlier_link(state.link_number):
+            _resume_run(transition, request, run)
 
 
-def _resume_run(transition: Transition, request: Request) -> None:
+def _resume_run(transition: Transition, request: Request, run: Run) -> None:
     """Carry a run over to the present link, repeat its last command, or report it as indeterminate.
 
     A start that may be lost and is safe to repeat, or a skipped call, is sent again: nothing happens where it
@@ -91,40 +95,47 @@
     a reply, which the run might take for that to its next call. What becomes of these is for the controller
     to decide.
     """
-    state, sent = transition.state, request.last_command
-    if request.response_address is None or request.stopping:
-        _resume_unwanted_run(transition, request)
-    elif request.indeterminate:
+    sent = run.last_command
+    if request.response_address is None or run.stop_requested:
+        _resume_unwanted_run(transition, request, run)
+    elif run.is_indeterminate:
         return  # since an earlier break: only a notice can change that
-    elif sent is None or request.pending_call_notice is not None or not request.last_command_lost:
+    elif sent is None or run.pending_call_notice is not None or not run.last_command_lost:
         note_run(transition, request, "goes on")
-        request.link_number = state.link_number
-    elif _is_repeatable(sent.command, request):
+        run.link_number = transition.state.link_number
+    elif _is_repeatable(sent.command, request.request_class):
         note_run(transition, request, "last command sent again")
-        request.link_number = state.link_number
+        run.link_number = transition.state.link_number
         send_command(transition, sent.command)
     else:
-        is_at_call = isinstance(sent.command, effects.DeliverReply)
-        request.indeterminate = True
+        run.last_command_indeterminate()
         note_run(transition, request, "indeterminate: its last command may be lost")
+        is_at_call = isinstance(sent.command, effects.DeliverReply)
         if is_at_call:
-            request.pending_call_notice = request.answered_call_notice
+            run.pending_call_notice = run.answered_call_notice
         transition.dispatch(admission_events.RunIndeterminate(request.number, is_at_call))
 
 
-def _resume_unwanted_run(transition: Transition, request: Request) -> None:
-    """Stop a run that nobody waits for once more.
+def _is_repeatable(command: effects.Command, request_class: RequestClass) -> bool:
+    """Return whether a command that may have arrived can be sent again without harm."""
+    if isinstance(command, effects.StartRun):
+        return request_class.idempotency is Idempotency.IDEMPOTENT
+    return isinstance(command, effects.SkipCall)
+
+
+def _resume_unwanted_run(transition: Transition, request: Request, run: Run) -> None:
+    """Send the stop of a run to which no answer is owed once more.
 
-    It is not over because nobody waits for it: until the runtime says so it is on the cores, and counted.
+    Such a run is not over: until the runtime reports its end it is on the cores, and counted.
     """
     state = transition.state
-    request.link_number = state.link_number
+    run.link_number = state.link_number
     if state.settings.preemption is not Preemption.NONE:
-        request.stopping = True
-        if request.stop_command is None or request.stop_command.link_number != state.link_number:
+        run.stop_requested = True
+        if run.stop_command is None or run.stop_command.link_number != state.link_number:
             note_run(transition, request, "nobody waits for it: stop sent")
             send_command(transition, effects.StopRun(request.attempt_id))
-    if not request.start_confirmed:
+    if not run.is_start_confirmed:
         transition.dispatch(admission_events.RunIndeterminate(request.number))
 
 
@@ -135,31 +146,28 @@
     """
     state = transition.state
     for request in list(state.requests.values()):
-        if _was_stopped_unseen(state, request):
+        run = request.run
+        if (
+            run is not None
+            and request.response_address is None
+            and _was_stopped_unseen(state.command_log, run)
+        ):
             note_run(transition, request, "its stop was read and it never ran")
             run_completed(transition, events.RunCompleted(request.attempt_id, Outcome.CANCELLED, 0.0, b""))
 
 
-def _was_stopped_unseen(state: State, request: Request) -> bool:
-    start, stop = request.last_command, request.stop_command
+def _was_stopped_unseen(command_log: CommandLog, run: Run) -> bool:
+    start = run.last_command
+    stop = run.stop_command
     return (
-        request.phase is RequestPhase.RUNNING
-        and request.response_address is None
-        and not request.start_confirmed
+        not run.is_start_confirmed
         and start is not None
         and stop is not None
         and start.link_number < stop.link_number
-        and state.command_log.was_read(stop)
+        and command_log.was_read(stop)
     )
 
 
-def _is_repeatable(command: effects.Command, request: Request) -> bool:
-    """Return whether a command that may have arrived can be sent again without harm."""
-    if isinstance(command, effects.StartRun):
-        return request.request_class.idempotency is Idempotency.IDEMPOTENT
-    return isinstance(command, effects.SkipCall)
-
-
 HANDLERS: HandlerTable = {
     events.RuntimeConnected: runtime_connected,
     events.RuntimeDisconnected: runtime_disconnected,
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -9,7 +9,7 @@
 from snowthread.admission import events as admission_events
 from snowthread.admission.controller import Controller
 from snowthread.admission.settings import RequestClass, Settings
-from snowthread.core.command_log import CommandLog, SentCommand
+from snowthread.core.command_log import CommandLog
 from snowthread.core.effects import Command
 from snowthread.core.events import (
     CallPacingChanged,
@@ -19,6 +19,7 @@
     ResponseAddress,
 )
 from snowthread.core.idempotency import IdempotencyTable, IndeterminateKeys
+from snowthread.core.run import Run
 
 MS_PER_S = 1000.0
 MIN_TIMESTAMP_S = 0.001  # the controller takes a time of 0 for none
@@ -56,19 +57,14 @@
     memory_kb: float  # booked while queued; times the running memory factor while it runs
     body_digest: bytes = b""  # of class and body, where the class is keyed
     phase: RequestPhase = RequestPhase.QUEUED
-    link_number: int = 0  # the link to the runtime on which its run was taken up last; 0: not sent yet
-    pending_call_notice: int | None = None  # the notice of the call that its run waits for
-    call_body: bytes = b""
-    call_in_flight: bool = False
-    last_command: SentCommand | None = None  # the last command that lets its run go on
-    last_command_lost: bool = False  # it may be: its link broke before it was known to be read
-    start_confirmed: bool = False  # the runtime is known to have read the start
-    stop_command: SentCommand | None = None
-    answered_call_notice: int = 0  # the notice of the call replied to last
-    indeterminate: bool = False  # its last command may be lost with a link; no notice came since
-    stopping: bool = False
+    run: Run | None = None  # while the phase is RUNNING
     followers: list[int] = field(default_factory=list)  # retries that wait for its result
 
+    @property
+    def call_in_flight(self) -> bool:
+        """Whether the run waits for a downstream call that was sent."""
+        return self.run is not None and self.run.call_in_flight
+
 
 class PendingClaim(NamedTuple):
     """A claim of an idempotency key that the predecessor has not decided yet."""
--- a/tests/core/conftest.py
+++ b/tests/core/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for the tests of the core: a whole node, and a bare state."""
+"""Fixtures for the tests of the core: a complete node, and a bare state."""
 
 from __future__ import annotations
 
@@ -6,11 +6,19 @@
 
 import pytest
 from support.exchange import START, ExchangePlayer
+from support.run_transitions import CheckedRunState
 
 from snowthread.admission.settings import Idempotency, Preemption, RequestClass, Settings
+from snowthread.core.run import Run
 from snowthread.core.state import AdmissionClock, State
 
 
+@pytest.fixture(autouse=True)
+def checked_run_states(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make an illegal transition of a run's state an error."""
+    monkeypatch.setattr(Run, "state", CheckedRunState(Run.__dict__["state"]))
+
+
 @pytest.fixture
 def player() -> Iterator[ExchangePlayer]:
     """Yield a node with the example configuration and peers that it can reach."""
--- a/tests/core/test_runtime_resync.py
+++ b/tests/core/test_runtime_resync.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from support.core_events import make_request
+from support.core_events import confirm_commands, connect, make_request, resynchronise, run_of
 from support.exchange import START
 
 from snowthread.admission.controller import COUNT_DOUBT_S, DEADLINE_TIMER, UPDATE_TIMER
@@ -14,16 +14,9 @@
 from snowthread.core.state import Request, State
 
 
-def resynchronise(state: State, now_ms: float) -> list[effects.Effect]:
-    """Break the link and connect again; return the effects, the log and load samples apart."""
-    reduce(state, events.RuntimeDisconnected(), now_ms)
-    emitted = reduce(state, events.RuntimeConnected(False, 0.0), now_ms)
-    emitted += reduce(state, events.LoadSampleReceived(sync_tag(state.link_number), ()), now_ms)
-    return [e for e in emitted if not isinstance(e, effects.LogNote | effects.RequestLoadSample)]
-
-
 def start(state: State, request: events.RequestReceived) -> Request:
-    reduce(state, events.RuntimeConnected(False, 0.0), START)
+    """Connect and start the run of a request."""
+    connect(state, START)
     assert any(isinstance(effect, effects.StartRun) for effect in reduce(state, request, START))
     return state.requests_by_attempt_id[request.attempt_id]
 
@@ -34,14 +27,6 @@
     return state.requests_by_attempt_id[f"{2:016x}"]
 
 
-def confirm_commands(state: State, now_ms: float) -> list[effects.Effect]:
-    """Have the runtime echo a load sample request, which shows that it read all that was sent before."""
-    reduce(state, events.LoadSampleDue(), now_ms)
-    tag = str(state.last_sample_number)
-    emitted = reduce(state, events.LoadSampleReceived(tag, ()), now_ms)
-    return [effect for effect in emitted if not isinstance(effect, effects.LogNote)]
-
-
 def counted_runs(state: State) -> int:
     """Return how many runs the controller takes to be on the cores."""
     assert state.controller is not None
@@ -53,18 +38,18 @@
     request = start(state, make_request(1, class_name, START))
     confirm_commands(state, START + 1.0)
     assert resynchronise(state, START + 1.0) == []
-    assert request.link_number == state.link_number
-    assert not request.indeterminate
+    assert run_of(request).link_number == state.link_number
+    assert not run_of(request).is_indeterminate
 
 
 @pytest.mark.parametrize("class_name", ["idempotent", "keyed", "non-idempotent"])
 def test_a_start_that_nothing_shows_to_be_read_may_be_lost_however_old_it_is(
     state: State, class_name: str
 ) -> None:
-    """A link that is slow or silent holds back what was sent long before it breaks."""
+    """A link that is slow or silent delays what was sent long before it breaks."""
     request = start(state, make_request(1, class_name, START))
     emitted = resynchronise(state, START + 900.0)
-    assert request.indeterminate is (class_name != "idempotent")
+    assert run_of(request).is_indeterminate is (class_name != "idempotent")
     resent = [effect for effect in emitted if isinstance(effect, effects.StartRun)]
     assert len(resent) == (class_name == "idempotent")
 
@@ -75,7 +60,7 @@
     resynchronise(state, START + 2.0)
     late = start_second(state, START + 3.0)
     assert resynchronise(state, START + 4.0) == []
-    assert late.indeterminate and not request.indeterminate
+    assert run_of(late).is_indeterminate and not run_of(request).is_indeterminate
 
 
 def test_a_start_that_may_be_lost_is_sent_again_where_the_class_is_idempotent(state: State) -> None:
@@ -92,10 +77,10 @@
     request = start(state, make_request(1, class_name, START))
     emitted = resynchronise(state, START + 1.0)
     assert not any(isinstance(effect, effects.StartRun) for effect in emitted)
-    assert request.indeterminate
+    assert run_of(request).is_indeterminate
 
 
-def test_an_indeterminate_run_counts_until_its_end_is_told(state: State) -> None:
+def test_an_indeterminate_run_counts_until_its_end_is_reported(state: State) -> None:
     request = start(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
     assert counted_runs(state) == 1
@@ -103,7 +88,9 @@
     assert counted_runs(state) == 0 and state.requests == {}
 
 
-def test_a_run_that_nobody_waits_for_is_stopped_and_counts_until_its_end_is_told(state: State) -> None:
+def test_a_run_to_which_no_answer_is_owed_is_stopped_and_counts_until_its_end_is_reported(
+    state: State,
+) -> None:
     request = start(state, make_request(1, "non-idempotent", START))
     confirm_commands(state, START)
     reduce(state, events.RequestCancelled((1, 1)), START)
@@ -116,7 +103,7 @@
 
 
 def test_a_stop_that_has_to_wait_for_a_link_is_sent_on_the_next(state: State) -> None:
-    """It was dropped, as its request was taken for over: the run went on uncounted."""
+    """Were it dropped, the run would go on uncounted."""
     request = start(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
     reduce(state, events.RuntimeDisconnected(), START + 2.0)
@@ -126,7 +113,7 @@
     assert effects.StopRun(request.attempt_id) in emitted
 
 
-def test_a_run_whose_stop_was_read_before_anything_was_heard_of_it_is_over(state: State) -> None:
+def test_a_run_whose_stop_was_read_before_any_notice_of_it_is_over(state: State) -> None:
     start(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
     reduce(state, events.RequestCancelled((1, 1)), START + 2.0)
@@ -137,7 +124,7 @@
     assert record is not None and record.completed  # it may have run all the same: never again
 
 
-def test_a_run_that_the_site_cannot_stop_counts_until_its_end_is_told(unstoppable_state: State) -> None:
+def test_a_run_that_the_site_cannot_stop_counts_until_its_end_is_reported(unstoppable_state: State) -> None:
     state = unstoppable_state
     request = start(state, make_request(1, "idempotent", START))
     confirm_commands(state, START)
@@ -149,7 +136,7 @@
     assert counted_runs(state) == 0
 
 
-def test_a_run_of_which_nothing_is_ever_heard_frees_its_place_in_the_end(unstoppable_state: State) -> None:
+def test_a_run_without_any_notice_frees_its_place_in_the_end(unstoppable_state: State) -> None:
     state = unstoppable_state
     start(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
@@ -158,14 +145,14 @@
     assert counted_runs(state) == 0 and state.requests == {}
 
 
-def test_a_reply_sent_on_the_new_link_is_not_taken_for_lost_with_the_old_one(state: State) -> None:
+def test_a_reply_sent_on_the_new_link_does_not_count_as_lost_with_the_old_one(state: State) -> None:
     request = start(state, make_request(1, "keyed", START))
     reduce(state, events.CallRequested(request.attempt_id, 1, b"c"), START + 1.0)
     reduce(state, events.RuntimeDisconnected(), START + 2.0)
     reduce(state, events.RuntimeConnected(False, 0.0), START + 3.0)
     reduce(state, events.CallCompleted(request.attempt_id, Outcome.SUCCESS, 1.0, b"r"), START + 4.0)
     reduce(state, events.LoadSampleReceived(sync_tag(2), ()), START + 5.0)
-    assert not request.indeterminate
+    assert not run_of(request).is_indeterminate
 
 
 @pytest.mark.parametrize(
@@ -175,8 +162,8 @@
         pytest.param(events.RuntimeDisconnected(), id="link broke"),
     ],
 )
-def test_more_runs_than_are_counted_are_believed_after(state: State, event: events.Event) -> None:
-    """Runs of a process that is gone go on at the runtime, and so do those of which a break told nothing."""
+def test_more_runs_than_are_counted_are_measured_after(state: State, event: events.Event) -> None:
+    """Runs of a process that has exited go on at the runtime, and so may those that a broken link hides."""
     state.gauge_names = ("on_cores",)
     reduce(state, events.RuntimeConnected(False, 0.0), START)
     later = START + 1000.0 * (COUNT_DOUBT_S + 1.0)
@@ -186,7 +173,7 @@
     assert state.controller is not None and state.controller.run_load().uncounted == 6.0
 
 
-def test_runs_of_an_earlier_process_are_believed_after_the_start(state: State) -> None:
+def test_runs_of_an_earlier_process_are_measured_after_the_start(state: State) -> None:
     state.gauge_names = ("on_cores",)
     reduce(state, events.RuntimeConnected(False, 60_000.0), START)
     reduce(state, events.LoadSampleReceived("x", (6.0,)), START + 240.0)
@@ -195,6 +182,6 @@
 
 
 def test_exit_of_a_peer_process_before_the_runtime_is_there_starts_no_controller(state: State) -> None:
-    """It would take a machine for warm whose age nobody has told yet."""
+    """The controller would take a machine for warm whose age is not known yet."""
     reduce(state, events.PeerProcessExited(), START)
     assert state.controller is None
--- a/tests/support/core_events.py
+++ b/tests/support/core_events.py
@@ -1,14 +1,18 @@
-"""Events for tests of the reducer."""
+"""Events for tests of the reducer, one by one and in sequences that several tests need."""
 
 from __future__ import annotations
 
-from snowthread.core import events
+from snowthread.core import effects, events
+from snowthread.core.reducer import reduce
+from snowthread.core.run import Run
+from snowthread.core.runtime_resync import sync_tag
+from snowthread.core.state import Request, State
 
 
 def make_request(
     number: int, class_name: str, sent_at_ms: float, idempotency_key: str | None = None
 ) -> events.RequestReceived:
-    """Return a request whose attempt, response address and key are told apart by its number."""
+    """Return a request whose number stands in its attempt id, response address and key."""
     return events.RequestReceived(
         response_address=(1, number),
         attempt_id=f"{number:016x}",
@@ -21,3 +25,30 @@
         rank=0.5,
         idempotency_key=idempotency_key or f"k{number}",
     )
+
+
+def connect(state: State, now_ms: float) -> list[effects.Effect]:
+    """Have the runtime accept a link; return the effects."""
+    return reduce(state, events.RuntimeConnected(starts_cold=False, runtime_age_ms=0.0), now_ms)
+
+
+def confirm_commands(state: State, now_ms: float) -> list[effects.Effect]:
+    """Have the runtime echo a load sample request, which shows that it read all that was sent before."""
+    reduce(state, events.LoadSampleDue(), now_ms)
+    tag = str(state.last_sample_number)
+    emitted = reduce(state, events.LoadSampleReceived(tag, ()), now_ms)
+    return [effect for effect in emitted if not isinstance(effect, effects.LogNote)]
+
+
+def resynchronise(state: State, now_ms: float) -> list[effects.Effect]:
+    """Break the link and connect again; return the effects, the log and load samples apart."""
+    reduce(state, events.RuntimeDisconnected(), now_ms)
+    emitted = connect(state, now_ms)
+    emitted += reduce(state, events.LoadSampleReceived(sync_tag(state.link_number), ()), now_ms)
+    return [e for e in emitted if not isinstance(e, effects.LogNote | effects.RequestLoadSample)]
+
+
+def run_of(request: Request) -> Run:
+    """Return the run of a request that is known to run."""
+    assert request.run is not None
+    return request.run
