--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -5,6 +5,7 @@
 from snowthread.admission import actions
 from snowthread.admission.settings import Idempotency, Outcome
 from snowthread.core import effects, events
+from snowthread.core.idempotency import IdempotencyRecord
 from snowthread.core.load_samples import schedule_timer
 from snowthread.core.request_lifecycle import (
     answer,
@@ -94,26 +95,26 @@
 
 
 def remember_key(transition: Transition, action: actions.RememberKey) -> None:
-    """Enter the request's key into the idempotency table, and tell a peer process of it."""
+    """Enter the request's key into the idempotency table, and notify a peer process of it."""
     state = transition.state
     request = state.requests.get(action.request_id)
     if request is None or not request.idempotency_key:
         return
-    record = state.idempotency_table.put(
+    entry = IdempotencyRecord(
         request.idempotency_key,
         request.number,
         request.attempt_id,
         transition.now_ms + state.admission_clock.duration_ms(action.lifetime_s),
-        transition.now_ms,
         request.body_digest,
         class_name=request.class_name,
     )
+    record = state.idempotency_table.put(entry, transition.now_ms)
     if state.handover_role is not HandoverRole.STANDALONE:
         transition.send_to_peer_process(record)
 
 
 def forget_key(transition: Transition, action: actions.ForgetKey) -> None:
-    """Drop the request's key, which never ran, and tell a peer process of it."""
+    """Drop the request's key, which never ran, and notify a peer process of it."""
     state = transition.state
     record = state.idempotency_table.find_by_number(action.request_id)
     state.idempotency_table.remove(action.request_id)
--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -3,21 +3,36 @@
 from __future__ import annotations
 
 from hashlib import blake2b
+from typing import NamedTuple
 
 from snowthread.admission import events as admission_events
 from snowthread.admission.settings import Idempotency, RequestClass
 from snowthread.core import effects, events
+from snowthread.core.idempotency import DIGEST_BYTES
 from snowthread.core.key_claims import ClaimDecision, claim_key, withdraw_claim
 from snowthread.core.request_lifecycle import cancel_call, release_if_answered
 from snowthread.core.state import HandoverRole, Request, State
 from snowthread.core.transition import HandlerTable, Transition
 
 MIN_TIME_LEFT_MS = 1.0  # reported for a request read past its deadline: 0 would mean that it has none
+DIGEST_KEY_MAX_BYTES = blake2b.MAX_KEY_SIZE  # of the class name, which is the key of the body's digest
+
+
+class _KeyMatch(NamedTuple):
+    """A request's idempotency key, and what the idempotency table knows of it."""
+
+    idempotency_key: str | None
+    body_digest: bytes
+    original_number: int | None  # the request that owns the key: this one is a retry of it
+
+
+_NO_KEY = _KeyMatch(None, b"", None)  # of a request whose class is not keyed
 
 
 def digest(event: events.RequestReceived) -> bytes:
     """Return a digest of the class and the body: what a retry under the same key has to ask for."""
-    return blake2b(event.body, digest_size=16, key=event.class_name.encode()[:64]).digest()
+    class_name = event.class_name.encode()[:DIGEST_KEY_MAX_BYTES]
+    return blake2b(event.body, digest_size=DIGEST_BYTES, key=class_name).digest()
 
 
 def request_received(
@@ -25,9 +40,9 @@
     event: events.RequestReceived,
     claim: ClaimDecision = ClaimDecision.UNDECIDED,
 ) -> None:
-    """Admit a request to the controller, answer it at once, or hold it until its key is claimed.
+    """Admit a request to the controller, answer it at once, or make it wait until its key is claimed.
 
-    ``claim`` tells what the predecessor process decided on the request's key, if it was asked.
+    ``claim`` is what the predecessor process decided on the request's key, if it was asked.
     """
     state = transition.state
     transition.ensure_controller()
@@ -38,25 +53,45 @@
         # An unknown class, or the same attempt while its run goes on: nothing can be promised.
         transition.respond(event.response_address, effects.Failed())
         return
-    idempotency_key, body_digest, original_number = None, b"", None
+    key = _NO_KEY
     if request_class.idempotency is Idempotency.KEYED:
-        idempotency_key, body_digest = event.idempotency_key, digest(event)
-        if not idempotency_key or not _is_key_usable(state, idempotency_key, body_digest, sent_at_ms):
-            transition.respond(event.response_address, effects.Failed())
+        match = _match_key(transition, event, request_class, sent_at_ms, claim)
+        if match is None:
             return
-        original_number = state.idempotency_table.owner_at(idempotency_key, sent_at_ms)
-        if original_number is None and state.handover_role is HandoverRole.SUCCESSOR:
-            if claim is ClaimDecision.UNDECIDED:
-                claim_key(transition, event, idempotency_key, sent_at_ms, body_digest, request_class)
-                return
-            if claim is ClaimDecision.DENIED:  # another attempt owns the key and yet is unknown here
-                transition.respond(event.response_address, effects.Failed())
-                return
-    _admit(transition, event, request_class, sent_at_ms, idempotency_key, body_digest, original_number)
+        key = match
+    _admit(transition, event, request_class, sent_at_ms, key)
     if claim is ClaimDecision.GRANTED:
         _release_unused_claim(transition, event.attempt_id)
 
 
+def _match_key(
+    transition: Transition,
+    event: events.RequestReceived,
+    request_class: RequestClass,
+    sent_at_ms: float,
+    claim: ClaimDecision,
+) -> _KeyMatch | None:
+    """Look up a request's key; return None where the request fails or waits until its key is claimed."""
+    state = transition.state
+    idempotency_key = event.idempotency_key
+    body_digest = digest(event)
+    if not idempotency_key or not _is_key_usable(state, idempotency_key, body_digest, sent_at_ms):
+        transition.respond(event.response_address, effects.Failed())
+        return None
+    original_number = state.idempotency_table.owner_at(idempotency_key, sent_at_ms)
+    if original_number is None and state.handover_role is HandoverRole.SUCCESSOR:
+        if claim is ClaimDecision.UNDECIDED:
+            claim_request = events.KeyClaimRequested(
+                idempotency_key, event.attempt_id, sent_at_ms, body_digest
+            )
+            claim_key(transition, event, claim_request, request_class.deadline_s)
+            return None
+        if claim is ClaimDecision.DENIED:  # another attempt owns the key and yet is unknown here
+            transition.respond(event.response_address, effects.Failed())
+            return None
+    return _KeyMatch(idempotency_key, body_digest, original_number)
+
+
 def _release_unused_claim(transition: Transition, attempt_id: str) -> None:
     """Give a key back to the predecessor if its request was rejected at once."""
     state = transition.state
@@ -93,11 +128,9 @@
     event: events.RequestReceived,
     request_class: RequestClass,
     sent_at_ms: float,
-    idempotency_key: str | None,
-    body_digest: bytes,
-    original_number: int | None,
+    key: _KeyMatch,
 ) -> None:
-    """Enter the request into the state and tell the controller of it."""
+    """Enter the request into the state and hand it to the controller."""
     state = transition.state
     request = Request(
         state.last_request_number,
@@ -105,12 +138,12 @@
         event.class_name,
         event.body,
         event.response_address,
-        idempotency_key,
-        original_number,
+        key.idempotency_key,
+        key.original_number,
         transition.now_ms,
         request_class,
         event.memory_kb,
-        body_digest,
+        key.body_digest,
     )
     state.requests[request.number] = request
     state.requests_by_attempt_id[event.attempt_id] = request
@@ -121,8 +154,9 @@
 def _arrival(
     transition: Transition, event: events.RequestReceived, request: Request, sent_at_ms: float
 ) -> admission_events.RequestArrived:
-    """Return what the controller is told of a request."""
-    clock, now_ms = transition.state.admission_clock, transition.now_ms
+    """Return the event that hands a request to the controller."""
+    clock = transition.state.admission_clock
+    now_ms = transition.now_ms
     time_left_s = None
     if event.timeout_ms is not None:
         time_left_s = clock.duration_s(max(MIN_TIME_LEFT_MS, sent_at_ms + event.timeout_ms - now_ms))
@@ -176,7 +210,8 @@
 def retry_pending_claims(transition: Transition) -> None:
     """Take up all requests that wait for a key anew, after the peer process connected or exited."""
     state = transition.state
-    claims, state.pending_claims = state.pending_claims, {}
+    claims = state.pending_claims
+    state.pending_claims = {}
     for claim in claims.values():
         for request in claim.waiting:
             request_received(transition, request)
--- a/snowthread/core/idempotency.py
+++ b/snowthread/core/idempotency.py
@@ -10,13 +10,14 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-MAX_RESULT_BYTES = 24 * 2**20  # results kept in all; past it the oldest go first and their retries fail
+DIGEST_BYTES = 16
+MAX_RESULT_BYTES = 24 * 2**20  # of all results retained; the oldest are dropped, and their retries fail
 LATE_READ_ALLOWANCE_MS = 8_000.0  # a retry sent within the window may be read so much later
 
 
 def key_digest(idempotency_key: str) -> bytes:
-    """Return a digest of a key in 16 bytes, for what outlives the process."""
-    return blake2b(idempotency_key.encode(), digest_size=16).digest()
+    """Return a digest of a key of :data:`DIGEST_BYTES` bytes, for what outlives the process."""
+    return blake2b(idempotency_key.encode(), digest_size=DIGEST_BYTES).digest()
 
 
 @dataclass(slots=True)
@@ -43,7 +44,8 @@
     """
 
     def __init__(self, expires_at_ms_by_digest: dict[bytes, float], any_until_ms: float) -> None:
-        self._expires_at_ms_by_digest, self.any_until_ms = expires_at_ms_by_digest, any_until_ms
+        self._expires_at_ms_by_digest = expires_at_ms_by_digest
+        self.any_until_ms = any_until_ms
         self.last_expiry_ms = max([any_until_ms, *expires_at_ms_by_digest.values()])
 
     def __len__(self) -> int:
@@ -76,35 +78,21 @@
     def __len__(self) -> int:
         return len(self._by_number)
 
-    def put(
-        self,
-        idempotency_key: str,
-        request_number: int,
-        attempt_id: str,
-        expires_at_ms: float,
-        now_ms: float,
-        body_digest: bytes = b"",
-        remote: bool = False,
-        class_name: str = "",
-    ) -> IdempotencyRecord:
-        """Enter or renew the record of a request; a newer request takes its key over."""
+    def put(self, entry: IdempotencyRecord, now_ms: float) -> IdempotencyRecord:
+        """Enter a record, or renew the one of the same request until the new expiry; return the one in use.
+
+        The record of an older request with the same key is removed.
+        """
         self._purge(now_ms)
-        old = self._by_key.get(idempotency_key)
-        if old is not None and old.request_number != request_number:
+        number = entry.request_number
+        old = self._by_key.get(entry.idempotency_key)
+        if old is not None and old.request_number != number:
             self._remove(old)
-        record = self._by_number.get(request_number) or IdempotencyRecord(
-            idempotency_key,
-            request_number,
-            attempt_id,
-            expires_at_ms,
-            body_digest,
-            remote=remote,
-            class_name=class_name,
-        )
-        record.expires_at_ms = expires_at_ms
-        self._by_key[idempotency_key] = record
-        self._by_number[request_number] = record
-        self._by_attempt_id[attempt_id] = record
+        record = self._by_number.get(number) or entry
+        record.expires_at_ms = entry.expires_at_ms
+        self._by_key[entry.idempotency_key] = record
+        self._by_number[number] = record
+        self._by_attempt_id[entry.attempt_id] = record
         self._schedule_purge(record)
         return record
 
--- a/snowthread/core/key_claims.py
+++ b/snowthread/core/key_claims.py
@@ -1,7 +1,7 @@
 """Claims of idempotency keys between the two processes of a hot restart.
 
 The successor takes no key without the predecessor's permission, so a request that reaches both processes
-runs in at most one of them. The successor holds a request back until the predecessor has decided:
+runs in at most one of them. At the successor a request waits until the predecessor has decided:
 
 ====================================  ==================================================================
 event at the successor                what becomes of the requests that wait for the key
@@ -18,12 +18,13 @@
 
 from enum import Enum
 
-from snowthread.admission.settings import RequestClass
 from snowthread.core import effects, events
+from snowthread.core.idempotency import IdempotencyRecord
 from snowthread.core.state import PendingClaim, State
 from snowthread.core.transition import HandlerTable, Transition
 
-KEY_CLAIM_TIMEOUT_MS = 400.0  # the longest wait for a decision; never more than half of the time left
+KEY_CLAIM_TIMEOUT_MS = 400.0  # the longest wait for a decision
+KEY_CLAIM_WAIT_RATIO = 0.5  # of the time left, at most: the rest is for the run
 MAX_PENDING_KEY_CLAIMS = 256  # keys whose claim may be undecided at once
 
 
@@ -38,28 +39,29 @@
 def claim_key(
     transition: Transition,
     event: events.RequestReceived,
-    idempotency_key: str,
-    sent_at_ms: float,
-    body_digest: bytes,
-    request_class: RequestClass,
+    claim_request: events.KeyClaimRequested,
+    class_deadline_s: float,
 ) -> None:
-    """Hold a request back until the predecessor has decided on its key."""
+    """Make a request wait until the predecessor has decided on its key.
+
+    ``class_deadline_s`` is the deadline of its class, from when the request was sent, which holds where the
+    request has no timeout of its own.
+    """
     state = transition.state
-    claim = state.pending_claims.get(idempotency_key)
+    claim = state.pending_claims.get(claim_request.idempotency_key)
     if claim is None:
         if len(state.pending_claims) >= MAX_PENDING_KEY_CLAIMS:
             transition.respond(event.response_address, effects.Rejected())
             return
-        claim = state.pending_claims[idempotency_key] = PendingClaim(event.attempt_id, [])
-        transition.send_to_peer_process(
-            events.KeyClaimRequested(idempotency_key, event.attempt_id, sent_at_ms, body_digest)
-        )
+        claim = PendingClaim(event.attempt_id, [])
+        state.pending_claims[claim_request.idempotency_key] = claim
+        transition.send_to_peer_process(claim_request)
     claim.waiting.append(event)
     timeout_ms = event.timeout_ms
     if timeout_ms is None:
-        timeout_ms = state.admission_clock.duration_ms(request_class.deadline_s)
-    time_left_ms = max(0.0, sent_at_ms + timeout_ms - transition.now_ms)
-    decide_by_ms = transition.now_ms + min(KEY_CLAIM_TIMEOUT_MS, time_left_ms / 2.0)
+        timeout_ms = state.admission_clock.duration_ms(class_deadline_s)
+    time_left_ms = max(0.0, claim_request.sent_at_ms + timeout_ms - transition.now_ms)
+    decide_by_ms = transition.now_ms + min(KEY_CLAIM_TIMEOUT_MS, KEY_CLAIM_WAIT_RATIO * time_left_ms)
     transition.emit(effects.ScheduleTimer(decide_by_ms, events.KeyClaimTimedOut(event.response_address)))
 
 
@@ -82,8 +84,9 @@
 def key_claim_requested(transition: Transition, event: events.KeyClaimRequested) -> None:
     """Decide, as the predecessor, whether the successor may have a key.
 
-    A granted key is the successor's for the longest window of all classes; the successor tells the window
-    that holds once it takes the request. If it never does, a run of it may still not be far off.
+    A granted key belongs to the successor for the longest window of all classes. The successor reports the
+    window of the request's class once it admits the request; if that report is lost, the run may go on all
+    the same.
     """
     state = transition.state
     table = state.idempotency_table
@@ -92,15 +95,15 @@
     if granted:
         state.last_request_number += 1
         window_s = max((c.idempotency_window_s for c in state.settings.classes), default=0.0)
-        table.put(
+        record = IdempotencyRecord(
             event.idempotency_key,
             state.last_request_number,
             event.attempt_id,
-            transition.now_ms + state.admission_clock.duration_ms(window_s),
-            transition.now_ms,
-            event.body_digest,
+            expires_at_ms=transition.now_ms + state.admission_clock.duration_ms(window_s),
+            body_digest=event.body_digest,
             remote=True,
         )
+        table.put(record, transition.now_ms)
     transition.send_to_peer_process(events.KeyClaimDecided(event.idempotency_key, event.attempt_id, granted))
 
 
--- a/snowthread/core/key_replication.py
+++ b/snowthread/core/key_replication.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from snowthread.core import events
+from snowthread.core.idempotency import IdempotencyRecord
 from snowthread.core.request_lifecycle import complete_followers
 from snowthread.core.transition import HandlerTable, Transition
 
@@ -14,15 +15,15 @@
     if record is not None and not record.remote:
         return
     state.last_request_number += 1
-    state.idempotency_table.put(
+    replicated = IdempotencyRecord(
         event.idempotency_key,
         state.last_request_number if record is None else record.request_number,
         event.attempt_id,
         event.expires_at_ms,
-        transition.now_ms,
         event.body_digest,
         remote=True,
     )
+    state.idempotency_table.put(replicated, transition.now_ms)
     if event.completed:
         key_run_completed(transition, events.KeyRunCompleted(event.attempt_id, event.result))
 
