--- a/snowthread/core/peer_process.py
+++ b/snowthread/core/peer_process.py
@@ -19,7 +19,7 @@
 from snowthread.core import effects, events
 from snowthread.core.arrivals import retry_pending_claims
 from snowthread.core.request_lifecycle import complete_followers
-from snowthread.core.settings_reload import apply_settings
+from snowthread.core.settings_changes import apply_settings
 from snowthread.core.state import HandoverRole, RequestPhase
 from snowthread.core.transition import HandlerTable, Transition
 
--- a/snowthread/core/reducer.py
+++ b/snowthread/core/reducer.py
@@ -19,7 +19,7 @@
     peer_process,
     run_completion,
     runtime_resync,
-    settings_reload,
+    settings_changes,
     shutdown,
 )
 from snowthread.core.action_handlers import ACTION_HANDLERS
@@ -33,7 +33,7 @@
     **downstream_calls.HANDLERS,
     **load_samples.HANDLERS,
     **shutdown.HANDLERS,
-    **settings_reload.HANDLERS,
+    **settings_changes.HANDLERS,
     **peer_process.HANDLERS,
     **key_claims.HANDLERS,
     **key_replication.HANDLERS,
--- a/snowthread/core/settings_reload.py
+++ b/snowthread/core/settings_changes.py
@@ -1,4 +1,8 @@
-"""Changes to the controller's settings while serving: reloads, tenant quotas, pacing, learned state."""
+"""Changes to what the controller works with while serving.
+
+Reloaded settings, tenant quotas, the pacing of calls during recovery, and the learned state of an earlier
+incarnation. The settings in effect are computed in :mod:`snowthread.core.effective_settings`.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +12,13 @@
 from snowthread.admission import events as admission_events
 from snowthread.admission.settings import RequestClass, Settings
 from snowthread.core import events
-from snowthread.core.reconfiguration import merge_settings, remaining_limits
+from snowthread.core.effective_settings import merge_settings, remaining_limits
 from snowthread.core.state import State
 from snowthread.core.transition import HandlerTable, Transition, apply_learned_state
 
 
 def apply_settings(transition: Transition) -> None:
-    """Give the controller the settings, less what the peer process uses, with the call quota paced."""
+    """Hand the settings in effect to the controller, if there is one."""
     state = transition.state
     if state.controller is None:
         return
@@ -27,7 +31,7 @@
 
 
 def settings_reloaded(transition: Transition, event: events.SettingsReloaded) -> None:
-    """Take up other settings; requests that are open keep their class as it was."""
+    """Replace the settings; open requests stay with their class as it was on arrival."""
     state = transition.state
     old = state.settings
     state.settings = merge_settings(old, event.settings, state.retired_until_ms, transition.now_ms)
@@ -41,9 +45,9 @@
 
 
 def _extend_idempotency_windows(state: State, old_classes: tuple[RequestClass, ...]) -> None:
-    """Keep the keys of classes whose window is longer now for that window.
+    """Extend the expiry of the keys of classes whose idempotency window is longer now.
 
-    A window that is shorter now leaves the keys as they are: retries come within what callers were told.
+    A window that is shorter now leaves the keys as they are: callers retry within the window that they know.
     """
     old_window_s = {old.name: old.idempotency_window_s for old in old_classes}
     for request_class in state.settings.classes:
@@ -59,8 +63,8 @@
     """Pass on the tenants of the new settings, where they differ from the old."""
     if old.tenants == new.tenants and old.over_quota_weight == new.over_quota_weight:
         return
-    kept = {tenant.name for tenant in new.tenants}
-    removed = frozenset(tenant.name for tenant in old.tenants if tenant.name not in kept)
+    remaining = {tenant.name for tenant in new.tenants}
+    removed = frozenset(tenant.name for tenant in old.tenants if tenant.name not in remaining)
     tenant_quotas_changed(transition, events.TenantQuotasChanged(new.tenants, removed, new.over_quota_weight))
 
 
--- a/snowthread/core/transition.py
+++ b/snowthread/core/transition.py
@@ -15,8 +15,8 @@
 from snowthread.admission.controller import Controller
 from snowthread.admission.learned_state import restore_learned_state
 from snowthread.core import effects
+from snowthread.core.effective_settings import remaining_limits
 from snowthread.core.events import ResponseAddress
-from snowthread.core.reconfiguration import remaining_limits
 from snowthread.core.state import State
 
 Handler = Callable[["Transition", Any], None]
--- a/tests/core/test_reconfiguration.py
+++ b/tests/core/test_reconfiguration.py
@@ -16,7 +16,7 @@
 from snowthread.admission.settings import Idempotency, Outcome, RequestClass, Settings
 from snowthread.config import parse
 from snowthread.core import effects, events
-from snowthread.core.reconfiguration import merge_settings, retention_ms
+from snowthread.core.effective_settings import merge_settings, retention_ms
 from snowthread.records.observer import Observer
 
 A = RequestClass("a", latency_objective_s=1.0, deadline_s=3.0)
--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -15,7 +15,7 @@
     peer_process,
     run_completion,
     runtime_resync,
-    settings_reload,
+    settings_changes,
     shutdown,
 )
 from snowthread.core.action_handlers import ACTION_HANDLERS
@@ -30,7 +30,7 @@
     peer_process,
     run_completion,
     runtime_resync,
-    settings_reload,
+    settings_changes,
     shutdown,
 )
 
