--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -35,10 +35,11 @@
     """Preempt a run; one whose start was not sent yet is over at once."""
     state = transition.state
     request = state.requests.get(action.request_id)
-    if request is None or request.run is None or request.run.stop_requested:
+    run = None if request is None else request.run
+    if request is None or run is None or run.stop_requested:
         return
-    request.run.stop_requested = True
-    if request.run.state is not RunState.START_QUEUED:
+    run.stop_requested = True
+    if run.state is not RunState.START_QUEUED:
         send_command(transition, effects.StopRun(request.attempt_id))
         return
     state.unsent_commands = [
@@ -52,7 +53,7 @@
     state = transition.state
     request = state.requests.get(action.request_id)
     if request is not None and request.run is not None:
-        note_run(transition, request, "nothing was heard of it for longer than it can take: not counted")
+        note_run(transition, request, "presumed lost: no notice for longer than a run takes")
         record_result(transition, request.attempt_id, None)
         finish(transition, request, None)
 
--- a/snowthread/core/command_log.py
+++ b/snowthread/core/command_log.py
@@ -18,11 +18,11 @@
 
 
 class SentCommand(NamedTuple):
-    """A command as it was sent: on which link to the runtime, and the how many-th command of this node."""
+    """A command as it was sent."""
 
     command: Command
-    link_number: int
-    number: int
+    link_number: int  # of the link to the runtime on which it was sent
+    number: int  # among all commands of this node, from 1
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
         return SentCommand(command, self.link_number, self.sent)
 
     def sample_requested(self, tag: str) -> None:
-        """Remember what was sent before a load sample was requested."""
+        """Note which commands were sent before a load sample was requested."""
         if len(self._sent_before_sample) >= OUTSTANDING_SAMPLES_MAX:
             del self._sent_before_sample[next(iter(self._sent_before_sample))]
         self._sent_before_sample[tag] = self.sent
--- a/snowthread/core/effects.py
+++ b/snowthread/core/effects.py
@@ -1,4 +1,7 @@
-"""What the reducer asks the outside to do, independent of any protocol. Times are milliseconds."""
+"""What the reducer asks the outside to do, independent of any protocol.
+
+Points in time (``at_ms``) are float Unix milliseconds, lengths of time (``..._ms``) are float milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -30,8 +33,8 @@
 class Rejected:
     """The response to an attempt that never ran."""
 
-    retry_after_ms: float = 0.0
-    do_not_retry: bool = False
+    retry_after_ms: float = 0.0  # for how long the balancer should send this node nothing; 0: not said
+    do_not_retry: bool = False  # nor should the balancer try another node
     attempt_id: str = field(default="", compare=False)  # this and the reason are for the log
     reason: str = field(default="", compare=False)
 
@@ -105,19 +108,19 @@
     attempt_id: str
     body: bytes
     timeout_ms: float
-    retryable: bool = False  # it may be made again
+    retryable: bool = False  # it may be sent again where its connection broke
 
 
 @dataclass(frozen=True, slots=True)
 class CancelCall:
-    """Cancel the call made for a run; its end is of no interest."""
+    """Cancel the call made for a run: its end is not reported."""
 
     attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduleTimer:
-    """Send the event back to the reducer at this time."""
+    """Hand the event to the reducer at this time."""
 
     at_ms: float
     event: TimerExpired | LoadSampleDue | KeyClaimTimedOut
@@ -125,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetIdleTimeout:
-    """Close connections that were idle for so long."""
+    """Close connections of balancers that were idle for this time."""
 
     timeout_ms: float
 
@@ -152,8 +155,8 @@
 class SendToPeerProcess:
     """Send a message to the other process of this node during a hot restart.
 
-    An idempotency record is sent as it is when its turn comes, so that thousands of them wait as references
-    and not as bytes.
+    An idempotency record is encoded only when it is written to the socket: thousands of them wait as
+    references and not as bytes.
     """
 
     message: PeerProcessMessage
@@ -161,19 +164,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHandoverComplete:
-    """Tell the successor that all idempotency records were sent: it may begin."""
+    """Notify the successor that all idempotency records were sent: it may accept clients."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReserveDescriptors:
-    """Leave so many file descriptors to the peer process."""
+    """Reserve this number of file descriptors for the peer process."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetAccepting:
-    """Accept new connections, or leave them to the successor and close those there are."""
+    """Accept new connections, or leave them to the successor and close the present ones."""
 
     accepting: bool
 
--- a/snowthread/core/events.py
+++ b/snowthread/core/events.py
@@ -1,6 +1,7 @@
 """What can happen to a node, independent of any protocol: the codecs translate into these events.
 
-Times are float Unix milliseconds.
+Points in time (``..._at_ms``) are float Unix milliseconds, lengths of time (``..._ms``) are float
+milliseconds.
 """
 
 from __future__ import annotations
@@ -11,7 +12,10 @@
 from snowthread.admission.settings import Outcome, Settings, Tenant
 
 ResponseAddress = tuple[int, int]
-"""Where a response goes: the number of the connection and of the message on it."""
+"""Where a response goes: the number of the connection, and of the message on it.
+
+A plain tuple and no class, because one is made and hashed for each request.
+"""
 
 
 # Requests and health checks.
@@ -19,17 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A whole request was read and validated."""
+    """A complete request was read and validated."""
 
     response_address: ResponseAddress
     attempt_id: str
     class_name: str
     body: bytes
-    sent_at_ms: float
-    timeout_ms: float | None  # from ``sent_at_ms``; None: the deadline of the class holds
-    caller_id: int
-    memory_kb: float
-    rank: float
+    sent_at_ms: float  # when it reached the machine
+    timeout_ms: float | None  # from ``sent_at_ms``; None: the deadline of the class applies
+    caller_id: int  # of the balancer
+    memory_kb: float  # that it occupies while it is queued
+    rank: float  # among the requests of its class, 0 to 1
     idempotency_key: str | None = None
     partition_key: str = ""
     tenant: str = ""  # where tenants are identified
@@ -58,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """Nobody waits for this response any more: the client said so, or its connection closed."""
+    """No answer is owed any more: the client cancelled the request, or its connection closed."""
 
     response_address: ResponseAddress
 
@@ -75,17 +79,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RuntimeConnected:
-    """A link to the runtime was established; ``age_ms`` is the time since the runtime started."""
+    """A link to the runtime was established."""
 
-    starts_cold: bool
-    runtime_age_ms: float
+    starts_cold: bool  # the runtime is warming up
+    runtime_age_ms: float  # since the runtime started
 
 
 @dataclass(frozen=True, slots=True)
 class RuntimeDisconnected:
     """The link to the runtime broke."""
 
-    unsent_commands: tuple[object, ...] = ()  # not one byte was written; only those for runs are of interest
+    unsent_commands: tuple[object, ...] = ()  # no byte of them was written; only those for runs matter
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,22 +99,22 @@
     attempt_id: str
     outcome: Outcome
     duration_ms: float
-    result: bytes
+    result: bytes  # of a run that succeeded
 
 
 @dataclass(frozen=True, slots=True)
 class CommandRejected:
-    """The runtime did not carry out a command: that to start the run, or a later one."""
+    """The runtime rejected a command for a run."""
 
     attempt_id: str
-    is_start: bool
+    is_start: bool  # else a later command
 
 
 @dataclass(frozen=True, slots=True)
 class LoadSampleReceived:
     """A load sample of the runtime: its gauges, in the order of the configuration."""
 
-    tag: str
+    tag: str  # of the request that it answers
     values: tuple[float, ...]
 
 
@@ -119,10 +123,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequested:
-    """A run waits for a downstream call, as the notice of this number said."""
+    """A run waits for a downstream call."""
 
     attempt_id: str
-    notice_number: int
+    notice_number: int  # of the notice that requests the call: a command to skip the call names it
     body: bytes
 
 
@@ -133,7 +137,7 @@
     attempt_id: str
     outcome: Outcome
     duration_ms: float
-    reply: bytes = b""
+    reply: bytes = b""  # to a call that succeeded
 
 
 # Timers.
@@ -143,7 +147,7 @@
 class TimerExpired:
     """A timer of the admission controller is due."""
 
-    label: int
+    label: int  # which one, as the controller labelled it
 
 
 @dataclass(frozen=True, slots=True)
@@ -159,12 +163,12 @@
     """The process will be killed ``time_left_ms`` from now."""
 
     time_left_ms: float
-    received_ago_ms: float = 0.0  # how long ago the notice came
+    received_ago_ms: float = 0.0  # how long ago the notice was received
 
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """The operators want the node drained, or back in registration. It serves requests either way."""
+    """The operators drain the node, or put it back in the registry. It serves requests either way."""
 
     drain: bool
 
@@ -183,7 +187,7 @@
 
     changed: tuple[Tenant, ...] = ()
     removed: frozenset[str] = frozenset()
-    over_quota_weight: float | None = None  # of traffic over a quota; None: as before
+    over_quota_weight: float | None = None  # priority factor of requests over their quota; None: as before
 
 
 # Recovery.
@@ -191,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallPacingChanged:
-    """The limit of concurrent calls during recovery changed; some of these calls wait to be sent."""
+    """The limit of concurrent calls during recovery changed; some of the calls wait to be sent."""
 
     concurrent_calls: float = 0.0  # 0: as the settings say
 
@@ -201,7 +205,7 @@
     """What an earlier incarnation of this node learned is valid: the controller begins with it."""
 
     learned_state: LearnedState
-    relative_speed: float  # of the machine now, as a share of its warm speed
+    relative_speed: float  # of the machine now, as a ratio to its warm speed
 
 
 # The peer process of a hot restart.
@@ -221,7 +225,7 @@
     runs: int
     memory_kb: float  # booked
     calls: int  # in flight
-    descriptors: int = 0
+    descriptors: int = 0  # file descriptors in use
 
 
 @dataclass(frozen=True, slots=True)
@@ -243,20 +247,20 @@
     expires_at_ms: float
     body_digest: bytes
     completed: bool
-    result: bytes | None
+    result: bytes | None  # None: there is none, or it was dropped
 
 
 @dataclass(frozen=True, slots=True)
 class KeyRunCompleted:
-    """The run of an attempt of the peer process ended, with a result or without."""
+    """The run of an attempt of the peer process ended."""
 
     attempt_id: str
-    result: bytes | None
+    result: bytes | None  # None: it failed
 
 
 @dataclass(frozen=True, slots=True)
 class KeyReleased:
-    """An attempt of the peer process gave up its key: it never ran."""
+    """An attempt of the peer process released its key: it never ran."""
 
     attempt_id: str
 
--- a/snowthread/core/load_samples.py
+++ b/snowthread/core/load_samples.py
@@ -1,4 +1,4 @@
-"""Load samples from the runtime, and the controller's timers that they are read for."""
+"""Load samples from the runtime, and the controller's timers for which they are requested."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from snowthread.core.state import HandoverRole, State
 from snowthread.core.transition import HandlerTable, Transition
 
-LOAD_SAMPLE_LEAD_MS = 20.0  # a sample is requested so long before the timer it is for
-LOAD_SAMPLE_MAX_AGE_MS = 1000.0  # an older sample is passed on as not measured
+LOAD_SAMPLE_LEAD_MS = 20.0  # before the update that it is for, a sample is requested
+LOAD_SAMPLE_MAX_AGE_MS = 1000.0  # an older sample counts as not measured
 UTILIZATION_WINDOW_MS = 500.0  # over which the runtime measures the utilization of its cores
-MAX_SAMPLE_NUMBER_DIGITS = 18  # a tag of more digits is not one of ours
+MAX_SAMPLE_NUMBER_DIGITS = 18  # a tag with more digits was not sent by this node
 
 _TIMER_FIELDS = {  # gauge of the runtime -> field of TimerFired
     "core_use": "core_utilization",
@@ -34,7 +34,7 @@
 
 
 def timer_expired(transition: Transition, event: events.TimerExpired) -> None:
-    """Pass a due timer to the controller, with what is known of the load."""
+    """Hand a due timer to the controller, with the load figures that are known."""
     state = transition.state
     transition.dispatch(admission_events.TimerFired(event.label, **_measured_load(state, transition.now_ms)))
     if event.label != UPDATE_TIMER:
@@ -45,7 +45,7 @@
 
 
 def _measured_load(state: State, now_ms: float) -> dict[str, float]:
-    """Return the figures of the last load sample that still hold, by field of ``TimerFired``."""
+    """Return the figures of the last load sample that are still valid, by field of ``TimerFired``."""
     if now_ms - state.load_sample_at_ms > LOAD_SAMPLE_MAX_AGE_MS:
         return {}
     figures = {
@@ -53,10 +53,10 @@
         for name, value in zip(state.gauge_names, state.load_sample, strict=False)
         if name in _TIMER_FIELDS
     }
-    if state.load_sample_used:  # one lull must not pass for idle cores update after update
+    if state.load_sample_used:  # one sample of idle cores must not count in several updates
         figures.pop("core_demand", None)
     if state.load_sample_used or state.load_sample_at_ms < state.reconnected_at_ms + UTILIZATION_WINDOW_MS:
-        # Cores that ran dry while there was no link say nothing of how many runs they take with one.
+        # Cores that were idle for want of a link say nothing of how many runs they can take.
         figures.pop("core_utilization", None)
     return figures
 
@@ -70,10 +70,11 @@
 
 
 def load_sample_received(transition: Transition, event: events.LoadSampleReceived) -> None:
-    """Store a load sample; that of the resynchronisation also settles the runs of earlier links."""
+    """Store a load sample; the one of the resynchronisation also resumes the runs of earlier links."""
     state = transition.state
     if not _is_stale(state, event.tag):
-        state.load_sample, state.load_sample_at_ms = event.values, transition.now_ms
+        state.load_sample = event.values
+        state.load_sample_at_ms = transition.now_ms
         state.load_sample_used = False
     state.command_log.sample_received(event.tag)
     if state.runtime_connected:
--- a/snowthread/core/peer_process.py
+++ b/snowthread/core/peer_process.py
@@ -25,7 +25,7 @@
 
 
 def peer_process_connected(transition: Transition, event: events.PeerProcessConnected) -> None:
-    """Take a role in the handover and send the peer process what it has to know.
+    """Enter a role in the handover and send the peer process what it has to know.
 
     The predecessor sends all idempotency records, then marks their end. The successor sends its own: it
     connects again after a break, where messages of either side may be lost.
@@ -49,8 +49,10 @@
 def report_load(transition: Transition) -> None:
     """Send the peer process what this one uses of the limits that both share."""
     state = transition.state
-    running = calls = 0
-    running_memory_kb = other_memory_kb = 0.0
+    running = 0
+    calls = 0
+    running_memory_kb = 0.0
+    other_memory_kb = 0.0
     for request in state.requests.values():
         if request.phase is RequestPhase.RUNNING:
             running += 1
@@ -72,7 +74,8 @@
 def successor_ready(transition: Transition, _: events.SuccessorReady) -> None:
     """Leave new connections and the load report to the successor, which speaks for the node from now on."""
     state = transition.state
-    state.superseded, state.load_report = True, None
+    state.superseded = True
+    state.load_report = None
     transition.emit(effects.SetRegistration(state.accepts_work))
     transition.emit(effects.SetAccepting(False))
 
@@ -83,7 +86,9 @@
     Runs that went on in the peer process will not be heard of: their retries fail, nothing runs again.
     """
     state = transition.state
-    state.handover_role, state.superseded, state.peer_load = HandoverRole.STANDALONE, False, None
+    state.handover_role = HandoverRole.STANDALONE
+    state.superseded = False
+    state.peer_load = None
     apply_settings(transition)
     if state.controller is not None:
         transition.dispatch(admission_events.RunCountDoubted())  # its runs may go on, and nobody counts them
--- a/snowthread/core/run_evidence.py
+++ b/snowthread/core/run_evidence.py
@@ -1,4 +1,4 @@
-"""Log notes on the runtime's link: what a break leaves open, and what the node then counts as running."""
+"""Log notes on the link to the runtime: what a break leaves open, and what becomes of each run."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def note_link_lost(transition: Transition, unsent_commands: int) -> None:
-    """Log the count of runs, its limits and the age of the load sample, at a break."""
+    """Log, when a link broke, the count of runs, its limits, and the last load sample with its age."""
     state = transition.state
     sample = _load_sample(state, transition.now_ms)
     transition.emit(
@@ -25,23 +25,23 @@
     )
 
 
-def note_link_ready(transition: Transition, waiting_commands: int) -> None:
-    """Log how long there was no link, and how many commands are sent now."""
+def note_link_ready(transition: Transition, queued_commands: int) -> None:
+    """Log how long there was no link, and how many commands were queued meanwhile."""
     state = transition.state
     if not math.isfinite(state.disconnected_at_ms):
         return
     down_ms = transition.now_ms - state.disconnected_at_ms
     transition.emit(
         effects.LogNote(
-            f"runtime: link {state.link_number} ready after {down_ms:.0f} ms without one; "
-            f"{waiting_commands} commands waited",
+            f"runtime: link {state.link_number} ready after {down_ms:.0f} ms without a link; "
+            f"{queued_commands} commands queued",
             LINK_EVENT,
         )
     )
 
 
 def note_run(transition: Transition, request: Request, fate: str) -> None:
-    """Log, as a detail, what becomes of one run after a break."""
+    """Log, as a detail, what becomes of one run after a broken link."""
     transition.emit(effects.LogNote(f"runtime: run {request.attempt_id}: {fate}", RUN_EVENT, is_detail=True))
 
 
--- a/snowthread/core/runtime_resync.py
+++ b/snowthread/core/runtime_resync.py
@@ -101,10 +101,10 @@
     elif run.is_indeterminate:
         return  # since an earlier break: only a notice can change that
     elif sent is None or run.pending_call_notice is not None or not run.last_command_lost:
-        note_run(transition, request, "goes on")
+        note_run(transition, request, "resumed: no command lost")
         run.link_number = transition.state.link_number
     elif _is_repeatable(sent.command, request.request_class):
-        note_run(transition, request, "last command sent again")
+        note_run(transition, request, "its last command may be lost: sent again")
         run.link_number = transition.state.link_number
         send_command(transition, sent.command)
     else:
@@ -133,7 +133,7 @@
     if state.settings.preemption is not Preemption.NONE:
         run.stop_requested = True
         if run.stop_command is None or run.stop_command.link_number != state.link_number:
-            note_run(transition, request, "nobody waits for it: stop sent")
+            note_run(transition, request, "no answer is owed: stop sent")
             send_command(transition, effects.StopRun(request.attempt_id))
     if not run.is_start_confirmed:
         transition.dispatch(admission_events.RunIndeterminate(request.number))
@@ -152,7 +152,7 @@
             and request.response_address is None
             and _was_stopped_unseen(state.command_log, run)
         ):
-            note_run(transition, request, "its stop was read and it never ran")
+            note_run(transition, request, "ended: its stop was read and no end reported, so it never ran")
             run_completed(transition, events.RunCompleted(request.attempt_id, Outcome.CANCELLED, 0.0, b""))
 
 
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -1,7 +1,11 @@
-"""The state of a node; only the reducer and its handlers change it. Times are float Unix milliseconds."""
+"""The state of a node; only the reducer and its handlers change it.
+
+Points in time (``..._at_ms``, ``..._until_ms``) are float Unix milliseconds.
+"""
 
 from __future__ import annotations
 
+import math
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import NamedTuple
@@ -22,7 +26,7 @@
 from snowthread.core.run import Run
 
 MS_PER_S = 1000.0
-MIN_TIMESTAMP_S = 0.001  # the controller takes a time of 0 for none
+MIN_TIMESTAMP_S = 0.001  # to the controller a time of 0 means that there is none
 
 
 class RequestPhase(Enum):
@@ -38,12 +42,12 @@
 
     STANDALONE = 0
     PREDECESSOR = 1  # the older of two processes: decides claims of idempotency keys
-    SUCCESSOR = 2  # the newer one: claims a key before it takes it
+    SUCCESSOR = 2  # the newer one: claims a key before it runs a request with it
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One attempt that was read; ``response_address`` is None once it is answered or nobody waits."""
+    """One attempt that was read; ``response_address`` is None once no answer is owed any more."""
 
     number: int
     attempt_id: str
@@ -54,11 +58,11 @@
     original_number: int | None
     received_at_ms: float
     request_class: RequestClass  # as it was on arrival
-    memory_kb: float  # booked while queued; times the running memory factor while it runs
+    memory_kb: float  # used while queued; multiplied by the running memory factor while it runs
     body_digest: bytes = b""  # of class and body, where the class is keyed
     phase: RequestPhase = RequestPhase.QUEUED
     run: Run | None = None  # while the phase is RUNNING
-    followers: list[int] = field(default_factory=list)  # retries that wait for its result
+    followers: list[int] = field(default_factory=list)  # numbers of the retries that wait for its result
 
     @property
     def call_in_flight(self) -> bool:
@@ -76,7 +80,8 @@
 class AdmissionClock:
     """Converts between Unix milliseconds and the seconds of the admission controller.
 
-    The controller's zero lies a second before the start, as it takes a time of 0 for none.
+    The controller's zero lies a second before the start: to the controller a time of 0 means that there is
+    none.
     """
 
     def __init__(self, start_ms: float) -> None:
@@ -117,18 +122,18 @@
     last_request_number: int = 0
     command_log: CommandLog = field(default_factory=CommandLog)
     runtime_connected: bool = False
-    disconnected_at_ms: float = float("-inf")  # when the last link broke
-    reconnected_at_ms: float = float("-inf")  # when there was a link again
-    unsent_commands: list[Command] = field(default_factory=list)  # they wait for a link
-    load_sample: tuple[float, ...] = ()
-    load_sample_at_ms: float = float("-inf")
+    disconnected_at_ms: float = -math.inf  # when the last link broke
+    reconnected_at_ms: float = -math.inf  # when there was a link again
+    unsent_commands: list[Command] = field(default_factory=list)  # in order; they wait for a link
+    load_sample: tuple[float, ...] = ()  # in the order of ``gauge_names``
+    load_sample_at_ms: float = -math.inf
     load_sample_used: bool = False  # for an update of the controller
     last_sample_number: int = 0
     last_stale_sample_number: int = 0  # up to this one the gauges had another order
-    load_report: float | None = None
+    load_report: float | None = None  # sent with each response
     healthy: bool = True
     shutting_down: bool = False
-    retired_until_ms: dict[str, float] = field(default_factory=dict)  # served until then (ms)
+    retired_until_ms: dict[str, float] = field(default_factory=dict)  # until when a removed class is served
     drained: bool = False  # by the operators, until they undo it
     handover_role: HandoverRole = HandoverRole.STANDALONE
     peer_load: PeerLoadReported | None = None  # what the peer process uses of the shared limits
--- a/snowthread/core/transition.py
+++ b/snowthread/core/transition.py
@@ -26,7 +26,7 @@
 
 
 class Transition:
-    """The handling of one event; ``effects`` holds what is to be done, in order."""
+    """The handling of one event; ``effects`` lists what is to be done, in order."""
 
     __slots__ = ("_action_handlers", "_dispatching", "_undispatched", "effects", "emit", "now_ms", "state")
 
@@ -44,7 +44,7 @@
         response_address: ResponseAddress,
         response: effects.Served | effects.Rejected | effects.Failed | effects.HealthStatus,
     ) -> None:
-        """Emit a response that carries the current load report."""
+        """Emit the response to a request or a health check, with the current load report."""
         self.emit(effects.SendResponse(response_address, response, self.state.load_report))
 
     def send_to_peer_process(self, message: effects.PeerProcessMessage) -> None:
@@ -69,13 +69,14 @@
         self._dispatching = False
 
     def ensure_controller(self, started_ago_ms: float = 0.0) -> Controller:
-        """Return the controller; start it first, as of ``started_ago_ms`` ago, where there is none yet."""
+        """Return the controller; where there is none yet, start it as of ``started_ago_ms`` before now."""
         controller = self.state.controller
         return self._start_controller(started_ago_ms) if controller is None else controller
 
     def _start_controller(self, started_ago_ms: float) -> Controller:
         state = self.state
-        state.controller = controller = Controller(state.settings, state.seed)
+        controller = Controller(state.settings, state.seed)
+        state.controller = controller
         clock = state.admission_clock
         started_at_s = clock.timestamp_s(self.now_ms - started_ago_ms)
         for action in controller.handle(started_at_s, admission_events.Started()):
@@ -92,7 +93,7 @@
 
 
 def apply_learned_state(state: State) -> None:
-    """Hand what an earlier incarnation learned to the controller, if there are both."""
+    """Hand the learned state of an earlier incarnation to the controller, once there are both."""
     restored = state.pending_learned_state
     if state.controller is not None and restored is not None:
         restore_learned_state(state.controller, restored.learned_state, restored.relative_speed)
