--- a/snowthread/hot_restart/channel.py
+++ b/snowthread/hot_restart/channel.py
@@ -38,12 +38,12 @@
 from snowthread.hot_restart.socket_file import ConnectFailure, PeerProcess
 from snowthread.net.loop import READABLE, EventLoop, Task, TaskSteps, Wait
 
-JOIN_MS = 300.0  # for so long a refusing socket is retried: its owner may just be replacing the file
-RETRY_MS = 20.0
+JOIN_MS = 300.0  # for this long a socket that refuses is tried: its owner may be replacing the file just now
+RETRY_MS = 20.0  # between two attempts to connect
 
 
 class HotRestartChannel:
-    """Finds the peer process, keeps the link to it and posts what it sends as events."""
+    """Finds the peer process, maintains the link to it and posts what it sends as events."""
 
     def __init__(
         self,
@@ -57,18 +57,21 @@
         ``accept_clients`` is called as soon as this process may accept clients: no peer process is there, or
         all keys that it knows are known here.
         """
-        self._loop, self._directory = loop, directory
-        self._post, self._accept_clients = post, accept_clients
+        self._loop = loop
+        self._directory = directory
+        self._post = post
+        self._accept_clients = accept_clients
         self._link: PeerLink | None = None
         self._latest_accepted_link: PeerLink | None = None
-        self._successor_pid = 0  # 0: none, or not known
+        self._successor_pid: int | None = None  # None: there is no successor, or its pid is not known
         self._listener: socket.socket | None = None
-        self._closed = self._settled = False
+        self._closed = False
+        self._settled = False
         self._joining: Task = loop.spawn(self._join())
 
     @property
     def settled(self) -> bool:
-        """Tell whether the predecessor has released the clients to this process, or there is none.
+        """Whether the predecessor has released the clients to this process, or there is none.
 
         Until then a notice of shutdown would make the predecessor withdraw the node's registration.
         """
@@ -79,7 +82,7 @@
         self._send(effect.message)
 
     def send_handover_complete(self, _: effects.SendHandoverComplete) -> None:
-        """Tell the successor that all keys were sent."""
+        """Notify the successor that all keys were sent."""
         self._send(HandoverSignal.HANDOVER_COMPLETE)
 
     def _send(self, message: OutgoingMessage) -> None:
@@ -87,7 +90,7 @@
             self._link.send(message)
 
     def close(self) -> None:
-        """Write what is queued and report no more: this process exits."""
+        """Write the queued messages and post nothing more: this process exits."""
         self._closed = True
         if self._link is not None:
             self._link.flush()
@@ -97,10 +100,11 @@
     def _join(self) -> TaskSteps:
         """Connect to the predecessor until none is left, then serve standalone.
 
-        A broken link is no end of the predecessor: it still decides who may claim a key. This process is
-        standalone only once nobody listens.
+        A broken link does not mean that the predecessor has exited: it still decides on claims of keys. This
+        process is standalone only once nobody listens.
         """
-        give_up_at, joined = self._loop.clock.now() + JOIN_MS, False
+        give_up_at_ms = self._loop.clock.now() + JOIN_MS
+        joined = False
         while True:
             found = socket_file.connect(self._directory)
             if isinstance(found, socket.socket):
@@ -112,8 +116,8 @@
                 yield from self._follow_predecessor(found)
                 if self._closed:
                     return
-                give_up_at = self._loop.clock.now()  # it listened a moment ago: refused means that it exited
-            elif self._is_nobody_there(found, give_up_at):
+                give_up_at_ms = self._loop.clock.now()  # it listened just now: refused means that it exited
+            elif self._is_nobody_there(found, give_up_at_ms):
                 break
             yield Wait(until_ms=self._loop.clock.now() + RETRY_MS)
         if joined:
@@ -122,13 +126,14 @@
         self._listen()
         self._accept_clients()
 
-    def _is_nobody_there(self, failure: ConnectFailure, give_up_at: float) -> bool:
-        return failure.is_absent or (failure.is_refused and self._loop.clock.now() >= give_up_at)
+    def _is_nobody_there(self, failure: ConnectFailure, give_up_at_ms: float) -> bool:
+        return failure.is_absent or (failure.is_refused and self._loop.clock.now() >= give_up_at_ms)
 
     def _follow_predecessor(self, sock: socket.socket) -> TaskSteps:
         """Run one link to the predecessor until it breaks."""
-        link = self._link = PeerLink(self._loop, sock, self._receive)
+        link = PeerLink(self._loop, sock, self._receive)
         link.task = self._joining
+        self._link = link
         self._post(events.PeerProcessConnected(is_predecessor=False))
         self._send(HandoverSignal.HELLO)
         yield from self._run_link(link)
@@ -139,7 +144,7 @@
         """Let a successor find this process."""
         try:
             self._listener = socket_file.listen(self._directory)
-        except OSError as error:  # it serves on all the same, only no process can take over from it
+        except OSError as error:  # this process serves all the same, but none can take over from it
             logger.bind(event="hot_restart.failed", peer="hot_restart").error(
                 "no other process can take over from this one: {}", error
             )
@@ -160,21 +165,22 @@
                     os.close(process.exit_descriptor)
                 continue
             sock.setblocking(False)
-            self._successor_pid = process.pid if process is not None else 0
-            link = self._latest_accepted_link = PeerLink(self._loop, sock, self._receive)
+            self._successor_pid = None if process is None else process.pid
+            link = PeerLink(self._loop, sock, self._receive)
             link.task = self._loop.spawn(self._serve_successor(link, process))
+            self._latest_accepted_link = link
             self._link = link
 
     def _is_third_process(self, process: PeerProcess | None) -> bool:
         if self._link is not None:
             return True
-        return process is not None and self._successor_pid not in (0, process.pid)
+        return process is not None and self._successor_pid not in (None, process.pid)
 
     def _serve_successor(self, link: PeerLink, process: PeerProcess | None) -> TaskSteps:
         """Run one link from the successor, then wait for the end of that process.
 
-        A broken link is no end of the successor: it claims no key without an answer from here, so nothing is
-        lost by waiting until it reconnects.
+        A broken link does not mean that the successor has exited. It runs no key without a decision from
+        here, so nothing is lost by waiting until it connects again.
         """
         try:
             yield from self._run_link(link)
@@ -185,7 +191,7 @@
                 self._loop.unwatch(process.exit_descriptor)
                 os.close(process.exit_descriptor)
         if link is self._latest_accepted_link and not self._closed:
-            self._successor_pid = 0
+            self._successor_pid = None
             self._report_exit()
             self._accept_clients()
 
--- a/snowthread/hot_restart/link.py
+++ b/snowthread/hot_restart/link.py
@@ -12,9 +12,9 @@
 from snowthread.hot_restart.messages import IncomingMessage, OutgoingMessage, decode, encode, unpacker
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, Task, TaskSteps, Wait
 
-READ_BYTES = 64 * 1024
-ENCODE_AHEAD_BYTES = 64 * 1024  # encoded at a time, ahead of what the peer has read
-QUEUE_MAX_MESSAGES = 20_000  # that wait for the peer to read; one that stands still must not fill the memory
+READ_BYTES = 64 * 1024  # at a time
+ENCODE_AHEAD_BYTES = 64 * 1024  # at least so much is encoded at a time; the other messages wait as objects
+QUEUE_MAX_MESSAGES = 20_000  # unsent; a peer that does not read must not fill the memory
 
 
 class PeerLink:
@@ -26,7 +26,9 @@
     def __init__(
         self, loop: EventLoop, sock: socket.socket, receive: Callable[[IncomingMessage], None]
     ) -> None:
-        self._loop, self._sock, self._receive = loop, sock, receive
+        self._loop = loop
+        self._sock = sock
+        self._receive = receive
         self.task: Task | None = None
         self._queue: deque[OutgoingMessage] = deque()
         self._encoded = b""
@@ -36,8 +38,11 @@
         return bool(self._encoded or self._queue)
 
     def send(self, message: OutgoingMessage) -> None:
-        """Queue a message and write what the socket takes; cut the link where too many messages wait."""
-        if len(self._queue) >= QUEUE_MAX_MESSAGES:  # it reconnects, if it lives, and is sent all keys again
+        """Queue a message and write what the socket accepts; cut the link where too many are unsent.
+
+        The peer process, if it still runs, connects again and is sent all keys again.
+        """
+        if len(self._queue) >= QUEUE_MAX_MESSAGES:
             logger.bind(event="hot_restart.stuck", peer="hot_restart").warning(
                 "the peer process does not read: link cut"
             )
@@ -51,7 +56,7 @@
                 self._loop.wake(self.task)
 
     def flush(self) -> None:
-        """Write what the socket takes. A message is encoded only when its turn comes."""
+        """Write what the socket accepts. A message is encoded only when its turn comes."""
         try:
             while self._has_unsent:
                 self._encode_ahead()
@@ -63,7 +68,8 @@
             self._queue.clear()
 
     def _encode_ahead(self) -> None:
-        pieces, size = [self._encoded], len(self._encoded)
+        pieces = [self._encoded]
+        size = len(self._encoded)
         while self._queue and size < ENCODE_AHEAD_BYTES:
             pieces.append(encode(self._queue.popleft()))
             size += len(pieces[-1])
--- a/snowthread/hot_restart/messages.py
+++ b/snowthread/hot_restart/messages.py
@@ -20,7 +20,8 @@
 from snowthread.core.idempotency import IdempotencyRecord
 
 VERSION = 1
-MESSAGE_MAX_BYTES = 64 * 1024  # an idempotency record with its result, and room to spare
+MESSAGE_MAX_BYTES = 64 * 1024  # more than an idempotency record with its result takes
+UNPACKER_MAX_BYTES = 2 * MESSAGE_MAX_BYTES  # a message cut in two by a read, and the read
 ERROR_EXCERPT_CHARACTERS = 80  # of an unknown message, in the error's text
 
 
@@ -59,6 +60,31 @@
     """The peer process sent something that is no message of this protocol."""
 
 
+class UnknownMessageError(PeerProtocolError):
+    """It is no array with the name of a message first."""
+
+    def __init__(self, message: object) -> None:
+        super().__init__(f"not a message: {str(message)[:ERROR_EXCERPT_CHARACTERS]}")
+        self.message = message
+
+
+class MessageFieldsError(PeerProtocolError):
+    """Its fields are not those of the message with this name."""
+
+    def __init__(self, name: str) -> None:
+        super().__init__(f"{name}: not its fields")
+        self.name = name
+
+
+class VersionError(PeerProtocolError):
+    """A signal of another version of the protocol."""
+
+    def __init__(self, signal: HandoverSignal, version: object) -> None:
+        super().__init__(f"{signal.value}: version {version}, not {VERSION}")
+        self.signal = signal
+        self.version = version
+
+
 class MessageFormat:
     """The wire format of one kind of message.
 
@@ -75,11 +101,14 @@
         event: Callable[..., IncomingEvent],
         fields: dict[str, type | UnionType],
     ) -> None:
-        self.name, self.source, self.event, self.fields = name, source, event, fields
+        self.name = name
+        self.source = source
+        self.event = event
+        self.fields = fields
         self._read_fields = attrgetter(*fields)
 
     def values_of(self, message: object) -> tuple[WireValue, ...]:
-        """Return the fields of a message to send."""
+        """Return the values of a message's fields, in wire order."""
         values: Any = self._read_fields(message)  # one attribute alone is not read as a tuple
         return values if len(self.fields) > 1 else (values,)
 
@@ -125,13 +154,18 @@
         {"runs": int, "memory_kb": float, "calls": int, "descriptors": int},
     ),
 )
+SIGNAL_FIELDS = (int,)  # the version of the protocol
 _FORMATS_BY_SOURCE = {message_format.source: message_format for message_format in MESSAGE_FORMATS}
 _FORMATS_BY_NAME = {message_format.name: message_format for message_format in MESSAGE_FORMATS}
 _SIGNALS_BY_NAME = {signal.value: signal for signal in HandoverSignal}
 
 
 def encode(message: OutgoingMessage) -> bytes:
-    """Return the bytes of one message. Raise TypeError for what is no message."""
+    """Return the bytes of one message.
+
+    Raises:
+        TypeError: The value is no message of this protocol.
+    """
     message_format = _FORMATS_BY_SOURCE.get(type(message))
     fields: tuple[WireValue, ...]
     if message_format is not None:
@@ -145,34 +179,34 @@
 
 
 def decode(message: object) -> IncomingMessage:
-    """Return what an unpacked message says. Raise PeerProtocolError where it is none."""
+    """Return the signal or the event that an unpacked message stands for.
+
+    Raises:
+        UnknownMessageError: It is no message of this protocol.
+        MessageFieldsError: It is one, but its fields are not the ones of its name.
+        VersionError: It is a signal of another version of the protocol.
+    """
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
-        raise _unknown_message(message)
-    name, fields = message[0], message[1:]
+        raise UnknownMessageError(message)
+    name = message[0]
+    fields = message[1:]
     signal = _SIGNALS_BY_NAME.get(name)
     if signal is not None:
-        return _decode_signal(signal, fields)
+        if not _are_of_types(fields, SIGNAL_FIELDS):
+            raise MessageFieldsError(name)
+        if fields[0] != VERSION:
+            raise VersionError(signal, fields[0])
+        return signal
     message_format = _FORMATS_BY_NAME.get(name)
     if message_format is None:
-        raise _unknown_message(message)
-    _check_fields(name, fields, message_format.fields.values())
+        raise UnknownMessageError(message)
+    if not _are_of_types(fields, message_format.fields.values()):
+        raise MessageFieldsError(name)
     return message_format.event(*fields)
 
 
-def _decode_signal(signal: HandoverSignal, fields: list[object]) -> HandoverSignal:
-    _check_fields(signal.value, fields, (int,))
-    if fields[0] != VERSION:
-        raise PeerProtocolError(f"{signal.value}: version {fields[0]}, not {VERSION}")
-    return signal
-
-
-def _check_fields(name: str, fields: list[object], types: Collection[type | UnionType]) -> None:
-    if len(fields) != len(types) or not all(map(isinstance, fields, types)):
-        raise PeerProtocolError(f"{name}: not its fields")
-
-
-def _unknown_message(message: object) -> PeerProtocolError:
-    return PeerProtocolError(f"not a message: {str(message)[:ERROR_EXCERPT_CHARACTERS]}")
+def _are_of_types(fields: list[object], types: Collection[type | UnionType]) -> bool:
+    return len(fields) == len(types) and all(map(isinstance, fields, types))
 
 
 def unpacker() -> msgpack.Unpacker:
@@ -180,4 +214,4 @@
 
     Bytes of a balancer that are no UTF-8 text (in an idempotency key) come out as they went in.
     """
-    return msgpack.Unpacker(max_buffer_size=2 * MESSAGE_MAX_BYTES, unicode_errors="surrogateescape")
+    return msgpack.Unpacker(max_buffer_size=UNPACKER_MAX_BYTES, unicode_errors="surrogateescape")
--- a/snowthread/hot_restart/socket_file.py
+++ b/snowthread/hot_restart/socket_file.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 SOCKET_NAME = "beside"  # fixed: processes of earlier releases look for this name
-LISTEN_BACKLOG = 4
+LISTEN_BACKLOG = 4  # connections
 _PEER_CREDENTIALS = struct.Struct("3i")  # Linux ``struct ucred``: pid, uid, gid
 
 
@@ -20,8 +20,8 @@
 class PeerProcess:
     """The process at the other end of a Unix socket.
 
-    ``exit_descriptor`` is readable once that process has ended, whichever process has its pid by then. Who
-    holds this object closes the descriptor.
+    ``exit_descriptor`` is readable once that process has ended, whichever process has its pid by then. The
+    owner of this object closes the descriptor.
     """
 
     pid: int
@@ -29,9 +29,9 @@
 
 
 def peer_process(sock: socket.socket) -> PeerProcess | None:
-    """Return the process at the other end, or None where the system cannot tell.
+    """Return the process at the other end, or None where the system does not know it.
 
-    Without it the end of a connection counts as the end of the process.
+    Where it is None, the end of the connection counts as the end of the process.
     """
     try:
         credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER_CREDENTIALS.size)
@@ -59,12 +59,12 @@
 
     @property
     def is_absent(self) -> bool:
-        """Tell whether there is no socket file."""
+        """Whether there is no socket file."""
         return self.error_number == errno.ENOENT
 
     @property
     def is_refused(self) -> bool:
-        """Tell whether there is a socket file on which nobody listens."""
+        """Whether there is a socket file on which nobody listens."""
         return self.error_number == errno.ECONNREFUSED
 
 
@@ -88,10 +88,13 @@
 
 
 def listen(directory: str) -> socket.socket:
-    """Listen in the directory and return the non-blocking listener. Raise OSError where that fails.
+    """Listen in the directory and return the non-blocking listener.
 
     The socket is moved into place once it listens: a process that connects meanwhile must not find the file
     without a listener.
+
+    Raises:
+        OSError: The directory is missing or not writable, or no descriptor is free.
     """
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
