--- a/tests/core/test_configuration_file.py
+++ b/tests/core/test_configuration_file.py
@@ -1,4 +1,4 @@
-"""Configuration files with gaps or nonsense are rejected as a whole, and the node keeps what it has."""
+"""Configuration files with missing or invalid values are rejected completely: the node goes on as before."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     return tmp_path / "node.json"
 
 
-def test_a_file_that_lacks_any_key_is_rejected_whole(path: Path, example: dict[str, Any]) -> None:
+def test_a_file_that_lacks_any_key_is_rejected(path: Path, example: dict[str, Any]) -> None:
     old = load_fields(path, example)
     assert load_fields(path, example, old) == old
     common = set.intersection(*(set(c) for c in example["settings"]["classes"]))
@@ -62,11 +62,11 @@
 
 
 def test_a_file_that_is_empty_or_cut_short_at_any_byte_is_rejected(path: Path) -> None:
-    whole = EXAMPLE.read_bytes().rstrip()
-    assert len(whole) > 1000 and load_fields(path, whole)
-    for length in range(len(whole)):
+    complete = EXAMPLE.read_bytes().rstrip()
+    assert len(complete) > 1000 and load_fields(path, complete)
+    for length in range(len(complete)):
         with pytest.raises(ConfigError, match="not JSON"):
-            load_fields(path, whole[:length])
+            load_fields(path, complete[:length])
 
 
 @pytest.mark.parametrize("value", [0, -5, "5", "", None, True, [], {}, b"1e999", b"NaN"])
@@ -98,8 +98,10 @@
 def test_nothing_of_a_rejected_file_is_applied(
     path: Path, example: dict[str, Any], player: ExchangePlayer
 ) -> None:
-    node, environment = player.node, {"NODE_CONFIG": str(path)}
-    node.config = previous = load_fields(path, example)
+    node = player.node
+    environment = {"NODE_CONFIG": str(path)}
+    previous = load_fields(path, example)
+    node.config = previous
     bad = copy.deepcopy(example) | {"runtime": "127.0.0.1:9"}
     bad["settings"]["classes"][0]["deadline_s"] = -5
     path.write_bytes(orjson.dumps(bad))
--- a/tests/core/test_key_claims.py
+++ b/tests/core/test_key_claims.py
@@ -1,9 +1,9 @@
-"""The successor of a hot restart holds a request back until the predecessor has decided on its key."""
+"""At the successor of a hot restart a request waits until the predecessor has decided on its key."""
 
 from __future__ import annotations
 
 import pytest
-from support.core_events import make_request
+from support.core_events import connect, make_request
 from support.exchange import START
 
 from snowthread.core import effects, events
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def successor(state: State) -> State:
-    reduce(state, events.RuntimeConnected(False, 0.0), START)
+    connect(state, START)
     reduce(state, events.PeerProcessConnected(is_predecessor=False), START)
     return state
 
--- a/tests/core/test_load_samples.py
+++ b/tests/core/test_load_samples.py
@@ -1,4 +1,4 @@
-"""What of a load sample is passed on to the controller, and for how long it holds."""
+"""Which figures of a load sample reach the controller, and for how long they are valid."""
 
 from __future__ import annotations
 
@@ -33,7 +33,8 @@
 
 @pytest.fixture
 def seen(monkeypatch: pytest.MonkeyPatch) -> Iterator[Controllers]:
-    controllers, handle = Controllers(), Controller.handle
+    controllers = Controllers()
+    handle = Controller.handle
 
     def record(self: Controller, now: float, event: admission_events.Event) -> Any:
         if isinstance(event, admission_events.TimerFired):
@@ -59,14 +60,16 @@
     reduce(state, events.LoadSampleReceived(tag, (0.5, 3.0, 0.1, 2.0)), START + at_ms)
 
 
-def test_sample_on_an_unbroken_link_is_passed_on_whole(connected: State, seen: Controllers) -> None:
+def test_all_figures_of_a_sample_on_an_unbroken_link_are_passed_on(
+    connected: State, seen: Controllers
+) -> None:
     sample(connected, 240.0)
     update(connected, 250.0)
     assert seen.timers == [admission_events.TimerFired(UPDATE_TIMER, 0.5, 3.0, 0.1, 2.0)]
 
 
 def test_sample_serves_one_update_only(connected: State, seen: Controllers) -> None:
-    """A lull that one sample shows would else let the limit of runs grow update after update."""
+    """Idle cores that one sample shows would otherwise let the concurrency limit grow in each update."""
     sample(connected, 240.0)
     update(connected, 250.0)
     update(connected, 500.0)
@@ -80,11 +83,12 @@
 
 
 def test_each_update_has_a_sample_of_its_own_however_long_other_timers_are_set(state: State) -> None:
-    """A timer seconds ahead was taken to have a sample that would serve all updates before it."""
+    """The sample of a timer seconds ahead does not serve the updates before it."""
     emitted = reduce(state, events.RuntimeConnected(False, 0.0), START)
     emitted += reduce(state, make_request(1, "idempotent", START), START)  # due in three seconds
     emitted += reduce(state, events.TimerExpired(UPDATE_TIMER), START + 250.0)
-    updates, samples = [], []
+    updates = []
+    samples = []
     for effect in emitted:
         if isinstance(effect, effects.ScheduleTimer) and effect.event == events.TimerExpired(UPDATE_TIMER):
             updates.append(effect.at_ms)
@@ -95,7 +99,7 @@
 
 
 def test_utilization_of_a_time_without_a_link_is_not_passed_on(connected: State, seen: Controllers) -> None:
-    """Cores that ran dry as no start could reach them do not ask for a higher limit of runs."""
+    """Cores that were idle because no start could reach them do not justify a higher concurrency limit."""
     reduce(connected, events.RuntimeDisconnected(), START + 100.0)
     reduce(connected, events.RuntimeConnected(False, 0.0), START + 400.0)
     sample(connected, 401.0, sync_tag(2))
--- a/tests/core/test_reconfiguration.py
+++ b/tests/core/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""A reload of the settings while serving: the places of classes, the controller, the node, the records."""
+"""A reload of the settings while serving: the positions of classes, the controller, the node, the records."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return dataclasses.replace(PLAIN, classes=classes, **changes)
 
 
-def test_classes_keep_their_places_and_a_removed_class_is_served_during_its_retention() -> None:
+def test_classes_stay_at_their_positions_and_a_removed_class_is_served_during_its_retention() -> None:
     retired_until_ms: dict[str, float] = {}
     without_a = merge_settings(PLAIN, with_classes(C, B), retired_until_ms, 1000.0)
     assert [c.name for c in without_a.classes] == ["a", "b", "c"]
@@ -57,7 +57,7 @@
     assert retention_ms(B) == 9000.0
 
 
-def test_the_place_of_a_class_is_reused_after_its_retention_so_the_list_does_not_grow() -> None:
+def test_the_position_of_a_class_is_reused_after_its_retention_so_the_list_does_not_grow() -> None:
     retired_until_ms: dict[str, float] = {}
     settings = PLAIN
     for reload in range(200):
@@ -86,15 +86,16 @@
     assert StartRun(9) in controller.handle(6.1, RequestArrived(9, "c"))
     controller.handle(6.3, RunFinished(9, Outcome.SUCCESS, 0.2))
     assert controller.estimates.core_time_s[2] > 0.0 and controller.estimates.last_run_at_s[2] == 6.3
-    controller.handle(7.0, SettingsChanged(with_classes(C, B)))  # another class in the first place
+    controller.handle(7.0, SettingsChanged(with_classes(C, B)))  # another class at the first position
     assert controller.estimates.core_time_s[0] == controller.estimates.base_core_time_s[0] == 0.0
     assert any(isinstance(a, Reject) for a in controller.handle(7.1, RequestArrived(10, "a")))
 
 
-def test_an_open_request_keeps_its_class_and_is_booked_by_the_new_memory_factor() -> None:
+def test_an_open_request_stays_in_its_class_and_uses_memory_by_the_new_factor() -> None:
     controller = started_controller()
     assert StartRun(1) in controller.handle(1.1, RequestArrived(1, "a", memory_kb=10.0))
-    due, kind = controller._open.by_id[1].deadline_at, controller._open.by_id[1].request_class
+    deadline_at = controller._open.by_id[1].deadline_at
+    request_class = controller._open.by_id[1].request_class
     controller.handle(
         1.2,
         SettingsChanged(
@@ -103,7 +104,8 @@
             )
         ),
     )
-    assert (controller._open.by_id[1].deadline_at, controller._open.by_id[1].request_class) == (due, kind)
+    assert controller._open.by_id[1].deadline_at == deadline_at
+    assert controller._open.by_id[1].request_class == request_class
     assert controller._open.memory.used_kb == pytest.approx(80.0)
     controller.handle(1.3, RunFinished(1, Outcome.SUCCESS, 0.2))
     assert controller._open.memory.used_kb == pytest.approx(0.0)
@@ -138,7 +140,8 @@
     player: ExchangePlayer,
 ) -> None:
     emitted: list[effects.Effect] = []
-    node, reduce = player.node, player.node._reduce
+    node = player.node
+    reduce = node._reduce
 
     def recording_reduce(*arguments: Any) -> list[effects.Effect]:
         new_effects = reduce(*arguments)
@@ -155,7 +158,7 @@
     player.fields["settings"] = reloaded_settings(player.fields, "match", tint={"deadline_s": 2.0})
     node.apply_configuration(parse(player.fields))
 
-    post(events.CallRequested(f"{1:016x}", 1, b"c"))  # the open request keeps its class
+    post(events.CallRequested(f"{1:016x}", 1, b"c"))  # the open request is still of its class
     assert any(isinstance(effect, effects.StartCall | effects.SkipCall) for effect in emitted)
     for number, name in ((2, "tint"), (3, "match")):
         post(make_request(number, name, START))
--- a/tests/hot_restart/test_hot_restart_program.py
+++ b/tests/hot_restart/test_hot_restart_program.py
@@ -1,4 +1,4 @@
-"""The program replaced by another process under load, with the clients none the wiser."""
+"""The program replaced by another process under load, without a failed request."""
 
 from __future__ import annotations
 
@@ -50,8 +50,10 @@
 
     def __init__(self, listening: socket.socket) -> None:
         super().__init__(daemon=True)
-        self.address, self.stopping = listening.getsockname(), threading.Event()
-        self.served = self.failed = 0
+        self.address = listening.getsockname()
+        self.stopping = threading.Event()
+        self.served = 0
+        self.failed = 0
 
     def run(self) -> None:
         while not self.stopping.is_set():
@@ -62,7 +64,9 @@
 
     def _use(self, sock: socket.socket) -> bool:
         """Send requests until a farewell comes; return False where the connection is closed instead."""
-        unpacker, number, farewell = msgpack.Unpacker(), 0, False
+        unpacker = msgpack.Unpacker()
+        number = 0
+        farewell = False
         while not farewell and not self.stopping.is_set():
             number += 1
             attempt_id = os.urandom(8).hex()
--- a/tests/stored/test_hot_restart_messages.py
+++ b/tests/stored/test_hot_restart_messages.py
@@ -36,7 +36,7 @@
 REQUESTED_CONTENT = bytes.fromhex("86d87da02efa6ebc05f6ce7c171fa906")
 UNTIL = START + 60_000.0
 
-RUNNING, DONE, FREED, REQUESTED, HELD, NEW = (
+RUNNING, DONE, FREED, REQUESTED, OWNED, NEW = (
     f"00000000000000{number}" for number in ("a1", "a2", "a3", "b1", "b2", "b3")
 )
 
@@ -52,7 +52,7 @@
     events.KeyRunCompleted(RUNNING, b"late result"),
     events.KeyReleased(FREED),
     events.KeyClaimDecided("key-requested", REQUESTED, True),
-    events.KeyClaimDecided("key-done", HELD, False),
+    events.KeyClaimDecided("key-done", OWNED, False),
     events.KeyRunCompleted(RUNNING, None),
     events.PeerLoadReported(3, 61_440.5, 2, 40),
     events.DrainRequested(True),
@@ -61,7 +61,7 @@
     HandoverSignal.HELLO,
     HandoverSignal.TAKING_CLIENTS,
     events.KeyClaimRequested("key-requested", REQUESTED, START, REQUESTED_CONTENT),
-    events.KeyClaimRequested("key-done", HELD, START + 0.25, CONTENT),
+    events.KeyClaimRequested("key-done", OWNED, START + 0.25, CONTENT),
     events.KeyReplicated("key-requested", REQUESTED, UNTIL + 250.0, REQUESTED_CONTENT, False, None),
     events.KeyRunCompleted(REQUESTED, b"its result"),
     events.KeyReplicated("key-n\udce9w", NEW, UNTIL, CONTENT, True, b"r"),
@@ -95,7 +95,9 @@
 def stored_messages(name: str) -> list[bytes]:
     """Return the stored stream, cut into its messages."""
     data = (STORED / name).read_bytes()
-    stream, messages, start = unpacker(), [], 0
+    stream = unpacker()
+    messages = []
+    start = 0
     stream.feed(data)
     for _ in stream:
         messages.append(data[start : stream.tell()])
@@ -157,7 +159,8 @@
     """A node of the present version, and a socket on which the test is the other process."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.door = folder, loopback(socket.SOCK_STREAM)
+        self.folder = folder
+        self.door = loopback(socket.SOCK_STREAM)
         self.path = str(folder / "beside")  # both versions look for this name
         self.listener: socket.socket | None = None
         self.other: socket.socket | None = None
@@ -202,7 +205,9 @@
     def expect(self, messages: list[bytes]) -> None:
         """Check that the node sends just these bytes."""
         assert self.other is not None and self.player is not None
-        wanted, came, end = b"".join(messages), b"", time.monotonic() + PATIENCE_S
+        wanted = b"".join(messages)
+        came = b""
+        end = time.monotonic() + PATIENCE_S
         while len(came) < len(wanted) and time.monotonic() < end:
             self.player.settle()
             came += self._read()
@@ -221,7 +226,8 @@
         for sock in (self.other, self.listener):
             if sock is not None:
                 sock.close()
-        self.other = self.listener = None
+        self.other = None
+        self.listener = None
 
     def close(self) -> None:
         """End the node and close every socket."""
@@ -266,11 +272,13 @@
 
 
 def test_successor_takes_over_from_an_older_process(session: Session) -> None:
-    theirs, ours = stored_messages("older_to_newer.msgpack"), stored_messages("newer_to_older.msgpack")
+    theirs = stored_messages("older_to_newer.msgpack")
+    ours = stored_messages("newer_to_older.msgpack")
     session.listen()
     player = session.start_node()
     session.accept()
-    node, hot_restart = player.node, player.node.hot_restart
+    node = player.node
+    hot_restart = node.hot_restart
     assert hot_restart is not None
     session.expect(ours[:1])  # hello
     assert session.role() is HandoverRole.SUCCESSOR and not node.balancers.accepting
@@ -306,7 +314,7 @@
     session.expect(stored_messages("newer_to_older.msgpack")[1:2])
     session.end_other()
     player.settle()
-    player.clock.now_ms += 1000.0  # it tries again before it takes the other for gone
+    player.clock.now_ms += 1000.0  # it connects again before the other counts as exited
     player.settle()
     assert session.role() is HandoverRole.STANDALONE
     done = player.node.state.idempotency_table.find_by_attempt(DONE)
@@ -314,9 +322,11 @@
 
 
 def test_predecessor_hands_over_to_a_newer_process(session: Session) -> None:
-    ours, theirs = stored_messages("older_to_newer.msgpack"), stored_messages("newer_to_older.msgpack")
+    ours = stored_messages("older_to_newer.msgpack")
+    theirs = stored_messages("newer_to_older.msgpack")
     player = session.start_node()
-    node, hot_restart = player.node, player.node.hot_restart
+    node = player.node
+    hot_restart = node.hot_restart
     assert hot_restart is not None and hot_restart.settled
     assert session.role() is HandoverRole.STANDALONE and node.balancers.accepting
     for message in PREDECESSOR_TO_SUCCESSOR[:3]:
@@ -332,7 +342,7 @@
     session.expect(ours[6:7])  # yours
     assert node.state.superseded and not node.balancers.accepting
 
-    session.play(theirs[2:4])  # asks for a free key and for one that is held
+    session.play(theirs[2:4])  # asks for a free key and for one that has an owner
     session.expect(ours[9:11])  # judged: granted, not granted
     requested = node.state.idempotency_table.find_by_attempt(REQUESTED)
     assert requested is not None and requested.remote and requested.body_digest == REQUESTED_CONTENT
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -18,7 +18,9 @@
 from snowthread.hot_restart.socket_file import PeerProcess
 from support.exchange import ExchangePlayer, loopback
 
-FIRST, SECOND, THIRD = "00000000000000a1", "00000000000000b1", "00000000000000c1"  # attempts' ids
+FIRST = "00000000000000a1"  # attempt ids
+SECOND = "00000000000000b1"
+THIRD = "00000000000000c1"
 DEFAULT_KEY = "k1"
 SOCKET_BYTES = 65536
 
@@ -94,7 +96,8 @@
     """
 
     def __init__(self, directory: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-        self._listening, self._directory = loopback(socket.SOCK_STREAM), str(directory)
+        self._listening = loopback(socket.SOCK_STREAM)
+        self._directory = str(directory)
         self._exit_descriptors: list[int] = []  # reading ends, one a process, in the order of their start
         self._alive_descriptors: dict[int, int] = {}  # writing ends by id() of the player
         self._frozen: ExchangePlayer | None = None
@@ -134,7 +137,7 @@
         return [player for player in both if player is not None and player is not self._frozen]
 
     def has_ended(self, player: ExchangePlayer) -> bool:
-        """Tell whether a process was ended or killed."""
+        """Return whether a process was ended or killed."""
         return id(player) not in self._alive_descriptors
 
     def launch_successor(self) -> ExchangePlayer:
@@ -171,7 +174,7 @@
         self.settle()
 
     def connect_runtime(self, player: ExchangePlayer) -> None:
-        """Connect the runtime of a process and have it say that it is ready."""
+        """Connect the runtime of a process and have it report that it is ready."""
         player.step("runtime", "accept", "")
         self.notify(player, {"action": "ready", "code": "seasoned", "wall_ms": 0})
 
@@ -254,7 +257,8 @@
         """Close what a process listens on and let it report nothing more."""
         hot_restart = player.node.hot_restart
         assert hot_restart is not None
-        player.node._stopped = hot_restart._closed = True
+        player.node._stopped = True
+        hot_restart._closed = True
         for listening in (hot_restart._listener, player.node.balancers._listener):
             if listening is not None:
                 player.node.loop.close(listening)
