--- a/snowthread/core/runtime_resync.py
+++ b/snowthread/core/runtime_resync.py
@@ -44,7 +44,7 @@
     state.unsent_commands = []
     note_link_ready(transition, len(waiting))
     if is_first_link:  # runs that an earlier process of this node began may go on
-        transition.dispatch(admission_events.RunCountDoubted())
+        transition.dispatch(admission_events.RunCountUncertain())
     for command in waiting:
         if command.attempt_id in state.requests_by_attempt_id:
             send_command(transition, command)
@@ -69,7 +69,7 @@
             run.start_unsent()
     state.unsent_commands = unsent + state.unsent_commands
     note_link_lost(transition, len(unsent))
-    transition.dispatch(admission_events.RunCountDoubted())
+    transition.dispatch(admission_events.RunCountUncertain())
 
 
 def _judge_last_command(command_log: CommandLog, run: Run) -> None:
