--- a/tests/hot_restart/test_hot_restart_clients.py
+++ b/tests/hot_restart/test_hot_restart_clients.py
@@ -38,7 +38,7 @@
     pair.settle()
     third = pair.connect(pair.predecessor)
     pair.request(third, 1, SECOND)
-    assert responses(third) == [[1, "Failed", None]]  # nobody can tell how its run ended
+    assert responses(third) == [[1, "Failed", None]]  # how its run ended is not known
     pair.request(third, 2, THIRD, key="k2")
     assert pair.started_runs(pair.predecessor) == [THIRD]
     pair.start_successor()  # and the next one is let in
--- a/tests/hot_restart/test_hot_restart_faults.py
+++ b/tests/hot_restart/test_hot_restart_faults.py
@@ -71,7 +71,8 @@
 ) -> None:
     """Each message of either side in turn: lost, the last before a kill, the last before the link breaks."""
     sent = {"predecessor": 0, "successor": 0}
-    predecessor, send = pair.predecessor, HotRestartChannel._send
+    predecessor = pair.predecessor
+    send = HotRestartChannel._send
     killed: list[ExchangePlayer] = []
 
     def send_or_fail(hot_restart: HotRestartChannel, message: messages.OutgoingMessage) -> None:
