--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -5,10 +5,19 @@
 from snowthread.admission import actions
 from snowthread.admission.settings import Idempotency, Outcome
 from snowthread.core import effects, events
+from snowthread.core.idempotency import IdempotencyRecord
 from snowthread.core.load_samples import schedule_timer
-from snowthread.core.request_lifecycle import answer, cancel_call, finish, finish_follower
+from snowthread.core.request_lifecycle import (
+    answer,
+    cancel_call,
+    finish,
+    finish_follower,
+    release_if_answered,
+)
+from snowthread.core.run import Run, RunState
+from snowthread.core.run_commands import send_command
+from snowthread.core.run_completion import record_result, run_completed
 from snowthread.core.run_evidence import note_run
-from snowthread.core.runs import record_result, release_if_answered, run_completed, send_command
 from snowthread.core.state import HandoverRole, RequestPhase
 from snowthread.core.transition import HandlerTable, Transition
 
@@ -18,6 +27,7 @@
     request = transition.state.requests.get(action.request_id)
     if request is not None and request.phase is RequestPhase.QUEUED:
         request.phase = RequestPhase.RUNNING
+        request.run = Run()
         send_command(transition, effects.StartRun(request.attempt_id, request.class_name, request.body))
 
 
@@ -25,10 +35,11 @@
     """Preempt a run; one whose start was not sent yet is over at once."""
     state = transition.state
     request = state.requests.get(action.request_id)
-    if request is None or request.phase is not RequestPhase.RUNNING or request.stopping:
+    run = None if request is None else request.run
+    if request is None or run is None or run.stop_requested:
         return
-    request.stopping = True
-    if request.link_number:
+    run.stop_requested = True
+    if run.state is not RunState.START_QUEUED:
         send_command(transition, effects.StopRun(request.attempt_id))
         return
     state.unsent_commands = [
@@ -41,8 +52,8 @@
     """Finish a request whose run is presumed lost; its key stays taken, for it may have run."""
     state = transition.state
     request = state.requests.get(action.request_id)
-    if request is not None and request.phase is RequestPhase.RUNNING:
-        note_run(transition, request, "nothing was heard of it for longer than it can take: not counted")
+    if request is not None and request.run is not None:
+        note_run(transition, request, "presumed lost: no notice for longer than a run takes")
         record_result(transition, request.attempt_id, None)
         finish(transition, request, None)
 
@@ -85,26 +96,26 @@
 
 
 def remember_key(transition: Transition, action: actions.RememberKey) -> None:
-    """Enter the request's key into the idempotency table, and tell a peer process of it."""
+    """Enter the request's key into the idempotency table, and notify a peer process of it."""
     state = transition.state
     request = state.requests.get(action.request_id)
     if request is None or not request.idempotency_key:
         return
-    record = state.idempotency_table.put(
+    entry = IdempotencyRecord(
         request.idempotency_key,
         request.number,
         request.attempt_id,
         transition.now_ms + state.admission_clock.duration_ms(action.lifetime_s),
-        transition.now_ms,
         request.body_digest,
         class_name=request.class_name,
     )
+    record = state.idempotency_table.put(entry, transition.now_ms)
     if state.handover_role is not HandoverRole.STANDALONE:
         transition.send_to_peer_process(record)
 
 
 def forget_key(transition: Transition, action: actions.ForgetKey) -> None:
-    """Drop the request's key, which never ran, and tell a peer process of it."""
+    """Drop the request's key, which never ran, and notify a peer process of it."""
     state = transition.state
     record = state.idempotency_table.find_by_number(action.request_id)
     state.idempotency_table.remove(action.request_id)
@@ -115,14 +126,15 @@
 def start_call(transition: Transition, action: actions.StartCall) -> None:
     """Make the downstream call that a run waits for."""
     request = transition.state.requests.get(action.request_id)
-    if request is None or request.pending_call_notice is None or request.call_in_flight:
+    run = None if request is None else request.run
+    if request is None or run is None or run.pending_call_notice is None or run.call_in_flight:
         return
-    request.call_in_flight = True
+    run.call_in_flight = True
     timeout_s = action.timeout_s or request.request_class.deadline_s
     transition.emit(
         effects.StartCall(
             request.attempt_id,
-            request.call_body,
+            run.call_body,
             transition.state.admission_clock.duration_ms(timeout_s),
             request.request_class.idempotency is Idempotency.IDEMPOTENT,
         )
@@ -132,9 +144,10 @@
 def skip_call(transition: Transition, action: actions.SkipCall) -> None:
     """Let a run go on without the downstream call that it waits for."""
     request = transition.state.requests.get(action.request_id)
-    if request is not None and request.pending_call_notice is not None:
-        send_command(transition, effects.SkipCall(request.attempt_id, request.pending_call_notice))
-        request.pending_call_notice = None
+    run = None if request is None else request.run
+    if request is not None and run is not None and run.pending_call_notice is not None:
+        send_command(transition, effects.SkipCall(request.attempt_id, run.pending_call_notice))
+        run.pending_call_notice = None
 
 
 def set_timer(transition: Transition, action: actions.SetTimer) -> None:
