--- a/benchmarks/timeline.py
+++ b/benchmarks/timeline.py
@@ -2,8 +2,8 @@
 
     python benchmarks/timeline.py [--seed N] [--short]
 
-Days with one to three troubles, which may overlap, are drawn from seeds, with clocks up to 3 s apart and
-drifts up to 200 ppm. Seeds below 25 were looked at during development; those from 1000 on were not, and are
+Days with one to three faults, which may overlap, are drawn from seeds, with clocks up to 3 s apart and
+drifts up to 200 ppm. Seeds below 25 were seen during development; those from 1000 on were not, and are
 reported apart: the targets hold for them. Baseline: the same code on the nodes' own clocks, as if they could
 be trusted. Ends with one JSON object; status 1 where a target is missed.
 """
@@ -26,10 +26,10 @@
 from benchmarks.command import run_benchmark
 from emulators.recorded_incidents import (
     BEGIN_S,
+    Fault,
+    FaultKind,
     RecordedDay,
-    Trouble,
-    TroubleKind,
-    draw_troubles,
+    draw_faults,
     record_day,
 )
 from snowthread.incident.clock_fit import ClockOffset, ClockSegment
@@ -39,8 +39,8 @@
 from snowthread.incident.series import build
 from snowthread.incident.timeline import began_before, build_timeline
 
-FIRST_UNSEEN_SEED = 1000  # seeds from here on were not looked at during development
-SEEN_SEEDS = range(25)  # looked at during development
+FIRST_UNSEEN_SEED = 1000  # seeds from here on were not seen during development
+SEEN_SEEDS = range(25)  # seen during development
 
 
 class Reconstruction(NamedTuple):
@@ -51,7 +51,7 @@
 
 
 def reconstruct(day: RecordedDay, fit_clocks: bool = True) -> Reconstruction:
-    """Return what the records of a day tell; without a fit, nodes' clocks are taken to be right."""
+    """Return what the records of a day show; without a fit, nodes' clocks are taken to be right."""
     clocks = Clocks()
     records = [record for of_node in day.records.values() for record in of_node]
     if fit_clocks:
@@ -64,15 +64,15 @@
 
 
 class Match(NamedTuple):
-    """A trouble and the episode that was found for it."""
+    """A fault and the episode that was found for it."""
 
-    trouble: Trouble
+    fault: Fault
     episode: Episode
 
     @property
     def error_ms(self) -> float:
         """How far off the start of the episode is."""
-        return abs(self.episode.start - (BEGIN_S + self.trouble.start_s) * 1000.0)
+        return abs(self.episode.start - (BEGIN_S + self.fault.start_s) * 1000.0)
 
 
 @dataclass(slots=True)
@@ -83,23 +83,23 @@
     found: int = 0
     invented: int = 0
     missed: int = 0
-    pairs: int = 0  # of troubles whose order is told
+    pairs: int = 0  # of faults whose order is given
     ordered_wrong: int = 0
     errors_ms: list[float] = field(default_factory=list)
 
-    def add(self, troubles: Sequence[Trouble], episodes: Sequence[Episode]) -> None:
+    def add(self, faults: Sequence[Fault], episodes: Sequence[Episode]) -> None:
         """Count one day."""
-        matches = match(troubles, episodes)
+        matches = match(faults, episodes)
         self.days += 1
         self.found += len(matches)
         self.invented += len(episodes) - len(matches)
-        self.missed += len(troubles) - len(matches)
+        self.missed += len(faults) - len(matches)
         self.errors_ms += [pair.error_ms for pair in matches]
         for first, second in combinations(matches, 2):
-            told_before = began_before(first.episode, second.episode)
-            if told_before is not None and first.trouble.start_s != second.trouble.start_s:
+            found_before = began_before(first.episode, second.episode)
+            if found_before is not None and first.fault.start_s != second.fault.start_s:
                 self.pairs += 1
-                self.ordered_wrong += told_before != (first.trouble.start_s < second.trouble.start_s)
+                self.ordered_wrong += found_before != (first.fault.start_s < second.fault.start_s)
 
     def summary(self) -> dict[str, float]:
         """Return precision and recall of episodes, errors of their starts, and wrong orders."""
@@ -114,14 +114,14 @@
         }
 
 
-def match(troubles: Sequence[Trouble], episodes: Sequence[Episode]) -> list[Match]:
-    """Match each trouble to the nearest episode of its kind that is not taken yet."""
+def match(faults: Sequence[Fault], episodes: Sequence[Episode]) -> list[Match]:
+    """Match each fault to the nearest episode of its kind that is not taken yet."""
     matches = []
     unmatched = list(episodes)
-    for trouble in troubles:
-        same_kind = [episode for episode in unmatched if episode.kind.value == trouble.kind.value]
+    for fault in faults:
+        same_kind = [episode for episode in unmatched if episode.kind.value == fault.kind.value]
         if same_kind:
-            candidates = [Match(trouble, episode) for episode in same_kind]
+            candidates = [Match(fault, episode) for episode in same_kind]
             nearest = min(candidates, key=lambda candidate: candidate.error_ms)
             unmatched.remove(nearest.episode)
             matches.append(nearest)
@@ -129,17 +129,17 @@
 
 
 def score(seeds: range, fit_clocks: bool) -> dict[str, float]:
-    """Return how well the troubles of these days are found."""
+    """Return how well the faults of these days are found."""
     total = Score()
     for seed in seeds:
-        troubles = draw_troubles(seed)
-        day = record_day(seed, seconds=240, troubles=troubles)
-        total.add(troubles, reconstruct(day, fit_clocks).incidents)
+        faults = draw_faults(seed)
+        day = record_day(seed, seconds=240, faults=faults)
+        total.add(faults, reconstruct(day, fit_clocks).incidents)
     return total.summary()
 
 
 def count_invented(seeds: range) -> int:
-    """Return on how many days without trouble an incident is found."""
+    """Return on how many days without a fault an incident is found."""
     return sum(bool(reconstruct(record_day(seed, nodes=3, seconds=120)).incidents) for seed in seeds)
 
 
@@ -167,7 +167,8 @@
     day: RecordedDay, segment: ClockSegment, other: ClockSegment, offset: ClockOffset
 ) -> float:
     """Return how far two nodes' clocks were truly apart at the time of an offset."""
-    clock, other_clock = day.clocks[segment.node], day.clocks[other.node]
+    clock = day.clocks[segment.node]
+    other_clock = day.clocks[other.node]
     drift_ppm = clock.drift_ppm - other_clock.drift_ppm
     return clock.offset_ms - other_clock.offset_ms + drift_ppm * 1e-3 * (offset.at / 1000.0 - BEGIN_S)
 
@@ -176,8 +177,8 @@
     """Return time, memory and size of a report over so many nodes and seconds."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        slow_database = Trouble(TroubleKind.SLOW_DATABASE, seconds / 2, 20.0, 5.0)
-        day = record_day(1, nodes=nodes, seconds=seconds, troubles=(slow_database,))
+        slow_database = Fault(FaultKind.SLOW_DATABASE, seconds / 2, 20.0, 5.0)
+        day = record_day(1, nodes=nodes, seconds=seconds, faults=(slow_database,))
         day.write(folder)
         count = sum(map(len, day.records.values()))
         del day
--- a/emulators/recorded_incidents.py
+++ b/emulators/recorded_incidents.py
@@ -1,6 +1,6 @@
-"""Write the records that a fleet would have written on a day with known troubles, drawn from a seed.
+"""Write the records that a fleet would have written on a day with known faults, drawn from a seed.
 
-What truly happened is kept apart, so that what is reconstructed from the records can be compared with it.
+What truly happened is returned apart, so that what is reconstructed from the records can be compared with it.
 Arrivals are Poisson; every figure has noise of its own. A seed always gives the same records.
 """
 
@@ -28,10 +28,14 @@
 CALL_DEVIATION_MS = 2.0
 REJECTED_BY_CHANCE = 0.004  # share of requests
 SHUTDOWN_MS = 2000.0
-MARGIN_BEFORE_S, MARGIN_AFTER_S = 30, 90  # of drawn troubles from both ends of the day
+# Of drawn faults, from the ends of the day.
+MARGIN_BEFORE_S = 30
+MARGIN_AFTER_S = 90
+SEED_FACTOR = 7919  # the draws of faults are other ones than those of the day
+MS_PER_S = 1000.0
 
 
-class TroubleKind(StrEnum):
+class FaultKind(StrEnum):
     """What can go wrong; the values are those that the report names."""
 
     SLOW_DATABASE = "slow database"
@@ -42,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class Fault:
     """One thing that goes wrong, from ``start_s`` on, for ``duration_s``, both in seconds of the day.
 
     ``size``: how many times slower (slow database), how many times as many requests (traffic jump), seconds
@@ -50,7 +54,7 @@
     indices of those that are shut down or crash.
     """
 
-    kind: TroubleKind
+    kind: FaultKind
     start_s: float
     duration_s: float
     size: float = 1.0
@@ -77,7 +81,7 @@
     """The records of each node, and what truly happened."""
 
     records: dict[str, list[Record]] = field(default_factory=dict)
-    troubles: list[Trouble] = field(default_factory=list)
+    faults: list[Fault] = field(default_factory=list)
     clocks: dict[str, ClockError] = field(default_factory=dict)
 
     def write(self, folder: Path) -> None:
@@ -91,7 +95,7 @@
     """A node that is shut down or crashes at a second of the day; they sort by time."""
 
     second: float
-    kind: TroubleKind
+    kind: FaultKind
     node: int
     crash_duration_s: float
 
@@ -109,19 +113,22 @@
 
     def start(self, second: float, rng: random.Random) -> None:
         """Begin a new boot."""
-        self.boot, self._last_number = f"{rng.getrandbits(48):012x}", 0
+        self.boot = f"{rng.getrandbits(48):012x}"
+        self._last_number = 0
         fields = {"version": "x", "pid": 1, "format": 1, "cores": 4, "classes": []}
         self.record(second, RecordKind.START, fields)
 
     def crash(self, second: int, duration_s: float) -> None:
         """End without a record."""
-        self.boot, self.down_until_s = "", second + duration_s
+        self.boot = ""
+        self.down_until_s = second + duration_s
 
     def shut_down(self, second: int) -> None:
         """End after a notice; a new boot begins soon."""
         self.record(second - 0.5, RecordKind.DRAIN, {"left_ms": SHUTDOWN_MS})
         self.record(second + 0.4, RecordKind.END, {"how": "left", "seconds": float(second)})
-        self.boot, self.down_until_s = "", second + SHUTDOWN_MS / 1000.0
+        self.boot = ""
+        self.down_until_s = second + SHUTDOWN_MS / MS_PER_S
 
     def record(self, second: float, kind: RecordKind, fields: Fields) -> None:
         """Write a record with the time of the node's clock."""
@@ -136,18 +143,18 @@
     seed: int,
     nodes: int = 4,
     seconds: int = 180,
-    troubles: Sequence[Trouble] = (),
+    faults: Sequence[Fault] = (),
     offset_ms: float = 3000.0,
     drift_ppm: float = 200.0,
 ) -> RecordedDay:
     """Return the records of one day; clocks are off by up to ``offset_ms`` and ``drift_ppm``."""
     rng = random.Random(seed)
-    fleet = _Fleet(rng, nodes, troubles, offset_ms, drift_ppm)
+    fleet = _Fleet(rng, nodes, faults, offset_ms, drift_ppm)
     for second in range(1, seconds + 1):
         fleet.play(second)
     return RecordedDay(
         records={node.name: node.records for node in fleet.nodes},
-        troubles=list(troubles),
+        faults=list(faults),
         clocks={node.name: node.clock for node in fleet.nodes},
     )
 
@@ -159,12 +166,12 @@
         self,
         rng: random.Random,
         nodes: int,
-        troubles: Sequence[Trouble],
+        faults: Sequence[Fault],
         offset_ms: float,
         drift_ppm: float,
     ) -> None:
         self._rng = rng
-        self._troubles = troubles
+        self._faults = faults
         self.nodes = [
             _Node(
                 f"n{index}",
@@ -178,10 +185,10 @@
         for node in self.nodes:
             node.start(0.2, rng)
         self._down = sorted(
-            _NodeDown(trouble.start_s + step * trouble.size, trouble.kind, node, trouble.duration_s)
-            for trouble in troubles
-            if trouble.kind in (TroubleKind.ROLLING_DEPLOY, TroubleKind.CRASH)
-            for step, node in enumerate(trouble.nodes)
+            _NodeDown(fault.start_s + step * fault.size, fault.kind, node, fault.duration_s)
+            for fault in faults
+            if fault.kind in (FaultKind.ROLLING_DEPLOY, FaultKind.CRASH)
+            for step, node in enumerate(fault.nodes)
         )
 
     def play(self, second: int) -> None:
@@ -200,22 +207,20 @@
         while self._down and self._down[0].second <= second:
             event = self._down.pop(0)
             node = self.nodes[event.node]
-            if event.kind == TroubleKind.CRASH:
+            if event.kind == FaultKind.CRASH:
                 node.crash(second, event.crash_duration_s)
             else:
                 node.shut_down(second)
 
-    def _size(self, kind: TroubleKind, second: int) -> float:
-        """Return the size of the largest such trouble at this second, 1 without."""
-        sizes = [
-            trouble.size for trouble in self._troubles if trouble.kind == kind and trouble.is_active(second)
-        ]
+    def _size(self, kind: FaultKind, second: int) -> float:
+        """Return the size of the largest such fault at this second, 1 without."""
+        sizes = [fault.size for fault in self._faults if fault.kind == kind and fault.is_active(second)]
         return max(sizes, default=1.0)
 
     def _second_fields(self, node: _Node, second: int, serving: int) -> Fields:
         rng = self._rng
-        slowdown = self._size(TroubleKind.SLOW_DATABASE, second)
-        mean = REQUESTS_PER_S * self._size(TroubleKind.TRAFFIC_JUMP, second) * len(self.nodes) / serving
+        slowdown = self._size(FaultKind.SLOW_DATABASE, second)
+        mean = REQUESTS_PER_S * self._size(FaultKind.TRAFFIC_JUMP, second) * len(self.nodes) / serving
         read = max(0, round(rng.gauss(mean, math.sqrt(mean))))
         capacity = REQUESTS_PER_S * CAPACITY_FACTOR / (1.0 + SLOWDOWN_SHARE * (slowdown - 1.0))
         by_chance = sum(rng.random() < REJECTED_BY_CHANCE for _ in range(read))
@@ -240,7 +245,7 @@
         rows: list[list[object]] = [
             ["match", "", {"read": read, "served": served, "refused": rejected, "runs": served}]
         ]
-        unknown = round(self._size(TroubleKind.BAD_CLIENTS, second) - 1.0)
+        unknown = round(self._size(FaultKind.BAD_CLIENTS, second) - 1.0)
         if unknown > 0:
             rows.append(["", "", {"read": unknown, "failed": unknown}])
         return rows
@@ -255,25 +260,25 @@
         }
 
 
-def draw_troubles(seed: int, nodes: int = 4, seconds: int = 240, most: int = 3) -> list[Trouble]:
-    """Return up to ``most`` troubles of different kinds, away from both ends; they may overlap."""
-    rng = random.Random(seed * 7919 + 1)
-    troubles = []
-    for kind in rng.sample(tuple(TroubleKind), rng.randint(1, most)):
+def draw_faults(seed: int, nodes: int = 4, seconds: int = 240, most: int = 3) -> list[Fault]:
+    """Return up to ``most`` faults of different kinds, away from both ends; they may overlap."""
+    rng = random.Random(seed * SEED_FACTOR + 1)
+    faults = []
+    for kind in rng.sample(tuple(FaultKind), rng.randint(1, most)):
         start_s = float(rng.randint(MARGIN_BEFORE_S, seconds - MARGIN_AFTER_S))
-        troubles.append(_draw_trouble(kind, start_s, nodes, rng))
-    return sorted(troubles, key=lambda trouble: trouble.start_s)
+        faults.append(_draw_fault(kind, start_s, nodes, rng))
+    return sorted(faults, key=lambda fault: fault.start_s)
 
 
-def _draw_trouble(kind: TroubleKind, start_s: float, nodes: int, rng: random.Random) -> Trouble:
+def _draw_fault(kind: FaultKind, start_s: float, nodes: int, rng: random.Random) -> Fault:
     match kind:
-        case TroubleKind.SLOW_DATABASE:
-            return Trouble(kind, start_s, float(rng.randint(8, 25)), rng.uniform(3.0, 8.0))
-        case TroubleKind.TRAFFIC_JUMP:
-            return Trouble(kind, start_s, float(rng.randint(6, 20)), rng.uniform(1.7, 2.6))
-        case TroubleKind.ROLLING_DEPLOY:
-            return Trouble(kind, start_s, 5.0 * nodes, 5.0, tuple(range(nodes)))
-        case TroubleKind.CRASH:
-            return Trouble(kind, start_s, float(rng.randint(8, 20)), 1.0, (rng.randrange(nodes),))
-        case TroubleKind.BAD_CLIENTS:
-            return Trouble(kind, start_s, float(rng.randint(6, 20)), rng.uniform(20.0, 60.0))
+        case FaultKind.SLOW_DATABASE:
+            return Fault(kind, start_s, float(rng.randint(8, 25)), rng.uniform(3.0, 8.0))
+        case FaultKind.TRAFFIC_JUMP:
+            return Fault(kind, start_s, float(rng.randint(6, 20)), rng.uniform(1.7, 2.6))
+        case FaultKind.ROLLING_DEPLOY:
+            return Fault(kind, start_s, 5.0 * nodes, 5.0, tuple(range(nodes)))
+        case FaultKind.CRASH:
+            return Fault(kind, start_s, float(rng.randint(8, 20)), 1.0, (rng.randrange(nodes),))
+        case FaultKind.BAD_CLIENTS:
+            return Fault(kind, start_s, float(rng.randint(6, 20)), rng.uniform(20.0, 60.0))
--- a/tests/incident/test_incident_clocks.py
+++ b/tests/incident/test_incident_clocks.py
@@ -54,7 +54,7 @@
 
 
 def test_nodes_that_nothing_links_are_reported_as_not_ordered() -> None:
-    day = record_day(1, nodes=2, seconds=120, troubles=ONE_CRASH)
+    day = record_day(1, nodes=2, seconds=120, faults=ONE_CRASH)
     for record in day.records["n1"]:
         if "floors" in record.fields:
             ages = record.fields["floors"]
--- a/tests/incident/test_incident_report.py
+++ b/tests/incident/test_incident_report.py
@@ -12,7 +12,7 @@
 from support.incident_days import ONE_AFTER_THE_OTHER, ONE_CRASH
 from support.record_files import write_records
 
-from emulators.recorded_incidents import draw_troubles, record_day
+from emulators.recorded_incidents import draw_faults, record_day
 from snowthread.incident.episodes import INCIDENTS
 from snowthread.incident.report import Report
 from snowthread.records.reader import Findings, merge
@@ -22,13 +22,13 @@
 
 
 def test_a_node_without_records_and_truncated_files_do_no_harm(tmp_path: Path) -> None:
-    record_day(4, troubles=ONE_AFTER_THE_OTHER).write(tmp_path)
+    record_day(4, faults=ONE_AFTER_THE_OTHER).write(tmp_path)
     (tmp_path / f"n9-1-aa-000001{SUFFIX}").write_bytes(b"")
     path = next(tmp_path.glob("n1-*"))
     path.write_bytes(path.read_bytes()[:-9])
     report = Report([tmp_path])
     kinds = [sentence.kind for sentence in report.timeline.sentences if sentence.kind in INCIDENTS]
-    assert [kind.value for kind in kinds] == [trouble.kind.value for trouble in ONE_AFTER_THE_OTHER]
+    assert [kind.value for kind in kinds] == [fault.kind.value for fault in ONE_AFTER_THE_OTHER]
     assert report.findings.corrupt_frames
     empty = tmp_path / "empty"
     empty.mkdir()
@@ -38,7 +38,7 @@
 
 def test_markup_in_names_and_texts_is_escaped(tmp_path: Path) -> None:
     markup = "<script>alert(1)</script>"
-    day = record_day(1, nodes=2, seconds=120, troubles=ONE_CRASH)
+    day = record_day(1, nodes=2, seconds=120, faults=ONE_CRASH)
     renamed = [
         replace(record, node=markup, fields=record.fields | {"text": markup}) for record in day.records["n0"]
     ]
@@ -50,7 +50,7 @@
 
 
 def test_the_page_is_self_contained_and_the_json_says_the_same(tmp_path: Path) -> None:
-    record_day(4, troubles=ONE_AFTER_THE_OTHER).write(tmp_path)
+    record_day(4, faults=ONE_AFTER_THE_OTHER).write(tmp_path)
     output = tmp_path / "report.html"
     done = subprocess.run(
         [sys.executable, "-m", "snowthread", "report", str(tmp_path), "-o", str(output)],
@@ -70,6 +70,6 @@
 
 
 def test_reading_the_same_records_twice_changes_nothing(tmp_path: Path) -> None:
-    record_day(7, troubles=draw_troubles(7)).write(tmp_path)
+    record_day(7, faults=draw_faults(7)).write(tmp_path)
     assert Report([tmp_path]).to_dict() == Report([tmp_path, tmp_path]).to_dict()
     assert len(list(merge([tmp_path], Findings()))) > 0
--- a/tests/incident/test_incident_timeline.py
+++ b/tests/incident/test_incident_timeline.py
@@ -1,4 +1,4 @@
-"""Timelines of emulated days: every trouble named, in the right order, nothing invented, all with records."""
+"""Timelines of emulated days: every fault named, in the right order, nothing invented, all with records."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 import pytest
 from support.incident_days import ONE_AFTER_THE_OTHER, reconstruct
 
-from emulators.recorded_incidents import BEGIN_S, Trouble, TroubleKind, draw_troubles, record_day
+from emulators.recorded_incidents import BEGIN_S, Fault, FaultKind, draw_faults, record_day
 from snowthread.incident.episodes import Episode, EpisodeKind
 from snowthread.incident.timeline import began_before, possible_causes
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_known_troubles_are_named_in_order_with_clocks_3_s_apart(seed: int) -> None:
-    day = record_day(seed, troubles=ONE_AFTER_THE_OTHER, offset_ms=3000.0, drift_ppm=200.0)
+def test_known_faults_are_named_in_order_with_clocks_3_s_apart(seed: int) -> None:
+    day = record_day(seed, faults=ONE_AFTER_THE_OTHER, offset_ms=3000.0, drift_ppm=200.0)
     incidents = reconstruct(day).incidents
     assert [episode.kind for episode in incidents] == ["slow database", "rolling deploy", "crash"]
-    for episode, trouble in zip(incidents, ONE_AFTER_THE_OTHER, strict=True):
-        error_ms = episode.start - (BEGIN_S + trouble.start_s) * 1000.0
+    for episode, fault in zip(incidents, ONE_AFTER_THE_OTHER, strict=True):
+        error_ms = episode.start - (BEGIN_S + fault.start_s) * 1000.0
         assert abs(error_ms) <= 2500.0, (episode, error_ms)
     slow_database, deploy, crash = incidents
     assert began_before(slow_database, deploy) is True
@@ -27,7 +27,7 @@
 
 
 def test_every_sentence_is_supported_by_records_that_exist() -> None:
-    day = record_day(3, troubles=ONE_AFTER_THE_OTHER)
+    day = record_day(3, faults=ONE_AFTER_THE_OTHER)
     sentences = reconstruct(day).timeline.sentences
     by_key = {record.key: record for records in day.records.values() for record in records}
     assert sentences
@@ -49,15 +49,15 @@
 
 
 def count_found(seeds: Sequence[int]) -> tuple[int, int, int]:
-    """Return how many troubles were found, how many were invented, and how many were missed."""
+    """Return how many faults were found, how many were invented, and how many were missed."""
     found = invented = missed = 0
     for seed in seeds:
-        troubles = draw_troubles(seed)
-        day = record_day(seed, seconds=240, troubles=troubles)
+        faults = draw_faults(seed)
+        day = record_day(seed, seconds=240, faults=faults)
         kinds = [episode.kind.value for episode in reconstruct(day).incidents]
-        for trouble in troubles:
-            if trouble.kind.value in kinds:
-                kinds.remove(trouble.kind.value)
+        for fault in faults:
+            if fault.kind.value in kinds:
+                kinds.remove(fault.kind.value)
                 found += 1
             else:
                 missed += 1
@@ -65,15 +65,15 @@
     return found, invented, missed
 
 
-def test_drawn_days_with_several_troubles_at_once() -> None:
+def test_drawn_days_with_several_faults_at_once() -> None:
     found, invented, missed = count_found(range(25))
     assert invented == 0 and found / (found + missed) > 0.9
 
 
-def test_two_troubles_with_the_same_effect_are_both_named_and_neither_is_blamed() -> None:
+def test_two_faults_with_the_same_effect_are_both_named_and_neither_is_blamed() -> None:
     both = (
-        Trouble(TroubleKind.SLOW_DATABASE, 60.0, 25.0, 8.0),
-        Trouble(TroubleKind.ROLLING_DEPLOY, 59.0, 20.0, 5.0, (0, 1, 2, 3)),
+        Fault(FaultKind.SLOW_DATABASE, 60.0, 25.0, 8.0),
+        Fault(FaultKind.ROLLING_DEPLOY, 59.0, 20.0, 5.0, (0, 1, 2, 3)),
     )
     text = not_served_text(both)
     assert "slow database" in text and "rolling deploy" in text
@@ -82,9 +82,9 @@
     assert "slow database" in text and "do not tell" not in text
 
 
-def not_served_text(troubles: Sequence[Trouble]) -> str:
+def not_served_text(faults: Sequence[Fault]) -> str:
     """Return the first sentence on requests that were not served on such a day."""
-    sentences = reconstruct(record_day(5, troubles=troubles)).timeline.sentences
+    sentences = reconstruct(record_day(5, faults=faults)).timeline.sentences
     return next(sentence.text for sentence in sentences if sentence.kind == EpisodeKind.NOT_SERVED)
 
 
--- a/tests/support/incident_days.py
+++ b/tests/support/incident_days.py
@@ -1,21 +1,21 @@
-"""Days of records with known troubles, and what is reconstructed from them, for tests."""
+"""Days of records with known faults, and what is reconstructed from them, for tests."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from emulators.recorded_incidents import RecordedDay, Trouble, TroubleKind
+from emulators.recorded_incidents import Fault, FaultKind, RecordedDay
 from snowthread.incident.clocks import Clocks
 from snowthread.incident.episodes import INCIDENTS, Episode
 from snowthread.incident.series import build
 from snowthread.incident.timeline import Timeline, build_timeline
 
 ONE_AFTER_THE_OTHER = (
-    Trouble(TroubleKind.SLOW_DATABASE, 60.0, 20.0, 6.0),
-    Trouble(TroubleKind.ROLLING_DEPLOY, 110.0, 20.0, 5.0, (0, 1, 2, 3)),
-    Trouble(TroubleKind.CRASH, 150.0, 12.0, 1.0, (2,)),
+    Fault(FaultKind.SLOW_DATABASE, 60.0, 20.0, 6.0),
+    Fault(FaultKind.ROLLING_DEPLOY, 110.0, 20.0, 5.0, (0, 1, 2, 3)),
+    Fault(FaultKind.CRASH, 150.0, 12.0, 1.0, (2,)),
 )
-ONE_CRASH = (Trouble(TroubleKind.CRASH, 60.0, 10.0, 1.0, (0,)),)
+ONE_CRASH = (Fault(FaultKind.CRASH, 60.0, 10.0, 1.0, (0,)),)
 
 
 @dataclass(frozen=True, slots=True)
