--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -13,7 +13,8 @@
 from pathlib import Path
 from typing import IO, Any
 
-from emulators.load_generator import FAILED, REJECTED, SERVED, LoadGenerator, SentRequest
+from emulators.load_generator import LoadGenerator, SentRequest
+from emulators.request_protocol import FAILED, REJECTED, SERVED
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 
 __all__ = ["FAILED", "REJECTED", "SERVED", "SentRequest", "LoadGenerator"]
--- a/emulators/balancers.py
+++ b/emulators/balancers.py
@@ -8,8 +8,8 @@
     report      prints one JSON line: what became of the requests
     (end)       the process ends
 
-The balancers send to the nodes that the registry lists, which they ask every 300 ms, by the weights that the
-nodes report (``say``). They give a node that rejected a request the time it asks for (``after``). A rejected
+The balancers send to the nodes that the registry lists, which they poll every 300 ms, by the weights that the
+nodes report (``say``). They give a node that rejected a request its Retry-After time (``after``). A rejected
 request goes on to another node unless the answer says ``last``. An attempt without a key whose connection was
 lost goes on to another node; one with a key goes to **the same node** again, since it might run twice
 elsewhere. The client's repeat of a keyed request goes to the node that took the first attempt.
@@ -25,16 +25,9 @@
 from pathlib import Path
 from typing import Any
 
-from emulators.load_generator import (
-    CONNECTION_LOST,
-    KEYED_BODY_PREFIX,
-    PLAIN_BODY,
-    REJECTED,
-    SERVED,
-    LoadGenerator,
-    SentRequest,
-)
+from emulators.load_generator import CONNECTION_LOST, LoadGenerator, SentRequest
 from emulators.machine import OMITTED_SUFFIX
+from emulators.request_protocol import PLAIN_BODY, REJECTED, SERVED, keyed_body
 from emulators.stdin_commands import handle_commands
 from emulators.traffic_accounts import (
     LATE_TOLERANCE_MS,
@@ -55,6 +48,7 @@
 ATTEMPTS_MAX = 4  # of a request, the client's repeat not counted
 ATTEMPT_TIME_MIN_MS = 5.0  # left until the deadline; with less, a request is given up
 WEIGHT_MIN = 0.02  # so that a node is heard of again
+MS_PER_S = 1000.0
 DATAGRAM_BYTES_MAX = 65536
 
 
@@ -62,7 +56,7 @@
     """Chooses nodes for requests, from the registry's list and what the nodes answered."""
 
     def __init__(self, loop: EventLoop, plan: TrafficPlan, generator: random.Random) -> None:
-        """Begin with all nodes of the plan, and ask the registry from now on."""
+        """Begin with all nodes of the plan, and poll the registry from now on."""
         self._loop = loop
         self._generator = generator
         self._known = frozenset(plan.nodes)
@@ -105,7 +99,7 @@
 
 
 class Balancers:
-    """Sends the traffic of all clients, and keeps the accounts."""
+    """Sends the traffic of all clients, and records the accounts."""
 
     def __init__(self, loop: EventLoop, plan: TrafficPlan) -> None:
         """Send nothing yet."""
@@ -142,17 +136,21 @@
 
     def _schedule_traffic(self) -> None:
         """Schedule Poisson arrivals of all requests of the plan from now on."""
-        generator, plan = self._generator, self._plan
-        begin = at = self._accounts.begin_ms = self._loop.clock.now()
-        while at < begin + plan.seconds * 1000.0:
-            at += generator.expovariate(plan.per_s) * 1000.0
+        generator = self._generator
+        plan = self._plan
+        begin_ms = self._loop.clock.now()
+        self._accounts.begin_ms = begin_ms
+        at_ms = begin_ms
+        while at_ms < begin_ms + plan.seconds * MS_PER_S:
+            at_ms += generator.expovariate(plan.per_s) * MS_PER_S
             kind = self._draw_class()
             foreign = generator.random() < plan.foreign_share
             key = f"{'f' if foreign else '0'}{generator.getrandbits(64):016x}" if kind.keyed else ""
             repeated = bool(key) and generator.random() < plan.repeated_share
             repeat_after_ms = generator.uniform(*plan.repeat_after_ms) if repeated else 0.0
             source = generator.choice(self._sources)
-            self._loop.call_at(at, partial(self._start_request, kind, key, source, foreign, repeat_after_ms))
+            start = partial(self._start_request, kind, key, source, foreign, repeat_after_ms)
+            self._loop.call_at(at_ms, start)
 
     def _draw_class(self) -> RequestClass:
         keyed = next(kind for kind in self._plan.classes if kind.keyed)
@@ -174,14 +172,14 @@
         """Send to a node, and where it takes no connection, so that nothing ran there, to the next."""
         left_ms = request.sent_ms + request.request_class.deadline_ms - self._loop.clock.now()
         while request.outcome is None:
-            node = request.pinned_node or self._router.choose(request)
+            node = request.sticky_node or self._router.choose(request)
             if node is None or request.attempts >= ATTEMPTS_MAX or left_ms < ATTEMPT_TIME_MIN_MS:
-                request.finish(Outcome.FAILED if request.pinned_node else Outcome.REJECTED)
+                request.finish(Outcome.FAILED if request.sticky_node else Outcome.REJECTED)
                 return
             request.attempts += 1
             if self._send(request, node, left_ms):
                 return
-            if request.pinned_node:
+            if request.sticky_node:
                 self._attempt_after(request, RETRY_DELAY_MS)
                 return
             request.nodes_tried.append(node)
@@ -199,14 +197,14 @@
             return False
         load.sent_requests.clear()  # the accounts have it
         if request.key:
-            request.pinned_node = node
+            request.sticky_node = node
         self._attempts[asked] = Attempt(request, node, asked.sent_ms + left_ms)
         self._accounts.counts["tries"] += 1
         return True
 
     def _repeat(self, request: ClientRequest) -> None:
         """Repeat a keyed request for its client, at the node that may have run it."""
-        node = request.pinned_node
+        node = request.sticky_node
         if node and self._send(request, node, request.request_class.deadline_ms):
             self._accounts.counts["repeats"] += 1
 
@@ -220,7 +218,8 @@
         attempt = self._attempts.pop(asked, None)
         if attempt is None:
             return
-        request, now = attempt.request, self._loop.clock.now()
+        request = attempt.request
+        now = self._loop.clock.now()
         if outcome == CONNECTION_LOST:
             self._accounts.connections_lost.append(Unanswered(node, asked.sent_ms, now))
             self._retry_lost(request, node)
@@ -244,7 +243,7 @@
             self._attempt_after(request, RETRY_DELAY_MS if request.key else 0.0)
 
     def _take_result(self, request: ClientRequest, body: bytes, now: float) -> None:
-        expected = KEYED_BODY_PREFIX + request.key.encode() if request.key else PLAIN_BODY
+        expected = keyed_body(request.key) if request.key else PLAIN_BODY
         self._accounts.counts["spoilt"] += not body.startswith(expected)
         value = request.request_class.answer_value(now - request.sent_ms, body.endswith(OMITTED_SUFFIX))
         request.value = max(request.value, value)
@@ -253,11 +252,11 @@
     def _take_rejection(self, request: ClientRequest, node: str, fields: dict[str, str]) -> None:
         self._router.avoid(request.source, node, float(fields.get("after", 0.0)))
         request.nodes_tried.append(node)
-        if request.pinned_node == node and request.attempts <= 1:
-            request.pinned_node = ""  # it never ran there
+        if request.sticky_node == node and request.attempts <= 1:
+            request.sticky_node = ""  # it never ran there
         if request.outcome is not None:
             return
-        if fields.get("last") == "1" or request.pinned_node:
+        if fields.get("last") == "1" or request.sticky_node:
             request.finish(Outcome.REJECTED)
         else:
             self._attempt(request)
--- a/emulators/fleet_registry.py
+++ b/emulators/fleet_registry.py
@@ -75,11 +75,14 @@
         return ""
 
     def _take_report(self, words: list[str]) -> str:
-        name, on, now = words[1], words[2] == "on", self._loop.clock.now()
+        name = words[1]
+        on = words[2] == "on"
+        now = self._loop.clock.now()
         if len(words) < FULL_REPORT_WORDS:
             self._registrations[name] = _Registration(now, on, cold=False)
             return ""
-        incarnation, latest = int(words[3]), self._incarnations.get(name, 0)
+        incarnation = int(words[3])
+        latest = self._incarnations.get(name, 0)
         if incarnation < latest:
             self.stale_reports += 1
         else:
--- a/emulators/fleet_services.py
+++ b/emulators/fleet_services.py
@@ -1,4 +1,4 @@
-"""Emulate the surroundings of a whole fleet as one process of the lab.
+"""Emulate the surroundings of all nodes of a fleet as one process of the lab.
 
 It runs a machine a node, the formula database that they share, and the registry.
 
@@ -23,8 +23,8 @@
 from typing import Any
 
 from emulators.fleet_registry import FleetRegistry
-from emulators.load_generator import KEYED_BODY_PREFIX
 from emulators.machine import Machine, WarmupModel
+from emulators.request_protocol import KEYED_BODY_PREFIX
 from emulators.shared_database import SharedDatabase
 from emulators.site import SiteScript
 from emulators.stdin_commands import handle_commands
@@ -33,6 +33,7 @@
 from snowthread.net.loop import EventLoop
 
 SAMPLE_INTERVAL_MS = 1000.0
+MS_PER_S = 1000.0
 SLOWDOWN_MIN = 0.01
 
 
@@ -62,7 +63,7 @@
         now = self._loop.clock.now()
         self._loop.call_at(now + SAMPLE_INTERVAL_MS, self._sample_warmth)
         warmth = sum(machine.warmth for machine in self._machines) / len(self._machines)
-        self._warmth_by_second[int(now // 1000)] = round(warmth, 3)
+        self._warmth_by_second[int(now // MS_PER_S)] = round(warmth, 3)
 
     def handle(self, command: str, argument: str) -> None:
         """Carry out a command of standard input."""
@@ -82,7 +83,7 @@
             "keyed": count_keyed_runs(self._machines),
             "calls": dict(self._database.received_by_second),
             "done": dict(self._database.completed_by_second),
-            "held": dict(self._database.held_max_by_second),
+            "held": dict(self._database.max_calls_by_second),
             "database_refused": self._database.rejected,
             "falls": [machine.overloads for machine in self._machines],
             "known": [round(machine.warmth, 3) for machine in self._machines],
--- a/emulators/load_generator.py
+++ b/emulators/load_generator.py
@@ -1,4 +1,4 @@
-"""Send open-loop traffic to one node as balancers do, and keep what came of each request.
+"""Send open-loop traffic to one node as balancers do, and record what came of each request.
 
 Requests are sent at their times whether or not earlier ones were answered. Each source address has one
 connection, opened anew where the node closes it or says farewell, and after a number of requests.
@@ -9,7 +9,6 @@
 import contextlib
 import random
 import socket
-import time
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 from functools import partial
@@ -17,30 +16,26 @@
 
 import msgpack
 
+from emulators.request_protocol import (
+    ANSWER_MESSAGE,
+    NOTIFICATION_MESSAGE,
+    PLAIN_BODY,
+    SERVED,
+    RequestMessage,
+    keyed_body,
+)
 from snowthread.net.clock import Clock
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, TaskSteps, Wait
 
-# Outcomes of a request: as on the wire, but for the first and the last.
-SERVED = "served"
-REJECTED = "Throttled"
-FAILED = "Failed"
-CONNECTION_LOST = "broken"  # the connection ended before an answer
-
-# Kinds of messages on the wire.
-REQUEST_MESSAGE = 0
-ANSWER_MESSAGE = 1
-FAREWELL_MESSAGE = 2
+CONNECTION_LOST = "broken"  # the outcome of a request whose connection ended before an answer
 
 CONNECTION_REQUESTS_MAX = 32  # on one connection; the next request opens another
 READ_BYTES = 65536
 LOOP_STEP_S = 0.05
 LATE_ANSWERS_MS = 200.0  # waited for after the last deadline
 DEFAULT_WAIT_MS = 3000.0
-PLAIN_BODY = b"a warm grey"
-KEYED_BODY_PREFIX = b"key:"
 KEYED_CLASS = "dispense"
-RANK = "0.5"
-MEMORY_KB = "20"
+MS_PER_S = 1000.0
 
 
 class Answer(NamedTuple):
@@ -65,7 +60,7 @@
     """Called for each answer, and for each request whose connection was lost."""
 
     def __call__(self, request: SentRequest, outcome: str, message: Any, /) -> None:
-        """Take an answer's whole message; None where the outcome is ``CONNECTION_LOST``."""
+        """Take an answer's complete message; None where the outcome is ``CONNECTION_LOST``."""
 
 
 class LoadGenerator:
@@ -95,7 +90,7 @@
     def send(
         self, source: str, class_name: str = "match", once: str = "", wait_ms: float = 0.0
     ) -> SentRequest:
-        """Send one request now; raise OSError where no connection can be opened, so that none was sent."""
+        """Send one request now; OSError where no connection can be opened, so that nothing was sent."""
         request = SentRequest(self.loop.clock.now(), source, idempotency_key=once)
         self.sent_requests.append(request)
         self._connections[source].send(request, class_name, wait_ms or self.wait_ms)
@@ -104,11 +99,12 @@
     def run(self, rng: random.Random, per_s: float, seconds: float) -> None:
         """Send requests with Poisson arrivals, evenly over the sources, and wait until all are due."""
         sources = list(self._connections)
-        begin = at = self.loop.clock.now()
-        while at < begin + seconds * 1000.0:
-            at += rng.expovariate(per_s) * 1000.0
-            self.loop.call_at(at, partial(self._send_scheduled, rng.choice(sources)))
-        self.run_until(at + self.wait_ms + LATE_ANSWERS_MS)
+        begin_ms = self.loop.clock.now()
+        at_ms = begin_ms
+        while at_ms < begin_ms + seconds * MS_PER_S:
+            at_ms += rng.expovariate(per_s) * MS_PER_S
+            self.loop.call_at(at_ms, partial(self._send_scheduled, rng.choice(sources)))
+        self.run_until(at_ms + self.wait_ms + LATE_ANSWERS_MS)
 
     def _send_scheduled(self, source: str) -> None:
         self.send(source)
@@ -123,13 +119,15 @@
     ) -> None:
         """Schedule Poisson arrivals of these classes from now on; each request of a keyed one has its key."""
         sources = list(self._connections)
-        names, shares = list(class_shares), list(class_shares.values())
-        begin = at = self.loop.clock.now()
-        while at < begin + seconds * 1000.0:
-            at += generator.expovariate(per_s) * 1000.0
+        names = list(class_shares)
+        shares = list(class_shares.values())
+        begin_ms = self.loop.clock.now()
+        at_ms = begin_ms
+        while at_ms < begin_ms + seconds * MS_PER_S:
+            at_ms += generator.expovariate(per_s) * MS_PER_S
             name = generator.choices(names, shares)[0]
             key = f"{generator.getrandbits(128):032x}" if name in keyed_classes else ""
-            self.loop.call_at(at, partial(self._send_or_divert, generator.choice(sources), name, key))
+            self.loop.call_at(at_ms, partial(self._send_or_divert, generator.choice(sources), name, key))
 
     def _send_or_divert(self, source: str, class_name: str, key: str) -> None:
         """Send a request to this node, or to one of the others while this one is paused."""
@@ -140,10 +138,10 @@
         with contextlib.suppress(OSError):  # the node died a moment ago: nothing was sent
             chosen.send(source, class_name, key)
 
-    def run_until(self, at: float) -> None:
+    def run_until(self, at_ms: float) -> None:
         """Run the loop until this time of its clock."""
-        while self.loop.clock.now() < at:
-            self.loop.run_once(min(LOOP_STEP_S, max(0.0, (at - self.loop.clock.now()) / 1000.0)))
+        while (now_ms := self.loop.clock.now()) < at_ms:
+            self.loop.run_once(min(LOOP_STEP_S, (at_ms - now_ms) / MS_PER_S))
 
     def close(self) -> None:
         """Close all connections, and end all other coroutines of the loop."""
@@ -161,27 +159,24 @@
         self._requests: dict[int, SentRequest] = {}  # of the connection, by number
 
     def send(self, request: SentRequest, class_name: str, wait_ms: float) -> None:
-        """Send a request; raise OSError where that fails."""
+        """Send a request; OSError where that fails."""
         sock = self._sock
         if sock is None or self._number >= CONNECTION_REQUESTS_MAX:
             sock = self._connect()
         self._number += 1
         request.attempt_id = f"{random.getrandbits(64):016x}"
-        fields = {
-            "id": request.attempt_id,
-            "at": str(int(time.time() * 1000.0)),
-            "from": str(self._load.caller),
-            "rank": RANK,
-            "wait": str(int(wait_ms)),
-            "kb": MEMORY_KB,
-        }
-        body = PLAIN_BODY
-        if request.idempotency_key:
-            fields["once"] = request.idempotency_key
-            if self._load.keyed_bodies:
-                body = KEYED_BODY_PREFIX + request.idempotency_key.encode()
+        key = request.idempotency_key
+        message = RequestMessage(
+            self._number,
+            class_name,
+            request.attempt_id,
+            self._load.caller,
+            wait_ms,
+            key,
+            body=keyed_body(key) if key and self._load.keyed_bodies else PLAIN_BODY,
+        )
         self._requests[self._number] = request
-        sock.sendall(msgpack.packb([REQUEST_MESSAGE, self._number, class_name, [fields, body]]))
+        sock.sendall(message.encode())
 
     def _connect(self) -> socket.socket:
         sock = socket.socket()
@@ -218,7 +213,7 @@
                     self._notify(request, CONNECTION_LOST, None)
 
     def _take(self, sock: socket.socket, message: Any, requests: dict[int, SentRequest]) -> None:
-        if message[0] == FAREWELL_MESSAGE:
+        if message[0] == NOTIFICATION_MESSAGE:
             self._forget(sock)  # the next request opens another connection
         elif message[0] == ANSWER_MESSAGE and message[1] in requests:
             outcome = str(message[2][0]) if message[2] else SERVED
--- a/emulators/machine.py
+++ b/emulators/machine.py
@@ -108,13 +108,13 @@
         self._work(attempt_id, duration_ms / self.speed, partial(self._continue, attempt_id))
 
     def _draw_calls(self, class_name: str) -> int:
-        """Return how many calls a run makes: a whole number, random, with the right mean."""
+        """Draw how many calls a run makes, with the right mean."""
         mean = 0.0
         if class_name in self.script.calling_classes:
             mean = self._model.warm_calls + (1.0 - self.warmth) * self._model.cold_calls
         return int(mean) + (self._generator.random() < mean % 1.0)
 
-    def _give_reply(self, attempt_id: str, reply: bytes) -> None:
+    def _give_reply(self, attempt_id: str, _reply: bytes) -> None:
         if run := self._runs.get(attempt_id):
             self._replies += 1
             run.waiting_for_reply = False
--- a/emulators/metered_database.py
+++ b/emulators/metered_database.py
@@ -1,4 +1,4 @@
-"""A formula database that keeps how many calls it had in hand, in the mean over a window.
+"""A formula database that records how many calls it had in hand, in the mean over a window.
 
 A call whose client closes its connection stays in hand for :data:`LINGER_MS`, as on the platform.
 """
--- a/emulators/persistent_clients.py
+++ b/emulators/persistent_clients.py
@@ -10,20 +10,28 @@
 
 import random
 import socket
-import time
+import struct
 from dataclasses import dataclass, field
 
 import msgpack
 
+from emulators.request_protocol import (
+    ANSWER_MESSAGE,
+    PLAIN_BODY,
+    SERVED,
+    RequestMessage,
+    encode_cancellation,
+    keyed_body,
+)
 from snowthread.address import Address
 from snowthread.net.loop import HANGUP, READABLE, EventLoop, TaskSteps, Wait
 
 CROSSING_MS = 50.0
 READ_BYTES = 65536
 REQUESTS_OPEN_MAX = 32  # on one connection
-REQUEST_MESSAGE, ANSWER_MESSAGE, NOTIFICATION_MESSAGE = 0, 1, 2
-SERVED, REJECTED = "served", "Throttled"
-KEYED_BODY_PREFIX = b"key:"
+CONNECT_TIMEOUT_S = 1.0
+BALANCER_NUMBER = 1
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, with a timeout of 0 s
 
 
 @dataclass(slots=True, eq=False)
@@ -61,27 +69,25 @@
     def send(self, request: ClientRequest) -> None:
         """Send a request; OSError where the connection is broken."""
         self._number += 1
-        fields = {
-            "id": request.attempt_id,
-            "at": str(int(time.time() * 1000.0)),
-            "from": "1",
-            "rank": "0.5",
-            "wait": str(int(request.wait_ms)),
-            "kb": "20",
-        }
-        body = b"plain"
-        if request.idempotency_key:
-            fields["once"] = request.idempotency_key
-            body = KEYED_BODY_PREFIX + request.idempotency_key.encode()
+        key = request.idempotency_key
+        message = RequestMessage(
+            self._number,
+            request.class_name,
+            request.attempt_id,
+            BALANCER_NUMBER,
+            request.wait_ms,
+            key,
+            body=keyed_body(key) if key else PLAIN_BODY,
+        )
         self.open[self._number] = request
-        self.sock.sendall(msgpack.packb([REQUEST_MESSAGE, self._number, request.class_name, [fields, body]]))
+        self.sock.sendall(message.encode())
 
     def cancel(self, request: ClientRequest) -> None:
-        """Tell the node that nobody waits for a request any more."""
+        """Notify the node that nobody waits for a request any more."""
         for number, found in list(self.open.items()):
             if found is request and not self.is_closed:
                 del self.open[number]
-                self.sock.sendall(msgpack.packb([NOTIFICATION_MESSAGE, "cancel", [number]]))
+                self.sock.sendall(encode_cancellation(number))
 
     def steps(self) -> TaskSteps:
         """Read answers until the connection ends."""
@@ -142,10 +148,11 @@
     def _connection(self, index: int) -> ClientConnection:
         found = self._connections[index]
         if found is None or found.is_closed or len(found.open) >= REQUESTS_OPEN_MAX:
-            sock = socket.create_connection(self._address, timeout=1.0)
+            sock = socket.create_connection(self._address, timeout=CONNECT_TIMEOUT_S)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            found = self._connections[index] = ClientConnection(self, sock)
+            found = ClientConnection(self, sock)
+            self._connections[index] = found
             self.loop.spawn(found.steps())
         return found
 
@@ -164,15 +171,14 @@
             for request in connection.open.values():
                 request.is_owed = request.is_owed and bool(request.answers)
             connection.open.clear()
-            linger = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # on, for 0 s: close with a reset
-            connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+            connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             connection.sock.shutdown(socket.SHUT_RDWR)
 
     def open_crowd(self, count: int) -> None:
         """Open connections that send nothing."""
         for _ in range(count):
             try:
-                self._idle.append(socket.create_connection(self._address, timeout=1.0))
+                self._idle.append(socket.create_connection(self._address, timeout=CONNECT_TIMEOUT_S))
             except OSError:
                 return
 
--- a/emulators/shared_cores.py
+++ b/emulators/shared_cores.py
@@ -16,7 +16,7 @@
 from snowthread.net.loop import EventLoop, Timer
 
 UTILIZATION_WINDOW_MS = 500.0  # over which the platform measures the share of the cores in use
-HISTORY_MS = 4000.0  # for which changes of the number of runs are kept
+HISTORY_MS = 4000.0  # for which changes of the number of runs are recorded
 WORK_TOLERANCE_MS = 1e-6  # work this near its end has ended: sums of floats are not exact
 
 
@@ -88,7 +88,9 @@
 
     def _mean(self, window_ms: float, value: Callable[[int], float]) -> float:
         now = self._loop.clock.now()
-        begin, end, total = now - window_ms, now, 0.0
+        begin = now - window_ms
+        end = now
+        total = 0.0
         for change in reversed(self._history):
             total += value(change.runs) * (end - max(change.at_ms, begin))
             end = change.at_ms
--- a/emulators/shared_database.py
+++ b/emulators/shared_database.py
@@ -20,6 +20,7 @@
 WAITING_MAX = 10_000  # calls; those beyond are answered 503 at once
 BUSY_ANSWER = b"HTTP/1.1 503 Busy\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n"
 SLOWDOWN_PER_SLOTS_WAITING = 0.5
+MS_PER_S = 1000.0
 SLOWDOWN_MAX = 4.0
 
 
@@ -31,7 +32,7 @@
         self.slowdown = 1.0  # set from outside: a fault of the database
         self.received_by_second: Counter[int] = Counter()
         self.completed_by_second: Counter[int] = Counter()
-        self.held_max_by_second: Counter[int] = Counter()  # calls in progress and waiting, at the most
+        self.max_calls_by_second: Counter[int] = Counter()  # calls in progress and waiting, at the most
         self.rejected = 0
         self._loop = loop
         self._call_ms = call_ms
@@ -41,7 +42,7 @@
         loop.spawn(accept_connections(loop, listen(address), self._serve))
 
     def _second(self) -> int:
-        return int(self._loop.clock.now() // 1000)
+        return int(self._loop.clock.now() // MS_PER_S)
 
     def _serve(self, connection: socket.socket) -> TaskSteps:
         try:
@@ -64,8 +65,8 @@
             return
         self._waiting.append(connection)
         self._start_waiting()
-        held = self._in_progress + len(self._waiting)
-        self.held_max_by_second[second] = max(self.held_max_by_second[second], held)
+        calls = self._in_progress + len(self._waiting)
+        self.max_calls_by_second[second] = max(self.max_calls_by_second[second], calls)
 
     def _start_waiting(self) -> None:
         while self._waiting and self._in_progress < self._slots:
--- a/emulators/site.py
+++ b/emulators/site.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 import base64
-import contextlib
 import json
 import socket
 import sys
@@ -20,6 +19,7 @@
 from typing import Any
 
 from emulators.core_queue import CoreQueue
+from emulators.runtime_link import RuntimeLink
 from emulators.servers import accept_connections, bind_datagrams, listen, read_json_lines
 from emulators.stdin_commands import handle_commands
 from snowthread.address import Address
@@ -29,8 +29,6 @@
 READ_BYTES = 65536
 DATAGRAM_BYTES_MAX = 1024
 DATABASE_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nknown"
-HEAP_SHARE, LINKS = 0.1, 2  # reported as constants with the measured part of the load
-RUN_WALL_MS = 1.0  # reported with each run that ended
 DEFAULT_CORES = 64
 DEFAULT_RUN_MS = 200.0
 
@@ -44,14 +42,13 @@
     calling_classes: frozenset[str] = frozenset({"dispense"})  # their runs call the database once
     cores: int = DEFAULT_CORES
     database_ms: float = 0.0  # until the database answers
-    log: Callable[[str], None] = lambda line: None  # takes a line for each thing that happens
+    log: Callable[[str], None] = lambda _line: None  # takes a line for each thing that happens
 
 
 class RuntimeEmulator:
     """The runtime of one node.
 
-    A run returns its body in capitals, or what the database answered. Notices are numbered and kept, and are
-    sent again to a node that connects and asks for those after a position.
+    A run returns its body in capitals, or what the database answered.
     """
 
     def __init__(self, loop: EventLoop, address: Address, script: SiteScript) -> None:
@@ -59,8 +56,7 @@
         self.loop = loop
         self.script = script
         self.runs: Counter[bytes] = Counter()  # begun, by body
-        self._notices: list[dict[str, Any]] = []
-        self._node: socket.socket | None = None
+        self._link = RuntimeLink()
         self._cores = CoreQueue(loop, script.cores)
         self._active: set[str] = set()  # attempt ids of the runs that go on
         self._power_on_ms = 0.0  # when the machine's power came back; 0: long ago
@@ -69,11 +65,8 @@
     def restart(self) -> None:
         """Switch the machine off and on: all runs and notices are lost."""
         self._power_on_ms = self.loop.clock.now()
-        if self._node is not None:
-            with contextlib.suppress(OSError):  # its node may have been killed a moment ago
-                self._node.shutdown(socket.SHUT_RDWR)
-            self._node = None
-        self._notices.clear()
+        self._link.disconnect()
+        self._link.forget_notices()
         self._active.clear()
         self._cores.abandon()
         self._cores = CoreQueue(self.loop, self.script.cores)
@@ -92,8 +85,7 @@
                 self._synchronize(connection, command["pos"])
             case "gauges":
                 utilization = self._cores.measure_utilization()
-                meters = [utilization, len(self._cores), HEAP_SHARE, LINKS]
-                self._send({"action": "load", "echo": command["echo"], "meters": meters})
+                self._link.send_load(command["echo"], utilization, len(self._cores))
             case "start":
                 if attempt_id not in self._active:
                     self._start(attempt_id, command["lane"], base64.b64decode(command["content"]))
@@ -107,14 +99,11 @@
 
     def _synchronize(self, connection: socket.socket, position: int) -> None:
         """Take a connection as the node's, and send all notices after a position again."""
-        self._node = connection
         if self._power_on_ms:
-            code, age_ms = "fresh", self.loop.clock.now() - self._power_on_ms
+            age_ms = self.loop.clock.now() - self._power_on_ms
+            self._link.connect(connection, "fresh", age_ms, position)
         else:
-            code, age_ms = "seasoned", 0.0
-        self._send({"action": "ready", "code": code, "wall_ms": age_ms})
-        for notice in self._notices[position:]:
-            self._send(notice)
+            self._link.connect(connection, "seasoned", 0.0, position)
 
     def _start(self, attempt_id: str, class_name: str, body: bytes) -> None:
         """Begin a run."""
@@ -146,28 +135,12 @@
         self._cores.add(duration_ms, finish)
 
     def _call_database(self, attempt_id: str, body: bytes) -> None:
-        self._notify({"action": "wants", "uid": attempt_id, "content": base64.b64encode(body).decode()})
+        self._link.notify_call(attempt_id, body)
 
     def _end(self, attempt_id: str, code: str, result: bytes) -> None:
         """End a run with its result."""
         self._active.discard(attempt_id)
-        content = base64.b64encode(result).decode()
-        self._notify(
-            {"action": "end", "uid": attempt_id, "code": code, "wall_ms": RUN_WALL_MS, "content": content}
-        )
-
-    def _notify(self, notice: dict[str, Any]) -> None:
-        """Give a notice its number, keep it and send it."""
-        self._notices.append(notice | {"pos": len(self._notices) + 1})
-        self._send(self._notices[-1])
-
-    def _send(self, message: dict[str, Any]) -> None:
-        if self._node is None or self._node.fileno() < 0:
-            return
-        try:
-            self._node.send(json.dumps(message).encode() + b"\n")
-        except OSError:
-            self._node = None  # a notice is sent again on the next connection
+        self._link.notify_end(attempt_id, code, result)
 
 
 class DatabaseEmulator:
@@ -201,7 +174,7 @@
 
 
 class RegistryEmulator:
-    """The registry: takes reports and tells the script those that differ from the one before."""
+    """The registry: takes reports, and the script logs those that differ from the one before."""
 
     def __init__(self, loop: EventLoop, address: Address, script: SiteScript) -> None:
         """Receive at the address."""
--- a/emulators/soak.py
+++ b/emulators/soak.py
@@ -18,7 +18,8 @@
 from typing import Any
 
 from emulators.node_under_faults import NodeUnderFaults
-from emulators.persistent_clients import KEYED_BODY_PREFIX, REJECTED, ClientRequest, PersistentClients
+from emulators.persistent_clients import ClientRequest, PersistentClients
+from emulators.request_protocol import KEYED_BODY_PREFIX, REJECTED
 from emulators.soak_plan import FaultKind, PlannedFault, SoakPlan, draw_plan
 from snowthread.admission.concurrency import CAPACITY_MARGIN
 
@@ -28,6 +29,7 @@
 AFTER_KILL_MS = 300.0
 TERMINATION_GAP_MS = 150.0
 REPEAT_AFTER_MS = (100.0, 1500.0)
+MS_PER_S = 1000.0
 ERRORS_IN_LOG = ("Traceback", " failed\n", "ERROR", "CRITICAL")
 
 
@@ -68,15 +70,16 @@
             FaultKind.DATABASE_RESET: self._reset_database,
             FaultKind.DATABASE_DOWN: self._take_database_down,
             FaultKind.DATABASE_SLOW: self._slow_database,
-            FaultKind.CLIENT_RESET: lambda fault: self._clients.reset_one(),
+            FaultKind.CLIENT_RESET: lambda _: self._clients.reset_one(),
             FaultKind.CROWD: self._open_crowd,
-            FaultKind.RELOAD: lambda fault: self.node.signal(signal.SIGHUP),
+            FaultKind.RELOAD: lambda _: self.node.signal(signal.SIGHUP),
             FaultKind.PAUSE: self._pause,
         }
 
     def run(self) -> SoakResult:
         """Play the plan and judge it."""
-        loop, plan = self.node.loop, self.plan
+        loop = self.node.loop
+        plan = self.plan
         try:
             begin_ms = loop.clock.now()
             self._schedule_traffic(begin_ms)
@@ -93,11 +96,13 @@
 
     def _schedule_traffic(self, begin_ms: float) -> None:
         """Schedule Poisson arrivals until the kill."""
-        plan, scenario = self.plan, self.plan.scenario
-        names, shares = list(scenario.class_shares), list(scenario.class_shares.values())
-        at_ms, end_ms = begin_ms, begin_ms + plan.traffic_ms + scenario.stop_ms
+        scenario = self.plan.scenario
+        names = list(scenario.class_shares)
+        shares = list(scenario.class_shares.values())
+        at_ms = begin_ms
+        end_ms = begin_ms + self.plan.traffic_ms + scenario.stop_ms
         while at_ms < end_ms:
-            at_ms += self._generator.expovariate(scenario.requests_per_s()) * 1000.0
+            at_ms += self._generator.expovariate(scenario.requests_per_s()) * MS_PER_S
             name = self._generator.choices(names, shares)[0]
             key = f"{self._generator.getrandbits(128):032x}" if name in scenario.keyed_classes else ""
             self.node.loop.call_at(at_ms, partial(self._send, name, key))
@@ -123,7 +128,7 @@
     def _later(self, delay_ms: float, call: Callable[[], None]) -> None:
         self.node.loop.call_at(self.node.loop.clock.now() + delay_ms, call)
 
-    def _reset_runtime(self, fault: PlannedFault) -> None:
+    def _reset_runtime(self, _fault: PlannedFault) -> None:
         self.node.runtime_link.faults.cuts += 1
 
     def _take_runtime_down(self, fault: PlannedFault) -> None:
@@ -140,7 +145,7 @@
         faults.delay_ms = fault.value
         self._later(fault.duration_ms, faults.clear)
 
-    def _reset_database(self, fault: PlannedFault) -> None:
+    def _reset_database(self, _fault: PlannedFault) -> None:
         self.node.database_link.faults.cuts += 1
 
     def _take_database_down(self, fault: PlannedFault) -> None:
@@ -177,7 +182,8 @@
     # Rules.
 
     def _judge(self) -> SoakResult:
-        node, requests = self.node, self._clients.requests
+        node = self.node
+        requests = self._clients.requests
         result = SoakResult(
             seed=self.plan.seed,
             requests=len(requests),
@@ -197,16 +203,16 @@
         slack_ms = ANSWER_SLACK_MS + MACHINE_SLACK_MS + self._paused_ms
         broken = []
         for request in self._clients.requests:
-            told = f"{request.class_name} {request.attempt_id} sent {self._before_kill(request.sent_ms)}"
+            sent = f"{request.class_name} {request.attempt_id} sent {self._before_kill(request.sent_ms)}"
             due_ms = min(request.sent_ms + request.wait_ms + slack_ms, self._killed_at_ms)
             if len(request.answers) > 1:
-                broken.append(f"{told} was answered twice: {request.answers}")
+                broken.append(f"{sent} was answered twice: {request.answers}")
             elif request.lost_reason:
-                broken.append(f"{told} lost: {request.lost_reason}")
+                broken.append(f"{sent} lost: {request.lost_reason}")
             elif request.answers and request.lateness_ms > slack_ms:
-                broken.append(f"{told} answered {request.lateness_ms:.0f} ms after its due time")
+                broken.append(f"{sent} answered {request.lateness_ms:.0f} ms after its due time")
             elif not request.answers and request.is_owed and self._was_answerable(request, due_ms):
-                broken.append(f"{told} has no answer")
+                broken.append(f"{sent} has no answer")
         return broken
 
     def _was_answerable(self, request: ClientRequest, due_ms: float) -> bool:
@@ -217,7 +223,8 @@
 
     def _check_runs(self) -> list[str]:
         """Return which keys ran twice, and which attempts were rejected though they ran."""
-        runtime, scenario = self.node.runtime, self.plan.scenario
+        runtime = self.node.runtime
+        scenario = self.plan.scenario
         broken = [
             f"key {body!r} ran {count} times"
             for body, count in runtime.bodies_begun.items()
@@ -233,9 +240,10 @@
         return broken
 
     def _check_load(self) -> list[str]:
-        """Return whether the machine or the database had more than they bear."""
+        """Return whether the machine or the database had more than they survive."""
         broken = []
-        peak, quota = self.node.runtime.peak, self.plan.scenario.settings()["domain"]["calls_out"]
+        peak = self.node.runtime.peak
+        quota = self.plan.scenario.settings()["domain"]["calls_out"]
         if peak.share_of_survived >= 1.0:
             broken.append(f"the machine fell: {peak}")
         elif peak.share_of_survived > CAPACITY_MARGIN:
@@ -245,7 +253,8 @@
         return broken
 
     def _check_process(self) -> list[str]:
-        process, log = self.node.process, self.node.log()
+        process = self.node.process
+        log = self.node.log()
         broken = [f"the log has {text!r}" for text in ERRORS_IN_LOG if text in log]
         if process is not None and process.wait() not in (0, -signal.SIGKILL):
             broken.append(f"the node exited with {process.returncode}")
@@ -253,13 +262,13 @@
 
 
 def play(seed: int) -> SoakResult:
-    """Play one seed in a folder of its own; the node's log is kept where a rule was broken."""
+    """Play one seed in a folder of its own; where a rule was broken, the node's log is copied out of it."""
     with tempfile.TemporaryDirectory() as folder:
         soak = Soak(Path(folder), draw_plan(seed))
         result = soak.run()
         if result.broken:
-            kept = Path(tempfile.gettempdir()) / f"soak-{seed}.log"
-            kept.write_text(soak.node.log())
+            log_copy = Path(tempfile.gettempdir()) / f"soak-{seed}.log"
+            log_copy.write_text(soak.node.log())
         return result
 
 
--- a/emulators/soak_plan.py
+++ b/emulators/soak_plan.py
@@ -12,6 +12,7 @@
 CLASS_NAMES = ("match", "recalc", "dispense")
 KILL_AFTER_DEADLINE_MS = 700  # the kill comes this long after the longest deadline, at the earliest
 FAULTS_BEGIN_MS = 1500.0
+MS_PER_S = 1000.0
 FLAPPING_SHARE = 0.5  # of the plans: the link breaks until the kill
 
 
@@ -93,9 +94,9 @@
         keyed_classes=frozenset(keyed),
         preemption=preemption,
         database_ms=generator.choice((5.0, 60.0)),
-        wait_ms=deadline_s * 1000.0,
+        wait_ms=deadline_s * MS_PER_S,
         deadline_s=deadline_s,
-        stop_ms=int(deadline_s * 1000.0) + KILL_AFTER_DEADLINE_MS,
+        stop_ms=int(deadline_s * MS_PER_S) + KILL_AFTER_DEADLINE_MS,
     )
 
 
@@ -116,11 +117,13 @@
     """Draw, for half of the plans, a runtime's link that breaks again and again until the kill."""
     if generator.random() >= FLAPPING_SHARE:
         return []
-    period_ms, down_ms = generator.choice((120.0, 200.0, 600.0)), generator.choice((0.0, 0.1, 0.4))
-    faults, at_ms = [], FAULTS_BEGIN_MS
+    period_ms = generator.choice((120.0, 200.0, 600.0))
+    down_share = generator.choice((0.0, 0.1, 0.4))  # of the period
+    faults = []
+    at_ms = FAULTS_BEGIN_MS
     while at_ms < traffic_ms * 2.0:
-        kind = FaultKind.RUNTIME_DOWN if down_ms else FaultKind.RUNTIME_RESET
-        faults.append(PlannedFault(at_ms, kind, down_ms * period_ms))
+        kind = FaultKind.RUNTIME_DOWN if down_share else FaultKind.RUNTIME_RESET
+        faults.append(PlannedFault(at_ms, kind, down_share * period_ms))
         at_ms += period_ms * generator.uniform(0.8, 1.2)
     return faults
 
--- a/emulators/stdin_commands.py
+++ b/emulators/stdin_commands.py
@@ -26,7 +26,7 @@
 
 
 def _read_commands(handler: CommandHandler) -> TaskSteps:
-    # Read from the descriptor: of lines that a buffered reader holds back epoll would tell nothing.
+    # Read from the descriptor: epoll does not see lines that a buffered reader has taken already.
     descriptor = sys.stdin.fileno()
     os.set_blocking(descriptor, False)
     partial_line = b""
@@ -41,6 +41,6 @@
                 command, _, argument = line.decode().strip().partition(" ")
                 handler(command, argument)
         except Exception:
-            # Whoever sent the command waits for its answer: ending now tells them at once.
+            # Whoever sent the command waits for its answer: ending now shows the failure at once.
             logger.exception("command failed: {!r}", lines)
             os._exit(1)
--- a/emulators/strict_runtime.py
+++ b/emulators/strict_runtime.py
@@ -2,13 +2,12 @@
 
 It differs from :class:`emulators.site.RuntimeEmulator` in what matters while links break: a new link replaces
 the earlier one, whose unread commands are lost; a run that is stopped leaves the cores at once, or goes on
-where the site can't stop runs; and it keeps the highest mean load of its cores.
+where the site can't stop runs; and it records the highest mean load of its cores.
 """
 
 from __future__ import annotations
 
 import base64
-import json
 import random
 import socket
 from collections.abc import Mapping
@@ -16,14 +15,14 @@
 from functools import partial
 from typing import Any
 
+from emulators.runtime_link import RuntimeLink
 from emulators.servers import accept_connections, listen, read_json_lines
 from emulators.shared_cores import SharedCores
 from snowthread.address import Address
 from snowthread.net.loop import EventLoop, TaskSteps
 
-KEPT_NOTICES = 4000
+MAX_NOTICES = 4000  # that are sent again on a new link
 LOAD_CHECK_MS = 20.0
-HEAP_SHARE, LINKS = 0.1, 2  # reported as constants with the measured part of the load
 
 
 @dataclass(slots=True)
@@ -45,7 +44,7 @@
     """The highest mean load of the cores so far."""
 
     runs_per_core: float = 0.0
-    share_of_survived: float = 0.0  # above 1: the machine fell
+    share_of_survived: float = 0.0  # above 1: the machine is overloaded and fails
     at_ms: float = 0.0  # since the machine's start
 
 
@@ -74,9 +73,7 @@
         self.links = 0
         self._generator = generator
         self._runs: dict[str, _Run] = {}
-        self._notices: list[dict[str, Any]] = []
-        self._dropped_notices = 0
-        self._node: socket.socket | None = None
+        self._link = RuntimeLink(MAX_NOTICES)
         self._started_ms = loop.clock.now()
         loop.spawn(accept_connections(loop, listen(address), self._serve))
         self._check_load()
@@ -88,8 +85,7 @@
 
     def forget_node(self) -> None:
         """Begin the numbering of notices again, as for a node that starts anew; runs end."""
-        self._notices.clear()
-        self._dropped_notices = 0
+        self._link.forget_notices()
         self._runs.clear()
         self.cores.clear()
 
@@ -98,7 +94,8 @@
         return 1.0 + (self.model.fall_multiple - 1.0) * self.cores.speed
 
     def _check_load(self) -> None:
-        now, model = self.loop.clock.now(), self.model
+        now = self.loop.clock.now()
+        model = self.model
         self.loop.call_at(now + LOAD_CHECK_MS, self._check_load)
         if model.warmup_ms:
             warmth = min(1.0, (now - self._started_ms) / model.warmup_ms)
@@ -116,30 +113,25 @@
         except OSError:
             pass  # reset: what was not read is lost
         finally:
-            if self._node is connection:
-                self._node = None
+            self._link.connection_ended(connection)
             self.loop.close(connection)
 
     def _take(self, connection: socket.socket, command: dict[str, Any]) -> None:
         """Carry out one command; those of a link that was replaced are ignored."""
         if command["action"] == "sync":
             self._synchronize(connection, command["pos"])
-        elif connection is self._node:
+        elif self._link.is_of(connection):
             self._carry_out(command, command.get("uid", ""))
 
     def _synchronize(self, connection: socket.socket, position: int) -> None:
-        self._node = connection
         self.links += 1
         code = "fresh" if self.model.warmup_ms else "seasoned"
-        self._send({"action": "ready", "code": code, "wall_ms": self.loop.clock.now() - self._started_ms})
-        for notice in self._notices[max(0, position - self._dropped_notices) :]:
-            self._send(notice)
+        self._link.connect(connection, code, self.loop.clock.now() - self._started_ms, position)
 
     def _carry_out(self, command: dict[str, Any], attempt_id: str) -> None:
         match command["action"]:
             case "gauges":
-                meters = [self.cores.utilization(), len(self.cores), HEAP_SHARE, LINKS]
-                self._send({"action": "load", "echo": command["echo"], "meters": meters})
+                self._link.send_load(command["echo"], self.cores.utilization(), len(self.cores))
             case "start":
                 if attempt_id not in self._runs:
                     self._start(attempt_id, command["lane"], base64.b64decode(command["content"]))
@@ -151,23 +143,6 @@
                 if attempt_id in self._runs and self._runs[attempt_id].call_notice == command["pos"]:
                     self._leave_call(attempt_id)
 
-    def _send(self, message: dict[str, Any]) -> None:
-        if self._node is not None and self._node.fileno() >= 0:
-            try:
-                self._node.send(json.dumps(message).encode() + b"\n")
-            except OSError:
-                self._node = None  # a notice is sent again on the next link
-
-    def _notify(self, **notice: Any) -> int:
-        """Give a notice its number, keep it and send it."""
-        number = self._dropped_notices + len(self._notices) + 1
-        self._notices.append(notice | {"pos": number})
-        if len(self._notices) > KEPT_NOTICES:
-            del self._notices[0]
-            self._dropped_notices += 1
-        self._send(notice | {"pos": number})
-        return number
-
     # Runs.
 
     def _start(self, attempt_id: str, class_name: str, body: bytes) -> None:
@@ -188,8 +163,7 @@
             self._end(attempt_id, "done", run.body.upper())
             return
         run.calls_left -= 1
-        content = base64.b64encode(run.body).decode()
-        run.call_notice = self._notify(action="wants", uid=attempt_id, content=content)
+        run.call_notice = self._link.notify_call(attempt_id, run.body)
 
     def _leave_call(self, attempt_id: str) -> None:
         run = self._runs.get(attempt_id)
@@ -199,12 +173,11 @@
 
     def _stop(self, attempt_id: str) -> None:
         if not self.model.can_stop_runs:
-            self._send({"action": "nack", "code": "stop", "uid": attempt_id})
+            self._link.send({"action": "nack", "code": "stop", "uid": attempt_id})
         elif attempt_id in self._runs:
             self._end(attempt_id, "aborted", b"")
 
     def _end(self, attempt_id: str, code: str, result: bytes) -> None:
         self.cores.remove(attempt_id)
         del self._runs[attempt_id]
-        content = base64.b64encode(result).decode()
-        self._notify(action="end", uid=attempt_id, code=code, wall_ms=1.0, content=content)
+        self._link.notify_end(attempt_id, code, result)
--- a/emulators/traffic_accounts.py
+++ b/emulators/traffic_accounts.py
@@ -11,7 +11,7 @@
 from emulators.traffic_plan import RequestClass, TrafficPlan
 
 LATE_TOLERANCE_MS = 110.0  # after a deadline: 60 of the rules for the answer, and 50 for its way
-# Around a node's death: the lab tells of it, and may be held up itself; a stop also lasts.
+# Around a node's death: the lab reports it, and may be delayed itself; a stop also lasts.
 DOWN_TOLERANCE_MS = 400.0
 
 
@@ -33,7 +33,7 @@
     source: str  # the address of the balancer that took it
     foreign: bool = False  # from another site's client
     attempts: int = 0  # without those of the client's repeat
-    pinned_node: str = ""  # where an attempt with a key may have run: no other node may be asked
+    sticky_node: str = ""  # where an attempt with a key may have run: no other node may run it
     nodes_tried: list[str] = field(default_factory=list)
     value: float = 0.0  # of the best answer
     outcome: Outcome | None = None
--- a/emulators/traffic_plan.py
+++ b/emulators/traffic_plan.py
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficPlan:
-    """The whole plan."""
+    """The plan of all traffic."""
 
     nodes: dict[str, str]  # name to address
     registry: str
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -24,7 +24,7 @@
 
 
 def ask(address: tuple[str, int], class_name: str, body: bytes, idempotency_key: str | None = None) -> object:
-    """Send one request on a connection of its own and return the whole answer message."""
+    """Send one request on a connection of its own and return the complete answer message."""
     fields = {
         "id": secrets.token_hex(8),
         "at": str(int(time.time() * 1000)),
--- a/tests/incidents/test_runtime_overload.py
+++ b/tests/incidents/test_runtime_overload.py
@@ -1,4 +1,4 @@
-"""Incident 2026-12-02: more runs on a machine than it survives, while the runtime's link kept breaking.
+"""Incident 2026-12-02: more runs on a machine than it survives, while the runtime's link broke repeatedly.
 
 Symptom: machines fell, cold and warm, 3 to 6 s into a row of resets of the link between runtime and node; one
 node had reported itself as far slower than before 1.5 s earlier.
@@ -49,7 +49,8 @@
 
 def break_link_periodically(node: NodeUnderFaults, breaks: LinkBreaks) -> None:
     """Reset the runtime's link, and again and again from then on."""
-    faults, loop = node.runtime_link.faults, node.loop
+    faults = node.runtime_link.faults
+    loop = node.loop
     faults.cuts += 1
     if breaks.down_ms:
         faults.partitioned = True
--- a/tests/soak/test_soak_rules.py
+++ b/tests/soak/test_soak_rules.py
@@ -1,4 +1,4 @@
-"""Each rule that a soak checks is told when it is broken."""
+"""Each rule that a soak checks is reported when it is broken."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 import pytest
 
-from emulators.persistent_clients import CROSSING_MS, KEYED_BODY_PREFIX, REJECTED, SERVED, ClientRequest
+from emulators.persistent_clients import CROSSING_MS, ClientRequest
+from emulators.request_protocol import KEYED_BODY_PREFIX, REJECTED, SERVED
 from emulators.soak import ANSWER_SLACK_MS, MACHINE_SLACK_MS, Soak
 from emulators.soak_plan import draw_plan
 from emulators.strict_runtime import Peak
@@ -38,7 +39,7 @@
     assert soak._check_answers() == [] and soak._check_runs() == [] and soak._check_load() == []
 
 
-def test_missing_answer_is_told(soak: Soak) -> None:
+def test_missing_answer_is_reported(soak: Soak) -> None:
     request(soak)
     assert "no answer" in soak._check_answers()[0]
 
@@ -48,39 +49,40 @@
     assert soak._check_answers() == []
 
 
-def test_second_answer_is_told(soak: Soak) -> None:
+def test_second_answer_is_reported(soak: Soak) -> None:
     request(soak, SERVED, SERVED)
     assert "twice" in soak._check_answers()[0]
 
 
-def test_late_answer_is_told(soak: Soak) -> None:
+def test_late_answer_is_reported(soak: Soak) -> None:
     late_ms = 1000.0 + ANSWER_SLACK_MS + MACHINE_SLACK_MS + 1.0
     request(soak, SERVED, answered_after_ms=late_ms)
     assert "after its due time" in soak._check_answers()[0]
 
 
-def test_request_whose_connection_ended_is_told(soak: Soak) -> None:
+def test_request_whose_connection_ended_is_reported(soak: Soak) -> None:
     request(soak).lost_reason = f"connection ended {CROSSING_MS + 1.0} ms after it was sent"
     assert "lost" in soak._check_answers()[0]
 
 
-def test_key_that_ran_twice_is_told(soak: Soak) -> None:
+def test_key_that_ran_twice_is_reported(soak: Soak) -> None:
     request(soak, SERVED)
     soak.node.runtime.bodies_begun[KEYED_BODY_PREFIX + b"k1"] = 2
     assert "ran 2 times" in soak._check_runs()[0]
     soak.node.runtime.bodies_begun.clear()
 
 
-def test_rejection_of_what_ran_is_told(soak: Soak) -> None:
+def test_rejection_of_what_ran_is_reported(soak: Soak) -> None:
     request(soak, REJECTED)
     soak.node.runtime.runs_begun["a1"] = 1
     assert "was rejected and ran" in soak._check_runs()[0]
     soak.node.runtime.runs_begun.clear()
 
 
-def test_machine_and_database_with_more_than_they_bear_are_told(soak: Soak) -> None:
+def test_machine_and_database_with_more_than_they_survive_are_reported(soak: Soak) -> None:
     soak.node.runtime.peak = Peak(5.0, 1.0, 1.0)
     soak.node.database.peak_mean = 100.0
-    told = " ".join(soak._check_load())
-    assert "machine fell" in told and "calls in hand" in told
-    soak.node.runtime.peak, soak.node.database.peak_mean = Peak(), 0.0
+    broken = " ".join(soak._check_load())
+    assert "machine fell" in broken and "calls in hand" in broken
+    soak.node.runtime.peak = Peak()
+    soak.node.database.peak_mean = 0.0
