--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -78,7 +78,7 @@
     """Return how many runs the controller of a process would start at most."""
     controller = player.node.state.controller
     assert controller is not None
-    return controller.concurrency.ceiling(controller._now - controller.started_at)
+    return controller.concurrency.ceiling(controller.state.age_s(controller._now))
 
 
 def max_connections(player: ExchangePlayer) -> int:
@@ -255,7 +255,7 @@
         hot_restart = player.node.hot_restart
         assert hot_restart is not None
         player.node._stopped = hot_restart._closed = True
-        for listening in (hot_restart._listener, player.node.balancers._listener):
+        for listening in (hot_restart._listener, player.node.balancers.acceptor._listener):
             if listening is not None:
                 player.node.loop.close(listening)
         return hot_restart
