--- a/emulators/balancers.py
+++ b/emulators/balancers.py
@@ -19,7 +19,6 @@
 
 import json
 import random
-import socket
 import sys
 from functools import partial
 from pathlib import Path
@@ -27,6 +26,7 @@
 
 from emulators.load_generator import CONNECTION_LOST, LoadGenerator, SentRequest
 from emulators.machine import OMITTED_SUFFIX
+from emulators.node_router import NodeRouter
 from emulators.request_protocol import PLAIN_BODY, REJECTED, SERVED, keyed_body
 from emulators.stdin_commands import handle_commands
 from emulators.traffic_accounts import (
@@ -38,64 +38,14 @@
     Unanswered,
 )
 from emulators.traffic_plan import RequestClass, TrafficPlan
-from snowthread.address import Address
 from snowthread.net.clock import Clock
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import EventLoop
 
 BALANCERS = 3  # each with a source address of its own
-REGISTRY_POLL_MS = 300.0
 RETRY_DELAY_MS = 250.0  # until an attempt with a key is sent to its node again
 ATTEMPTS_MAX = 4  # of a request, the client's repeat not counted
 ATTEMPT_TIME_MIN_MS = 5.0  # left until the deadline; with less, a request is given up
-WEIGHT_MIN = 0.02  # so that a node is heard of again
 MS_PER_S = 1000.0
-DATAGRAM_BYTES_MAX = 65536
-
-
-class Router:
-    """Chooses nodes for requests, from the registry's list and what the nodes answered."""
-
-    def __init__(self, loop: EventLoop, plan: TrafficPlan, generator: random.Random) -> None:
-        """Begin with all nodes of the plan, and poll the registry from now on."""
-        self._loop = loop
-        self._generator = generator
-        self._known = frozenset(plan.nodes)
-        self._listed = sorted(plan.nodes)
-        self._weights: dict[str, float] = {}
-        self._avoid_until: dict[tuple[str, str], float] = {}  # by source and node
-        self._sock = Address("127.0.0.1", 0).open(socket.SOCK_DGRAM)
-        loop.spawn(self._poll_registry(Address.parse(plan.registry)))
-
-    def _poll_registry(self, registry: Address) -> TaskSteps:
-        while True:
-            try:
-                self._sock.sendto(b"LIST", registry)
-                yield Wait(self._sock.fileno(), READABLE, self._loop.clock.now() + REGISTRY_POLL_MS)
-                names = self._sock.recv(DATAGRAM_BYTES_MAX).decode().split()[1:]
-                if names:  # an empty list names nobody better than those known
-                    self._listed = [name for name in names if name in self._known]
-            except OSError:
-                pass
-            yield Wait(until_ms=self._loop.clock.now() + REGISTRY_POLL_MS)
-
-    def choose(self, request: ClientRequest) -> str | None:
-        """Return a node that was not tried yet; None where there is none."""
-        now = self._loop.clock.now()
-        untried = [name for name in self._listed if name not in request.nodes_tried]
-        welcome = [name for name in untried if self._avoid_until.get((request.source, name), 0.0) <= now]
-        candidates = welcome or untried
-        if not candidates:
-            return None
-        weights = [max(WEIGHT_MIN, self._weights.get(name, 1.0)) for name in candidates]
-        return self._generator.choices(candidates, weights)[0]
-
-    def set_weight(self, node: str, weight: float) -> None:
-        """Set the weight that a node reported."""
-        self._weights[node] = weight
-
-    def avoid(self, source: str, node: str, for_ms: float) -> None:
-        """Let a balancer prefer other nodes for so long."""
-        self._avoid_until[source, node] = self._loop.clock.now() + for_ms
 
 
 class Balancers:
@@ -109,7 +59,7 @@
         self._sources = [f"{plan.source_network}.{number + 2}" for number in range(BALANCERS)]
         self._own_loads = self._create_loads(plan.own_balancer)
         self._foreign_loads = self._create_loads(plan.foreign_balancer)
-        self._router = Router(loop, plan, self._generator)
+        self._router = NodeRouter(loop, plan, self._generator)
         self._accounts = Accounts(plan)
         self._attempts: dict[SentRequest, Attempt] = {}  # without an answer yet
 
@@ -191,14 +141,14 @@
         """Send an attempt; return False where the node takes no connection."""
         load = (self._foreign_loads if request.foreign else self._own_loads)[node]
         try:
-            asked = load.send(request.source, request.request_class.name, request.key, left_ms)
+            sent = load.send(request.source, request.request_class.name, request.key, left_ms)
         except OSError:
             load.sent_requests.pop()
             return False
         load.sent_requests.clear()  # the accounts have it
         if request.key:
             request.sticky_node = node
-        self._attempts[asked] = Attempt(request, node, asked.sent_ms + left_ms)
+        self._attempts[sent] = Attempt(request, node, sent.sent_ms + left_ms)
         self._accounts.counts["tries"] += 1
         return True
 
@@ -210,22 +160,22 @@
 
     # Answers of the nodes.
 
-    def _take_answer(self, node: str, asked: SentRequest, outcome: str, message: Any, /) -> None:
+    def _take_answer(self, node: str, sent: SentRequest, outcome: str, message: Any, /) -> None:
         """Take an answer, or the loss of a connection, for one attempt."""
-        if len(asked.answers) > 1:
+        if len(sent.answers) > 1:
             self._accounts.counts["answered twice"] += 1
             return
-        attempt = self._attempts.pop(asked, None)
+        attempt = self._attempts.pop(sent, None)
         if attempt is None:
             return
         request = attempt.request
         now = self._loop.clock.now()
         if outcome == CONNECTION_LOST:
-            self._accounts.connections_lost.append(Unanswered(node, asked.sent_ms, now))
+            self._accounts.connections_lost.append(Unanswered(node, sent.sent_ms, now))
             self._retry_lost(request, node)
             return
         self._accounts.counts[outcome] += 1
-        self._accounts.counts["late"] += self._accounts.is_late(attempt, asked.sent_ms, now)
+        self._accounts.counts["late"] += self._accounts.is_late(attempt, sent.sent_ms, now)
         fields = message[2][1] if message[2] else message[3][1]
         if "say" in fields:
             self._router.set_weight(node, float(fields["say"]))
@@ -265,8 +215,8 @@
         """Return the attempts whose answer has not come in time."""
         now = self._loop.clock.now()
         return [
-            Unanswered(attempt.node, asked.sent_ms, attempt.deadline_ms)
-            for asked, attempt in self._attempts.items()
+            Unanswered(attempt.node, sent.sent_ms, attempt.deadline_ms)
+            for sent, attempt in self._attempts.items()
             if now > attempt.deadline_ms + LATE_TOLERANCE_MS
         ]
 
--- a/emulators/soak.py
+++ b/emulators/soak.py
@@ -10,42 +10,21 @@
 import signal
 import sys
 import tempfile
-from collections import Counter
 from collections.abc import Callable
-from dataclasses import asdict, dataclass, field
+from dataclasses import asdict
 from functools import partial
 from pathlib import Path
 from typing import Any
 
 from emulators.node_under_faults import NodeUnderFaults
 from emulators.persistent_clients import ClientRequest, PersistentClients
-from emulators.request_protocol import KEYED_BODY_PREFIX, REJECTED
 from emulators.soak_plan import FaultKind, PlannedFault, SoakPlan, draw_plan
-from snowthread.admission.concurrency import CAPACITY_MARGIN_RATIO
+from emulators.soak_rules import SoakObservation, SoakResult, judge
 
-ANSWER_SLACK_MS = 110.0  # the settings' 60 ms and the protocol's 50 ms
-MACHINE_SLACK_MS = 100.0  # of the machine that plays: node, emulators and clients share it
-UNANSWERABLE_MS = 30.0  # before the kill: what is sent then no node can read and answer
 AFTER_KILL_MS = 300.0
 TERMINATION_GAP_MS = 150.0
 REPEAT_AFTER_MS = (100.0, 1500.0)
 MS_PER_S = 1000.0
-ERRORS_IN_LOG = ("Traceback", " failed\n", "ERROR", "CRITICAL")
-
-
-@dataclass(slots=True)
-class SoakResult:
-    """What came of one soak; ``broken`` names each rule that was broken, with its figures."""
-
-    seed: int
-    requests: int = 0
-    outcomes: dict[str, int] = field(default_factory=dict)
-    links: int = 0
-    peak_runs_per_core: float = 0.0
-    peak_of_survived: float = 0.0
-    calls_in_hand: float = 0.0
-    latest_ms: float = 0.0  # the latest answer after its due time
-    broken: list[str] = field(default_factory=list)
 
 
 class Soak:
@@ -87,7 +66,7 @@
                 loop.call_at(begin_ms + fault.at_ms, partial(self._apply[fault.kind], fault))
             self.node.run_for(plan.traffic_ms)
             self._terminate()
-            return self._judge()
+            return judge(self._observe())
         finally:
             self._clients.close_crowd()
             self.node.__exit__()
@@ -179,86 +158,21 @@
         self.node.signal(signal.SIGKILL)
         self.node.run_for(AFTER_KILL_MS)
 
-    # Rules.
-
-    def _judge(self) -> SoakResult:
+    def _observe(self) -> SoakObservation:
         node = self.node
-        requests = self._clients.requests
-        result = SoakResult(
-            seed=self.plan.seed,
-            requests=len(requests),
-            outcomes=dict(Counter(r.answers[0] if r.answers else "none" for r in requests)),
+        return SoakObservation(
+            plan=self.plan,
+            requests=self._clients.requests,
+            bodies_begun=node.runtime.bodies_begun,
+            runs_begun=node.runtime.runs_begun,
+            peak=node.runtime.peak,
             links=node.runtime.links,
-            peak_runs_per_core=round(node.runtime.peak.runs_per_core, 2),
-            peak_of_survived=round(node.runtime.peak.share_of_survived, 2),
-            calls_in_hand=round(node.database.peak_mean, 2),
-            latest_ms=round(max((r.lateness_ms for r in requests if r.answers), default=0.0), 1),
+            calls_in_hand=node.database.peak_mean,
+            killed_at_ms=self._killed_at_ms,
+            paused_ms=self._paused_ms,
+            log=node.log(),
+            exit_status=node.process.wait() if node.process is not None else None,
         )
-        for check in (self._check_answers, self._check_runs, self._check_load, self._check_process):
-            result.broken += check()
-        return result
-
-    def _check_answers(self) -> list[str]:
-        """Return how the rule was broken that each request read has one answer, in time."""
-        slack_ms = ANSWER_SLACK_MS + MACHINE_SLACK_MS + self._paused_ms
-        broken = []
-        for request in self._clients.requests:
-            sent = f"{request.class_name} {request.attempt_id} sent {self._before_kill(request.sent_ms)}"
-            due_ms = min(request.sent_ms + request.wait_ms + slack_ms, self._killed_at_ms)
-            if len(request.answers) > 1:
-                broken.append(f"{sent} was answered twice: {request.answers}")
-            elif request.lost_reason:
-                broken.append(f"{sent} lost: {request.lost_reason}")
-            elif request.answers and request.lateness_ms > slack_ms:
-                broken.append(f"{sent} answered {request.lateness_ms:.0f} ms after its due time")
-            elif not request.answers and request.is_owed and self._was_answerable(request, due_ms):
-                broken.append(f"{sent} has no answer")
-        return broken
-
-    def _was_answerable(self, request: ClientRequest, due_ms: float) -> bool:
-        return due_ms <= self._killed_at_ms and request.sent_ms < self._killed_at_ms - UNANSWERABLE_MS
-
-    def _before_kill(self, at_ms: float) -> str:
-        return f"{self._killed_at_ms - at_ms:.0f} ms before the kill"
-
-    def _check_runs(self) -> list[str]:
-        """Return which keys ran twice, and which attempts were rejected though they ran."""
-        runtime = self.node.runtime
-        scenario = self.plan.scenario
-        broken = [
-            f"key {body!r} ran {count} times"
-            for body, count in runtime.bodies_begun.items()
-            if body.startswith(KEYED_BODY_PREFIX) and count > 1
-        ]
-        broken += [
-            f"keyed attempt {request.attempt_id} was rejected and ran"
-            for request in self._clients.requests
-            if request.class_name in scenario.keyed_classes
-            and REJECTED in request.answers
-            and request.attempt_id in runtime.runs_begun
-        ]
-        return broken
-
-    def _check_load(self) -> list[str]:
-        """Return whether the machine or the database had more than they survive."""
-        broken = []
-        peak = self.node.runtime.peak
-        quota = self.plan.scenario.settings()["domain"]["calls_out"]
-        if peak.share_of_survived >= 1.0:
-            broken.append(f"the machine fell: {peak}")
-        elif peak.share_of_survived > CAPACITY_MARGIN_RATIO:
-            broken.append(f"the machine had more than the margin allows: {peak}")
-        if self.node.database.peak_mean > quota:
-            broken.append(f"{self.node.database.peak_mean:.2f} calls in hand, {quota} allowed")
-        return broken
-
-    def _check_process(self) -> list[str]:
-        process = self.node.process
-        log = self.node.log()
-        broken = [f"the log has {text!r}" for text in ERRORS_IN_LOG if text in log]
-        if process is not None and process.wait() not in (0, -signal.SIGKILL):
-            broken.append(f"the node exited with {process.returncode}")
-        return broken
 
 
 def play(seed: int) -> SoakResult:
--- a/tests/soak/test_soak_rules.py
+++ b/tests/soak/test_soak_rules.py
@@ -2,87 +2,96 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from pathlib import Path
+from dataclasses import replace
 
 import pytest
 
 from emulators.persistent_clients import CROSSING_MS, ClientRequest
 from emulators.request_protocol import KEYED_BODY_PREFIX, REJECTED, SERVED
-from emulators.soak import ANSWER_SLACK_MS, MACHINE_SLACK_MS, Soak
 from emulators.soak_plan import draw_plan
+from emulators.soak_rules import (
+    ANSWER_SLACK_MS,
+    MACHINE_SLACK_MS,
+    SoakObservation,
+    check_answers,
+    check_load,
+    check_process,
+    check_runs,
+    judge,
+)
 from emulators.strict_runtime import Peak
 
 KILLED_AT_MS = 100_000.0
+WAIT_MS = 1000.0
+QUIET = SoakObservation(draw_plan(1), killed_at_ms=KILLED_AT_MS)
+"""A soak whose node has served nothing."""
 
 
-@pytest.fixture(scope="module")
-def soak(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Soak]:
-    """Yield a soak whose node has served nothing yet."""
-    soak = Soak(Path(tmp_path_factory.mktemp("soak")), draw_plan(1))
-    soak._killed_at_ms = KILLED_AT_MS
-    yield soak
-    soak.node.__exit__()
+def answered(*answers: str, after_ms: float = 10.0) -> ClientRequest:
+    """Return a request with these answers, sent well before the kill."""
+    request = ClientRequest("dispense", "k1", WAIT_MS, attempt_id="a1", sent_ms=KILLED_AT_MS - 5000.0)
+    request.answers = list(answers)
+    request.answered_ms = request.sent_ms + after_ms
+    return request
 
 
-def request(soak: Soak, *answers: str, answered_after_ms: float = 10.0) -> ClientRequest:
-    """Return a request sent well before the kill, the only one of the soak."""
-    found = ClientRequest("dispense", "k1", 1000.0, attempt_id="a1", sent_ms=KILLED_AT_MS - 5000.0)
-    found.answers = list(answers)
-    found.answered_ms = found.sent_ms + answered_after_ms
-    soak._clients.requests[:] = [found]
-    return found
+def soak_of(request: ClientRequest) -> SoakObservation:
+    """Return a soak with one request."""
+    return replace(QUIET, requests=[request])
 
 
-def test_one_answer_in_time_breaks_no_rule(soak: Soak) -> None:
-    request(soak, SERVED)
-    assert soak._check_answers() == [] and soak._check_runs() == [] and soak._check_load() == []
+def test_one_answer_in_time_breaks_no_rule() -> None:
+    soak = soak_of(answered(SERVED))
+    assert check_answers(soak) == [] and check_runs(soak) == [] and check_load(soak) == []
+    assert judge(soak).broken == []
 
 
-def test_missing_answer_is_reported(soak: Soak) -> None:
-    request(soak)
-    assert "no answer" in soak._check_answers()[0]
+def test_missing_answer_is_reported() -> None:
+    assert "no answer" in check_answers(soak_of(answered()))[0]
 
 
-def test_answer_that_is_not_owed_may_be_missing(soak: Soak) -> None:
-    request(soak).is_owed = False
-    assert soak._check_answers() == []
+def test_answer_that_is_not_owed_may_be_missing() -> None:
+    request = answered()
+    request.is_owed = False
+    assert check_answers(soak_of(request)) == []
 
 
-def test_second_answer_is_reported(soak: Soak) -> None:
-    request(soak, SERVED, SERVED)
-    assert "twice" in soak._check_answers()[0]
+def test_second_answer_is_reported() -> None:
+    assert "twice" in check_answers(soak_of(answered(SERVED, SERVED)))[0]
 
 
-def test_late_answer_is_reported(soak: Soak) -> None:
-    late_ms = 1000.0 + ANSWER_SLACK_MS + MACHINE_SLACK_MS + 1.0
-    request(soak, SERVED, answered_after_ms=late_ms)
-    assert "after its due time" in soak._check_answers()[0]
+def test_late_answer_is_reported() -> None:
+    late_ms = WAIT_MS + ANSWER_SLACK_MS + MACHINE_SLACK_MS + 1.0
+    assert "after its due time" in check_answers(soak_of(answered(SERVED, after_ms=late_ms)))[0]
 
 
-def test_request_whose_connection_ended_is_reported(soak: Soak) -> None:
-    request(soak).lost_reason = f"connection ended {CROSSING_MS + 1.0} ms after it was sent"
-    assert "lost" in soak._check_answers()[0]
+def test_request_whose_connection_ended_is_reported() -> None:
+    request = answered()
+    request.lost_reason = f"connection ended {CROSSING_MS + 1.0} ms after it was sent"
+    assert "lost" in check_answers(soak_of(request))[0]
 
 
-def test_key_that_ran_twice_is_reported(soak: Soak) -> None:
-    request(soak, SERVED)
-    soak.node.runtime.bodies_begun[KEYED_BODY_PREFIX + b"k1"] = 2
-    assert "ran 2 times" in soak._check_runs()[0]
-    soak.node.runtime.bodies_begun.clear()
+def test_key_that_ran_twice_is_reported() -> None:
+    soak = replace(soak_of(answered(SERVED)), bodies_begun={KEYED_BODY_PREFIX + b"k1": 2})
+    assert "ran 2 times" in check_runs(soak)[0]
 
 
-def test_rejection_of_what_ran_is_reported(soak: Soak) -> None:
-    request(soak, REJECTED)
-    soak.node.runtime.runs_begun["a1"] = 1
-    assert "was rejected and ran" in soak._check_runs()[0]
-    soak.node.runtime.runs_begun.clear()
+def test_rejection_of_what_ran_is_reported() -> None:
+    soak = replace(soak_of(answered(REJECTED)), runs_begun={"a1": 1})
+    assert "was rejected and ran" in check_runs(soak)[0]
 
 
-def test_machine_and_database_with_more_than_they_survive_are_reported(soak: Soak) -> None:
-    soak.node.runtime.peak = Peak(5.0, 1.0, 1.0)
-    soak.node.database.peak_mean = 100.0
-    broken = " ".join(soak._check_load())
+def test_machine_and_database_with_more_than_they_survive_are_reported() -> None:
+    broken = " ".join(check_load(replace(QUIET, peak=Peak(5.0, 1.0, 1.0), calls_in_hand=100.0)))
     assert "machine fell" in broken and "calls in hand" in broken
-    soak.node.runtime.peak = Peak()
-    soak.node.database.peak_mean = 0.0
+
+
+@pytest.mark.parametrize(
+    ("soak", "broken"),
+    [
+        (replace(QUIET, log="ERROR: x"), "the log has 'ERROR'"),
+        (replace(QUIET, exit_status=1), "the node exited with 1"),
+    ],
+)
+def test_error_in_the_log_and_exit_with_an_error_are_reported(soak: SoakObservation, broken: str) -> None:
+    assert judge(soak).broken == check_process(soak) == [broken]
