--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -109,7 +109,7 @@
                 load.loop.call_at(at_ms, partial(setup.command_directory, command))
         load.run(random.Random(seed), LOAD_SHARE * CORES * MS_PER_S / RUN_MS, seconds)
         load.close()
-        served = sum(asked.answers[0][1] == SERVED for asked in load.sent_requests if asked.answers)
+        served = sum(sent.answers[0].outcome == SERVED for sent in load.sent_requests if sent.answers)
         return {
             "served": served / len(load.sent_requests),
             "worst_second": min(served_by_second(load.sent_requests)),
@@ -130,11 +130,11 @@
             began = load.loop.clock.now()
             setup.command_directory("suspend Pigment")
             while load.loop.clock.now() < began + 5_000.0:
-                asked = load.send("127.0.4.9")
-                while not asked.answers and load.loop.clock.now() < asked.sent_ms + 1000.0:
+                request = load.send("127.0.4.9")
+                while not request.answers and load.loop.clock.now() < request.sent_ms + 1000.0:
                     load.loop.run_once(0.001)
-                if asked.answers and asked.answers[0][1] == REJECTED:
-                    delays_ms.append(asked.sent_ms - began)
+                if request.answers and request.answers[0].outcome == REJECTED:
+                    delays_ms.append(request.sent_ms - began)
                     break
         load.close()
     return {
--- a/snowthread/lab/__init__.py
+++ b/snowthread/lab/__init__.py
@@ -2,7 +2,7 @@
 
 Pure parts: ``scenario`` is the model of a scenario, ``scenario_file`` reads one from HCL and draws its timed
 steps, ``deployment`` turns it into configurations; ``faults`` says what a link does to the bytes that cross
-it; ``summary`` sums up a run and ``report`` renders it.
+it; ``summary`` sums up a run, with ``service_recovery`` and ``record_summary``, and ``report`` renders it.
 
 Parts that act: ``address_reservation`` gives each program its addresses, ``processes`` starts and stops nodes
 and emulators (both also for the demo), ``cores`` distributes the processor cores and ``process_usage`` reads
--- a/snowthread/lab/runner.py
+++ b/snowthread/lab/runner.py
@@ -14,8 +14,9 @@
 from snowthread.lab.cores import CoreAllocation
 from snowthread.lab.fleet import LOOP_STEP_S, Fleet
 from snowthread.lab.process_usage import cpu_seconds
+from snowthread.lab.record_summary import summarize_records
 from snowthread.lab.scenario import Scenario, plan_lines
-from snowthread.lab.summary import summarize, summarize_records
+from snowthread.lab.summary import summarize
 from snowthread.lab.timeline import Timeline
 from snowthread.net.clock import Clock
 from snowthread.net.loop import EventLoop
--- a/snowthread/lab/summary.py
+++ b/snowthread/lab/summary.py
@@ -1,102 +1,24 @@
 """Sum up a run of the lab as one JSON object. Pure.
 
 Service is the value of the answers given over the value asked for, by the second in which requests were
-sent. The baseline is its mean from the third second to the first fault. Service is fully recovered in the
-first second from which three smoothed seconds (each the mean of three) in a row reach 95 % of the baseline. A
-second dip is a later smoothed second below 90 %.
+sent. The baseline is its mean from the third second to the first fault.
 
 The keys of the objects read and returned here are read by ``benchmarks/recovery.py`` and in ``docs/lab.md``.
 """
 
 from __future__ import annotations
 
-from collections import Counter
-from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
-from typing import Any, NamedTuple
+from typing import Any
 
 from snowthread.lab.deployment import DATABASE_CALLS_PER_SLOT_MAX
 from snowthread.lab.scenario import Action, Scenario
-from snowthread.records.model import Record
+from snowthread.lab.service_recovery import Recovery, measure_recovery
 
-FULL_SERVICE_SHARE = 0.95  # of the baseline
-DIP_SHARE = 0.9  # of the baseline
-FULL_SERVICE_SECONDS = 3  # in a row
 SETTLING_SECONDS = 2  # at the start of a run: not part of the baseline
 MIN_VALUE_ASKED = 1e-9  # where nothing was asked, the baseline is 0
 MS_PER_S = 1000.0
-STALE_AFTER_OBJECTIVES = 2.0  # age of a run time, in latency objectives, from which it counts as stale
-STALE_TOLERANCE_S = 0.25  # the nodes check the age this often
 NODE_FAULTS = frozenset({Action.KILL, Action.TERM, Action.STOP})
-# Log events of the recovery feature in the nodes' records; earlier versions wrote the second prefix.
-RECOVERY_EVENT_PREFIXES = ("recovery.", "comeback.")
-SNAPSHOT_WRITE_EVENTS = frozenset({"write", "write_failed"})  # these say nothing about a start
-START_FINDING_KEYS = {"key_log": "ring", "incarnation": "life", "registry": "roster"}  # event to summary key
-
-
-class Recovery(NamedTuple):
-    """How service came back after a fault."""
-
-    full_service_s: float | None  # from the fault; None: not within the run
-    second_dips: int
-
-
-def smooth(values: Sequence[float]) -> list[float]:
-    """Return the mean of each value and its neighbours."""
-    windows = [values[max(0, index - 1) : index + 2] for index in range(len(values))]
-    return [sum(window) / len(window) for window in windows]
-
-
-def measure_recovery(service: Sequence[float], fault_s: float, baseline: float) -> Recovery:
-    """Return when service, given by second, reached the baseline again after a fault, and its later dips."""
-    smoothed = smooth(service)
-    for second in range(int(fault_s) + 1, len(smoothed) - FULL_SERVICE_SECONDS + 1):
-        end = second + FULL_SERVICE_SECONDS
-        if all(value >= FULL_SERVICE_SHARE * baseline for value in smoothed[second:end]):
-            dips = sum(value < DIP_SHARE * baseline for value in smoothed[end:])
-            return Recovery(max(0.0, second - fault_s), dips)
-    return Recovery(None, 0)
-
-
-def summarize_records(records: Iterable[Record]) -> dict[str, Any]:
-    """Return the decisions made on stale state, and what each start of a node found and trusted.
-
-    A request counts as decided on stale state where it was read in a second at whose end the run times of its
-    class had not been confirmed for more than ``STALE_AFTER_OBJECTIVES``.
-    """
-    objectives_s: dict[str, float] = {}
-    stale = 0
-    decisions = 0
-    starts: Counter[str] = Counter()
-    for record in records:
-        fields = record.fields
-        if record.kind == "start":
-            objectives_s |= {name: objective_ms / MS_PER_S for name, objective_ms, _ in fields["classes"]}
-        elif record.kind == "note":
-            if found := _start_finding(fields):
-                starts[found] += 1
-        elif record.kind == "second":
-            ages_s = fields.get("run_ages_s", {})
-            for name, _, counts in fields["totals"]:
-                read = counts.get("read", 0)
-                decisions += read
-                limit_s = STALE_AFTER_OBJECTIVES * objectives_s.get(name, float("inf")) + STALE_TOLERANCE_S
-                if ages_s.get(name, 0.0) > limit_s:
-                    stale += read
-    return {"stale_decisions": stale, "decisions": decisions, "starts": dict(starts)}
-
-
-def _start_finding(fields: dict[str, Any]) -> str:
-    """Return what a note of the recovery feature says about a start; empty for other notes."""
-    event = str(fields.get("event", ""))
-    for prefix in RECOVERY_EVENT_PREFIXES:
-        if event.startswith(prefix):
-            name = event.removeprefix(prefix)
-            name = START_FINDING_KEYS.get(name, name)
-            if "verdict" in fields:
-                return f"{name} {fields['verdict']}"
-            return "" if name in SNAPSHOT_WRITE_EVENTS else name
-    return ""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/lab/test_summary.py
+++ b/tests/lab/test_summary.py
@@ -8,7 +8,8 @@
 import pytest
 
 from snowthread.lab import state_damage
-from snowthread.lab.summary import Recovery, measure_recovery, smooth, summarize_records
+from snowthread.lab.record_summary import summarize_records
+from snowthread.lab.service_recovery import Recovery, measure_recovery, smooth
 from snowthread.records.model import Record
 
 
