--- a/snowthread/recovery/storage.py
+++ b/snowthread/recovery/storage.py
@@ -3,7 +3,7 @@
 Write order: the bytes go to a temporary file in the same folder, are fsynced, renamed over the file, and the
 folder is fsynced. A crash before the rename leaves the old file; after it, the new one. A file system that
 loses the rename's order may leave a torn file, which the digest of :mod:`snapshot` and the checksums of
-:mod:`key_log` find. A write that fails is returned as a :class:`StorageError`, nothing is raised; reading a
+:mod:`key_log` find. A write that fails is returned as a :class:`StorageFailure`, nothing is raised; reading a
 file that is missing gives empty bytes.
 """
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StorageError:
+class StorageFailure:
     """Why a file was not written: the step that failed, and the system's reason."""
 
     step: StorageStep
@@ -56,10 +56,10 @@
 
     found: KeyLogContents
     key_log: KeyLog | None = None
-    error: StorageError | None = None
+    error: StorageFailure | None = None
 
 
-def write(folder: Path, data: bytes, name: str = SNAPSHOT_FILE, sync: bool = True) -> StorageError | None:
+def write(folder: Path, data: bytes, name: str = SNAPSHOT_FILE, sync: bool = True) -> StorageFailure | None:
     """Write a file atomically; return None once it is in place, else the error.
 
     Without ``sync`` the file outlives the process but may not outlive a power failure, and the caller does
@@ -83,7 +83,7 @@
         if sync:
             _fsync_folder(folder)
     except OSError as error:
-        return StorageError(step, error.strerror or str(error))
+        return StorageFailure(step, error.strerror or str(error))
     return None
 
 
@@ -101,7 +101,7 @@
         os.close(descriptor)
 
 
-def warn_if_failed(error: StorageError | None) -> None:
+def warn_if_failed(error: StorageFailure | None) -> None:
     """Log a failed write of state that the node can do without."""
     if error is not None:
         logger.bind(event="recovery.write_failed").warning("state not written: {}", error)
@@ -124,7 +124,7 @@
         return 0
 
 
-def write_incarnation(folder: Path, number: int) -> StorageError | None:
+def write_incarnation(folder: Path, number: int) -> StorageFailure | None:
     """Write an incarnation; return None or the error. The registry knows it too, so a start goes on."""
     return write(folder, b"%d\n" % number, INCARNATION_FILE)
 
@@ -134,7 +134,7 @@
     return key_log.read_key_log(read(folder, KEY_LOG_FILE, key_log.key_log_size(key_log.MAX_SLOTS) + 1))
 
 
-def create_key_log(folder: Path) -> StorageError | None:
+def create_key_log(folder: Path) -> StorageFailure | None:
     """Write an empty key log; return None or the error.
 
     It is the operator's statement that no earlier incarnation of this node ran requests with keys.
@@ -160,5 +160,5 @@
         finally:
             os.close(descriptor)
     except (OSError, ValueError) as failure:
-        return OpenedKeyLog(found, error=StorageError(StorageStep.MAP, str(failure)))
+        return OpenedKeyLog(found, error=StorageFailure(StorageStep.MAP, str(failure)))
     return OpenedKeyLog(found, KeyLog(memoryview(mapped), found.sequence))
--- a/tests/recovery/test_key_log.py
+++ b/tests/recovery/test_key_log.py
@@ -83,7 +83,7 @@
 def test_missing_folder_gives_an_error_and_no_key_log(tmp_path: Path) -> None:
     opened = storage.open_key_log(tmp_path / "gone", NOW)
     assert opened.key_log is None
-    assert opened.error == storage.StorageError(storage.StorageStep.OPEN, "No such file or directory")
+    assert opened.error == storage.StorageFailure(storage.StorageStep.OPEN, "No such file or directory")
     assert str(opened.error) == "open: No such file or directory"
 
 
--- a/tests/recovery/test_snapshot.py
+++ b/tests/recovery/test_snapshot.py
@@ -75,17 +75,20 @@
     assert verdict_of(b"") is SnapshotVerdict.MISSING
 
 
-def test_invalid_body_is_foreign_even_with_a_right_digest() -> None:
-    for body in (
+@pytest.mark.parametrize(
+    "body",
+    [
         b"[]",
         b'{"read_per_s": 0}',
         b"\xff",
         b'{"core_s":{"a":-1},"wall_s":{},"call_s":{},"read_per_s":1}',
         b'{"core_s":{},"wall_s":{},"call_s":{},"read_per_s":true}',
-    ):
-        head = HEADER.pack(b"STWS", 2, 7, 3, NOW, len(body))
-        data = head + body + hashlib.blake2b(head + body, digest_size=16).digest()
-        assert verdict_of(data) is SnapshotVerdict.FOREIGN, body
+    ],
+)
+def test_invalid_body_is_foreign_even_with_a_right_digest(body: bytes) -> None:
+    head = HEADER.pack(b"STWS", 2, 7, 3, NOW, len(body))
+    data = head + body + hashlib.blake2b(head + body, digest_size=16).digest()
+    assert verdict_of(data) is SnapshotVerdict.FOREIGN
 
 
 def test_written_snapshot_is_read_back_and_a_crash_before_the_rename_leaves_the_old_one(
