--- a/snowthread/operator/features.py
+++ b/snowthread/operator/features.py
@@ -82,9 +82,9 @@
 def _read_recovery(block: hcl.Block | None) -> RecoverySettings | None:
     if block is None:
         return None
-    from snowthread.recovery.settings import read
+    from snowthread.recovery.settings import read_recovery_settings
 
-    return read(block)
+    return read_recovery_settings(block)
 
 
 def _read_site(block: hcl.Block | None) -> SiteSettings | None:
--- a/snowthread/recovery/settings.py
+++ b/snowthread/recovery/settings.py
@@ -26,7 +26,7 @@
         )
 
 
-def read(block: Block) -> RecoverySettings:
+def read_recovery_settings(block: Block) -> RecoverySettings:
     """Check the block ``comeback``; ConfigError names the key that cannot be used."""
     settings = RecoverySettings(
         folder=Path(block.text("folder")),
