--- a/emulators/directory/connection.py
+++ b/emulators/directory/connection.py
@@ -89,7 +89,7 @@
                 self._closing = True
             elif next_step is NextStep.START_TLS:
                 yield from self._link.handshake()
-                self._received.clear()  # clear text behind the StartTLS request belongs to nobody
+                self._received.clear()  # clear text after the StartTLS request is no part of the session
                 yield from self._receive(b"")
                 return
         if len(self._received) > MAX_REQUEST_BYTES:
--- a/snowthread/ldap/circuit_breaker.py
+++ b/snowthread/ldap/circuit_breaker.py
@@ -31,7 +31,7 @@
     failures: int = 0  # in a row
     consecutive_opens: int = 0
     open_until_ms: float = -math.inf
-    probing: bool = False  # the one attempt of the half-open state is under way
+    probing: bool = False  # the one attempt of the half-open state is in flight
 
     def state(self, now: float) -> CircuitState:
         """Return the present state."""
@@ -57,7 +57,7 @@
     def record_failure(self, now: float, open_at_once: bool = False) -> bool:
         """Record a failed attempt and return whether the circuit opens by it.
 
-        ``open_at_once`` is for failures that a retry can't mend.
+        ``open_at_once`` is for failures that a retry can't repair.
         """
         self.failures += 1
         if not (self.probing or open_at_once or self.failures >= self.policy.failures_to_open):
--- a/snowthread/ldap/dn.py
+++ b/snowthread/ldap/dn.py
@@ -15,6 +15,8 @@
 from lark import Lark, Token, Tree
 from lark.exceptions import UnexpectedInput
 
+from snowthread.ldap.text_errors import DnError
+
 MAX_TEXT_LENGTH = 4096
 
 _GRAMMAR = r"""
@@ -28,10 +30,6 @@
 _SPACES = re.compile(r"\s+")
 
 
-class DnError(ValueError):
-    """A text is no distinguished name."""
-
-
 class _Attribute(NamedTuple):
     """One attribute of a part of a name."""
 
@@ -89,7 +87,7 @@
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
-        raise DnError(f"can't be read at character {error.column}") from None
+        raise DnError("can't be read", error.column) from None
     return DistinguishedName(
         tuple(
             frozenset(_read_attribute(part) for part in rdn.children if isinstance(part, Tree))
--- a/snowthread/ldap/filters.py
+++ b/snowthread/ldap/filters.py
@@ -11,6 +11,7 @@
 from lark.exceptions import LarkError, UnexpectedInput, VisitError
 
 from snowthread.ldap.messages import FilterTree
+from snowthread.ldap.text_errors import FilterError
 
 MAX_TEXT_LENGTH = 16 * 1024
 MAX_DEPTH = 16
@@ -33,10 +34,6 @@
 _KIND = {"~=": "approxMatch", ">=": "greaterOrEqual", "<=": "lessOrEqual", "=": "equalityMatch"}
 
 
-class FilterError(ValueError):
-    """A text is no filter."""
-
-
 def parse(text: str) -> FilterTree:
     """Return the tree of a filter.
 
@@ -50,7 +47,7 @@
     try:
         tree: FilterTree = _FilterBuilder().transform(_parser().parse(text))
     except UnexpectedInput as error:
-        raise FilterError(f"can't be read at character {error.column}") from None
+        raise FilterError("can't be read", error.column) from None
     except VisitError as error:
         raise FilterError(str(error.orig_exc)) from None
     except LarkError as error:
--- a/snowthread/ldap/health.py
+++ b/snowthread/ldap/health.py
@@ -24,7 +24,7 @@
     REDUCE_PAGE_SIZE = "reduce_page_size"  # ask for less at a time
     FULL_REFRESH = "full_refresh"  # the cookie is of no use (RFC 4533, section 3.8)
     FALL_BACK = "fall_back"  # this server lacks what was asked for: use the next replication mode
-    NEEDS_OPERATOR = "needs_operator"  # retries can't mend it: open the circuit, use another server
+    NEEDS_OPERATOR = "needs_operator"  # retries can't repair it: open the circuit, use another server
 
 
 _REACTIONS: dict[int, Reaction] = {
--- a/snowthread/ldap/url.py
+++ b/snowthread/ldap/url.py
@@ -9,16 +9,13 @@
 from snowthread.address import Address
 from snowthread.ldap import dn, filters
 from snowthread.ldap.messages import Scope
+from snowthread.ldap.text_errors import UrlError
 
 PORTS = {"ldap": 389, "ldaps": 636}
 MAX_QUERY_PARTS = 4  # attributes, scope, filter, extensions (RFC 4516, section 2)
 _SCOPES = {"": None, "base": Scope.BASE, "one": Scope.ONE, "sub": Scope.SUB}
 
 
-class UrlError(ValueError):
-    """A text is no LDAP URL that can be used here."""
-
-
 @dataclass(frozen=True, slots=True)
 class LdapUrl:
     """One URL; ``scheme`` is ldap or ldaps, ``scope`` and ``filter`` are None if it names none."""
@@ -73,7 +70,7 @@
         dn.parse(base)
         if query.filter:
             filters.parse(query.filter)
-    except ValueError as error:
+    except ValueError as error:  # a lone surrogate is one without being an LdapTextError
         raise UrlError(f"{text!r}: {error}") from None
     return LdapUrl(
         split.scheme,
--- a/snowthread/records/observer.py
+++ b/snowthread/records/observer.py
@@ -36,7 +36,7 @@
         self._by_attempt: dict[str, OpenRequest] = {}
         self._second = Second(now)
         self._runtime_connected = False
-        self._run_classes: dict[str, str] = {}  # by attempt id; its caller may be gone already
+        self._run_classes: dict[str, str] = {}  # by attempt id; its request may be answered already
         self._just_received: OpenRequest | None = None  # by the event that is being observed
         self._event_handlers: dict[type, Callable[[Any, float], RecordDraft | None]] = {}
         self._effect_handlers: dict[type, Callable[[Any, State, float], RecordDraft | None]] = {}
--- a/snowthread/records/reader.py
+++ b/snowthread/records/reader.py
@@ -113,7 +113,7 @@
     """Yield the records of all files and folders, each once, by time as their nodes' clocks have it.
 
     A node whose clock steps back stays in the order of its numbers: until its clock has caught up, its
-    records come as of the latest time it has shown. What is wrong is added to ``findings`` on the way.
+    records come as of the latest time it has shown. What is wrong is added to ``findings``.
     """
     progress: dict[BootId, _BootProgress] = {}
     streams = [_read_chain(chain, findings) for chain in _chains(find_files(places))]
--- a/snowthread/records/writer_link.py
+++ b/snowthread/records/writer_link.py
@@ -28,7 +28,7 @@
                 self._socket.send(batch)
             except (BlockingIOError, TimeoutError):
                 return False
-            except OSError as error:  # nothing is recorded any more, but the node goes on
+            except OSError as error:  # nothing is recorded any more, but the node continues
                 self._close_socket()
                 logger.error("records: the writer has ended: {}", error)
                 return True
--- a/snowthread/tenants/directory_session.py
+++ b/snowthread/tenants/directory_session.py
@@ -189,7 +189,7 @@
         return None
 
     def _restart_search(self, ended: SearchEnded, now: float) -> ConnectionFailure | None:
-        """Search again in another way, if that is what the end of the search asks for."""
+        """Search again, in another mode or from another cookie, if the end of the search asks for that."""
         self._search_restarts += 1
         if ended.reaction not in RESTART_REACTIONS or self._search_restarts > MAX_SEARCH_RESTARTS:
             return ConnectionFailure(Progress.REPLY_BEGUN, ended.reason, ended.reaction)
--- a/snowthread/tenants/refresh_application.py
+++ b/snowthread/tenants/refresh_application.py
@@ -18,7 +18,8 @@
 ) -> Generator[Wait, int, TenantChanges]:
     """Apply a refresh, with a turn for other tasks after each slice, and return what it changed.
 
-    If the task ends half way, the cookie is forgotten: it would say that the refresh is known.
+    If the task ends before the last slice, the cookie is forgotten: the next refresh would otherwise skip
+    what this one has not applied.
     """
     slices = context.tenants.apply_refresh_in_slices(refresh, server, now)
     changes: TenantChanges | None = None
--- a/snowthread/tenants/refresh_collector.py
+++ b/snowthread/tenants/refresh_collector.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class RefreshCollector:
-    """Collects the messages of one refresh; ``is_full`` if its end implies that all else is gone."""
+    """Collects the messages of one refresh; ``is_full`` if all entries that it does not name are deleted."""
 
     is_full: bool = True
     upserts: dict[str, Tenant] = field(default_factory=dict)
--- a/snowthread/tenants/snapshot.py
+++ b/snowthread/tenants/snapshot.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The tenants, when the directory last confirmed them, and from where the synchronisation goes on."""
+    """The tenants, when the directory last confirmed them, and from where the synchronisation continues."""
 
     tenants: tuple[Tenant, ...]
     confirmed_at: float  # milliseconds
--- a/snowthread/tenants/snapshot_schedule.py
+++ b/snowthread/tenants/snapshot_schedule.py
@@ -40,7 +40,7 @@
         self._last_version = 0  # of the table
 
     def start(self, sync: DirectorySync) -> None:
-        """Restore the snapshot, with the cookie from which ``sync`` goes on, and write others from now on."""
+        """Restore the snapshot, and the cookie from which ``sync`` continues; write snapshots from now on."""
         self._sync = sync
         path = self._settings.snapshot_path
         if path is not None:
--- a/snowthread/tenants/snapshot_writer.py
+++ b/snowthread/tenants/snapshot_writer.py
@@ -51,7 +51,7 @@
             return
         exit_code = FAILED_WITHOUT_ERRNO
         try:
-            # A disk that hangs must not keep the node's sockets bound after the node is gone.
+            # A disk that hangs must not leave the node's sockets bound after the node has exited.
             os.closerange(FIRST_CLOSED_DESCRIPTOR, CLOSED_DESCRIPTORS_END)
             write(self.path, encode(Snapshot(tuple(tenants), confirmed_at, source, source_server, cookie)))
             exit_code = 0
@@ -61,7 +61,7 @@
             os._exit(min(exit_code, MAX_EXIT_CODE))  # neither the parent's exit handlers nor its loop may run
 
     def poll(self) -> WriteResult | None:
-        """Return how the last write ended, once; None if it goes on or none was started."""
+        """Return how the last write ended, once; None while it runs or if none was started."""
         if self._child_pid == NO_CHILD:
             return None
         try:
--- a/snowthread/tenants/sync_events.py
+++ b/snowthread/tenants/sync_events.py
@@ -15,8 +15,8 @@
 class RefreshCompleted:
     """A refresh is complete.
 
-    If it ``is_full``, tenants that are neither in ``upserts`` nor in ``present_ids`` are gone; else only
-    those in ``removed_ids`` are.
+    If it ``is_full``, tenants that are neither in ``upserts`` nor in ``present_ids`` are deleted; else
+    only those in ``removed_ids`` are.
     """
 
     upserts: Mapping[str, Tenant]  # by tenant id
--- a/snowthread/tenants/unknown_clients.py
+++ b/snowthread/tenants/unknown_clients.py
@@ -111,7 +111,7 @@
 
 
 def lookup_filter(address: str, attribute: str, rules: UnknownClientRules) -> FilterTree | None:
-    """Return the filter for tenants with a network round this address, or None if it is no address.
+    """Return the filter for tenants with a network around this address, or None if it is no address.
 
     It tests for each prefix length that operators use, since a directory compares networks as text.
     """
--- a/tests/ldap/test_ldap_texts.py
+++ b/tests/ldap/test_ldap_texts.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from snowthread.ldap import dn, filters, url
 from snowthread.ldap.messages import FilterTree, Scope
+from snowthread.ldap.text_errors import DnError, FilterError, LdapTextError, UrlError
 
 PLAIN_BASE = dn.parse("ou=tenants,dc=example")
 
@@ -60,10 +63,23 @@
     ],
 )
 def test_a_text_that_is_no_filter_is_an_error(text: str) -> None:
-    with pytest.raises(filters.FilterError):
+    with pytest.raises(FilterError):
         filters.parse(text)
 
 
+@pytest.mark.parametrize(
+    ("parse", "text", "column"),
+    [(filters.parse, "(cn=a))", 7), (dn.parse, "cn=a,,cn=b", 6), (dn.parse, "cn=" + "x" * 5000, None)],
+)
+def test_the_error_says_at_which_character_the_text_is_wrong(
+    parse: Callable[[str], object], text: str, column: int | None
+) -> None:
+    with pytest.raises(LdapTextError) as caught:
+        parse(text)
+    assert caught.value.column == column
+    assert str(caught.value).endswith(f"at character {column}") is (column is not None)
+
+
 @given(st.binary(max_size=20))
 def test_an_escaped_value_is_read_back(value: bytes) -> None:
     text = f"(cn={filters.escape(value)})"
@@ -98,7 +114,7 @@
 
 @pytest.mark.parametrize("text", ["cn", "=a", "cn=a,,cn=b", "cn=a\\", "cn=a;b", "cn=" + "x" * 5000])
 def test_a_text_that_is_no_name_is_an_error(text: str) -> None:
-    with pytest.raises(dn.DnError):
+    with pytest.raises(DnError):
         dn.parse(text)
 
 
@@ -122,10 +138,10 @@
     ],
 )
 def test_a_bad_url_is_an_error(text: str) -> None:
-    with pytest.raises(url.UrlError):
+    with pytest.raises(UrlError):
         url.parse(text)
 
 
 def test_the_host_of_a_url_must_be_a_number_to_connect_to() -> None:
-    with pytest.raises(url.UrlError, match="numeric"):
+    with pytest.raises(UrlError, match="numeric"):
         _ = url.parse("ldap://directory.example").address
