--- a/snowthread/tenants/__init__.py
+++ b/snowthread/tenants/__init__.py
@@ -3,7 +3,8 @@
 What a node knows:
 
 - ``model``: what a tenant is; ``entry``: how a directory entry describes one.
-- ``table``: which tenant owns a ``client_address`` or a balancer's number.
+- ``table``: which tenant owns a ``client_address`` or a balancer's number, with ``balancer_ranges`` and
+  ``conflicts``.
 - ``table_rebuild``: a new table, built in slices.
 - ``removal_guard``: which reported removals are applied at once, and which wait for a confirmation.
 - ``staleness``: how old the knowledge is and what that allows.
--- a/snowthread/tenants/changes.py
+++ b/snowthread/tenants/changes.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field
 
 from snowthread.admission import settings as admission_settings
+from snowthread.tenants.conflicts import Conflict
 from snowthread.tenants.entry import BadEntry
 from snowthread.tenants.model import Tenant, TenantStatus
 from snowthread.tenants.removal_guard import PendingRemoval
 from snowthread.tenants.staleness import StalenessStage
-from snowthread.tenants.table import Conflict
 
 TenantQuota = admission_settings.Tenant  # admission control knows a tenant by its quota alone
 
--- a/snowthread/tenants/table.py
+++ b/snowthread/tenants/table.py
@@ -8,37 +8,23 @@
 
 from __future__ import annotations
 
-import math
-from bisect import bisect_right, insort
+from bisect import insort
 from collections import OrderedDict
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import NamedTuple
 
 from pytricia import PyTricia
 
+from snowthread.tenants.balancer_ranges import BalancerRanges
 from snowthread.tenants.client_address import parse_client_address
+from snowthread.tenants.conflicts import Conflict, ConflictRegister
 from snowthread.tenants.model import UNKNOWN_IDENTITY, IdentifiedBy, Identity, Network, Tenant
 
 MAX_CACHED_IDENTITIES = 8192
-MAX_RECORDED_CONFLICTS = 1000
 ADDRESS_BITS = {4: 32, 6: 128}
 NO_NUMBER = -1
 
 
-@dataclass(frozen=True, slots=True)
-class Conflict:
-    """Two tenants claim the same network or number; ``owner`` has it."""
-
-    resource: str
-    owner: str
-    other_claimant: str
-
-    def describe(self) -> str:
-        """Return one line for the log."""
-        return f"{self.resource} is claimed by {self.owner}, who has it, and by {self.other_claimant}"
-
-
 @dataclass(slots=True)
 class TableChanges:
     """What one call changed in the table."""
@@ -51,14 +37,6 @@
         return bool(self.changed or self.removed)
 
 
-class _OwnedRange(NamedTuple):
-    """A range of balancers' numbers and the tenant that claims it; ordered by its first number."""
-
-    first: int
-    last: int
-    tenant_id: str
-
-
 class TenantTable:
     """All known tenants; ``version`` counts the changes."""
 
@@ -69,10 +47,9 @@
         self._claims: dict[str, list[str]] = {}  # network -> ids of the tenants that claim it, sorted
         self._owners = _new_tries()
         self._trusted = _new_tries()
-        self._ranges: list[_OwnedRange] = []  # sorted
-        self._widest_range = 0
+        self._ranges = BalancerRanges()
         self._cache: OrderedDict[tuple[str, int], Identity] = OrderedDict()
-        self._conflicts: dict[str, tuple[Conflict, ...]] = {}  # by resource
+        self._conflicts = ConflictRegister()
         self.trust_networks(trusted_networks)
 
     def trust_networks(self, networks: Iterable[Network]) -> None:
@@ -88,7 +65,7 @@
     @property
     def conflicts(self) -> list[Conflict]:
         """The present conflicts, as far as they are recorded."""
-        return [conflict for group in self._conflicts.values() for conflict in group]
+        return self._conflicts.present()
 
     def identify(self, address: str, number: int | None = None) -> Identity:
         """Return the tenant of a client.
@@ -110,7 +87,7 @@
             return UNKNOWN_IDENTITY
         text = str(ip)
         if number is not None and text in self._trusted[ip.version]:
-            owners = self._range_owners(number)
+            owners = self._ranges.owners(number)
             if owners:
                 return Identity(owners[0], IdentifiedBy.BALANCER)
         trie = self._owners[ip.version]
@@ -119,12 +96,6 @@
             return UNKNOWN_IDENTITY
         return Identity(trie[network], IdentifiedBy.NETWORK, network)
 
-    def _range_owners(self, number: int) -> list[str]:
-        """Return the tenants whose ranges contain the number, the least id first."""
-        end = bisect_right(self._ranges, (number, math.inf, ""))
-        start = bisect_right(self._ranges, (number - self._widest_range, -1, ""))
-        return sorted({owned.tenant_id for owned in self._ranges[start:end] if number <= owned.last})
-
     def apply(self, upserts: Iterable[Tenant], removed_ids: Iterable[str] = ()) -> TableChanges:
         """Remove tenants, then add and replace others, as one change of the table."""
         changes = TableChanges()
@@ -170,7 +141,7 @@
             self.network_count += 1
             self._owners[network.version][key] = claimants[0]
             if len(claimants) > 1:
-                self._review_claims(f"network {key}", claimants, changes)
+                changes.conflicts += self._conflicts.review(f"network {key}", claimants)
 
     def _release_networks(self, tenant: Tenant, networks: Iterable[Network], changes: TableChanges) -> None:
         for network in networks:
@@ -180,37 +151,24 @@
             self.network_count -= 1
             if claimants:
                 self._owners[network.version][key] = claimants[0]
-                self._review_claims(f"network {key}", claimants, changes)
+                changes.conflicts += self._conflicts.review(f"network {key}", claimants)
             else:
                 del self._claims[key]
                 self._owners[network.version].delete(key)
 
     def _add_ranges(self, tenant: Tenant, changes: TableChanges) -> None:
-        for first, last in tenant.balancers:
-            insort(self._ranges, _OwnedRange(first, last, tenant.id))
-            self._widest_range = max(self._widest_range, last - first)
+        self._ranges.add(tenant)
         self._review_range_ends(tenant, changes)
 
     def _remove_ranges(self, tenant: Tenant, changes: TableChanges) -> None:
-        if not tenant.balancers:
-            return
-        self._ranges = [owned for owned in self._ranges if owned.tenant_id != tenant.id]
-        self._widest_range = max((owned.last - owned.first for owned in self._ranges), default=0)
-        self._review_range_ends(tenant, changes)
+        if tenant.balancers:
+            self._ranges.remove(tenant.id)
+            self._review_range_ends(tenant, changes)
 
     def _review_range_ends(self, tenant: Tenant, changes: TableChanges) -> None:
         """Review the conflicts of overlapping ranges at the ends of the ranges that changed."""
         for number in {end for ends in tenant.balancers for end in ends}:
-            self._review_claims(f"balancer {number}", self._range_owners(number), changes)
-
-    def _review_claims(self, resource: str, claimants: list[str], changes: TableChanges) -> None:
-        """Record the present conflicts about a resource and report those that are new."""
-        old = self._conflicts.pop(resource, ())
-        new = tuple(Conflict(resource, claimants[0], other) for other in claimants[1:])
-        if new:
-            changes.conflicts += [conflict for conflict in new if conflict not in old]
-            if len(self._conflicts) < MAX_RECORDED_CONFLICTS:
-                self._conflicts[resource] = new
+            changes.conflicts += self._conflicts.review(f"balancer {number}", self._ranges.owners(number))
 
 
 def _new_tries() -> dict[int, PyTricia]:
--- a/tests/tenants/test_tenant_table.py
+++ b/tests/tenants/test_tenant_table.py
@@ -8,8 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from snowthread.tenants.conflicts import Conflict
 from snowthread.tenants.model import BalancerRange, IdentifiedBy, Tenant
-from snowthread.tenants.table import Conflict, TenantTable
+from snowthread.tenants.table import TenantTable
 
 
 def tenant(
@@ -58,7 +59,7 @@
     assert nested_networks.identify(address).tenant_id == owner
 
 
-def test_a_balancers_number_is_believed_from_trusted_networks_only() -> None:
+def test_a_balancers_number_counts_from_trusted_networks_only() -> None:
     table = TenantTable([ip_network("10.7.0.0/16")])
     table.apply(
         [tenant("a", "10.0.0.0/8"), tenant("b", balancers=(BalancerRange(3, 5), BalancerRange(100, 100)))]
