--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -26,10 +26,10 @@
 from benchmarks import rig
 from benchmarks.command import run_benchmark
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
+from snowthread.records.files import SUFFIX
 from snowthread.records.frame import encode
 from snowthread.records.model import Fields, Record, RecordKind
 from snowthread.records.reader import Findings, merge
-from snowthread.records.writer import SUFFIX
 
 SOURCES = [f"127.0.{number}.9" for number in range(5)]  # addresses of the load
 CORES = 64  # of the emulated runtime
--- a/emulators/recorded_incidents.py
+++ b/emulators/recorded_incidents.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import NamedTuple
 
+from snowthread.records.files import SUFFIX
 from snowthread.records.frame import encode
 from snowthread.records.model import Fields, Record, RecordKind
-from snowthread.records.writer import SUFFIX
 
 BEGIN_S = 1_800_000_000.0  # Unix time at which each day begins
 REQUESTS_PER_S = 40.0  # of one node
--- a/snowthread/records/__init__.py
+++ b/snowthread/records/__init__.py
@@ -11,7 +11,8 @@
 
 With I/O:
 
-- ``writer``: the child process that writes the files; ``writer_link``: the node's end of the socket to it.
+- ``files``: the files of one boot; ``writer``: the child process that writes them.
+- ``writer_link``: the node's end of the socket to that process.
 - ``recorder``: connects all of these to a node; ``settings``: the operator's block.
 - ``reader``: merges the files of any number of nodes in order of time; ``cli``: the command line.
 """
--- a/snowthread/records/reader.py
+++ b/snowthread/records/reader.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import ClassVar, NamedTuple
 
+from snowthread.records.files import SUFFIX
 from snowthread.records.frame import FrameReader, InvalidFrame
 from snowthread.records.model import BootId, Record, RecordKey
-from snowthread.records.writer import SUFFIX
 
 CHUNK_BYTES = 64 * 1024
 MAX_SEEN_RECORDS = 4096  # of a boot, whose copies are recognised
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -16,9 +16,9 @@
 from snowthread.console.screen import ViewOptions, render_text
 from snowthread.console.sorting import SortOrder
 from snowthread.console.tail import Tail
+from snowthread.records.files import SUFFIX
 from snowthread.records.frame import encode
 from snowthread.records.model import Record, RecordKind
-from snowthread.records.writer import SUFFIX
 
 ROOT = Path(__file__).parents[2]
 
--- a/tests/incident/test_incident_report.py
+++ b/tests/incident/test_incident_report.py
@@ -15,8 +15,8 @@
 from emulators.recorded_incidents import draw_troubles, record_day
 from snowthread.incident.episodes import INCIDENTS
 from snowthread.incident.report import Report
+from snowthread.records.files import SUFFIX
 from snowthread.records.reader import Findings, merge
-from snowthread.records.writer import SUFFIX
 
 ROOT = Path(__file__).parents[2]
 
--- a/tests/records/test_record_files.py
+++ b/tests/records/test_record_files.py
@@ -10,11 +10,11 @@
 import pytest
 from support.record_files import START_MS, note, write_records
 
+from snowthread.records.files import SUFFIX, RecordFiles
 from snowthread.records.frame import encode
 from snowthread.records.outbox import Outbox
 from snowthread.records.reader import Findings, merge
 from snowthread.records.retention import Retention, Segment, files_to_delete, is_full
-from snowthread.records.writer import SUFFIX, RecordFiles
 
 RETENTION = Retention(file_bytes=1000, file_ms=10_000.0, total_bytes=3000, max_age_ms=60_000.0)
 ANY_AGE_MS = 1e15  # of files: the times in these tests are not those of the file system
--- a/tests/records/test_record_reader.py
+++ b/tests/records/test_record_reader.py
@@ -7,8 +7,8 @@
 
 from support.record_files import START_MS, note, write_records
 
+from snowthread.records.files import SUFFIX
 from snowthread.records.reader import Findings, merge
-from snowthread.records.writer import SUFFIX
 
 
 def test_nodes_are_merged_by_time_copies_dropped_and_gaps_reported(tmp_path: Path) -> None:
--- a/tests/stored/test_stored_formats.py
+++ b/tests/stored/test_stored_formats.py
@@ -21,12 +21,12 @@
 from snowthread.core import events
 from snowthread.core.reducer import reduce
 from snowthread.core.state import AdmissionClock, State
+from snowthread.records.files import RecordFiles
 from snowthread.records.frame import FrameReader, InvalidFrame, encode
 from snowthread.records.model import KINDS, Fields, Record, Totals
 from snowthread.records.observer import Observer
 from snowthread.records.reader import Findings, Gap, merge
 from snowthread.records.retention import Retention
-from snowthread.records.writer import RecordFiles
 from snowthread.tenants import snapshot as tenant_disk
 from snowthread.tenants.model import BalancerRange, Tenant, TenantStatus
 
--- a/tests/support/record_files.py
+++ b/tests/support/record_files.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from pathlib import Path
 
+from snowthread.records.files import SUFFIX
 from snowthread.records.frame import encode
 from snowthread.records.model import Record, RecordKind
-from snowthread.records.writer import SUFFIX
 
 START_MS = 1_800_000_000_000.0
 
