--- a/snowthread/records/reader.py
+++ b/snowthread/records/reader.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import ClassVar, NamedTuple
 
+from snowthread.records.files import SUFFIX
 from snowthread.records.frame import FrameReader, InvalidFrame
 from snowthread.records.model import BootId, Record, RecordKey
-from snowthread.records.writer import SUFFIX
 
 CHUNK_BYTES = 64 * 1024
 MAX_SEEN_RECORDS = 4096  # of a boot, whose copies are recognised
@@ -113,7 +113,7 @@
     """Yield the records of all files and folders, each once, by time as their nodes' clocks have it.
 
     A node whose clock steps back stays in the order of its numbers: until its clock has caught up, its
-    records come as of the latest time it has shown. What is wrong is added to ``findings`` on the way.
+    records come as of the latest time it has shown. What is wrong is added to ``findings``.
     """
     progress: dict[BootId, _BootProgress] = {}
     streams = [_read_chain(chain, findings) for chain in _chains(find_files(places))]
