--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -147,12 +147,14 @@
 def extract_version(version: str, folder: Path) -> bool:
     """Extract the program of an earlier version; False if this is no repository that has it."""
     listing = subprocess.run(
-        ["git", "ls-tree", "--name-only", version], cwd=ROOT, capture_output=True, text=True
+        ["git", "ls-tree", "--name-only", version], cwd=ROOT, capture_output=True, text=True, check=False
     )
     packages = [name for name in PACKAGES_BEFORE if name in listing.stdout.split()]
     if listing.returncode or not packages:
         return False
-    archive = subprocess.run(["git", "archive", version, *packages], cwd=ROOT, capture_output=True)
+    archive = subprocess.run(
+        ["git", "archive", version, *packages], cwd=ROOT, capture_output=True, check=False
+    )
     if archive.returncode:
         return False
     subprocess.run(["tar", "-x", "-C", str(folder)], input=archive.stdout, check=True)
--- a/emulators/stdin_commands.py
+++ b/emulators/stdin_commands.py
@@ -40,7 +40,7 @@
             for line in lines:
                 command, _, argument = line.decode().strip().partition(" ")
                 handler(command, argument)
-        except Exception:
+        except Exception:  # noqa: BLE001  # whatever it is, it ends the process
             # Whoever sent the command waits for its answer: ending now shows the failure at once.
             logger.exception("command failed: {!r}", lines)
             os._exit(1)
--- a/snowthread/admission/admission_rule.py
+++ b/snowthread/admission/admission_rule.py
@@ -42,7 +42,7 @@
         return len(queued) > MAX_QUEUED_PER_CORE * estimates.cores
     time_left_s = newcomer.objective_at - now - estimates.expected_run_s(newcomer)
     max_work = MAX_WAIT_RATIO * time_left_s * work_per_s
-    if sum([r.work for r in queued]) - newcomer.work <= max_work:
+    if sum([r.work for r in queued]) - newcomer.work <= max_work:  # noqa: C419  # a list is faster
         return False
     refresh_priorities(state, now)
     work_ahead = [r.work for r in queued if r.priority >= newcomer.priority and r is not newcomer]
--- a/snowthread/admission/open_requests.py
+++ b/snowthread/admission/open_requests.py
@@ -31,7 +31,8 @@
 
     def add(self, request: RequestRecord) -> None:
         """Queue a request."""
-        self.by_id[request.id] = self.queued[request.id] = request
+        self.by_id[request.id] = request
+        self.queued[request.id] = request
         self.memory.used_kb += request.memory_kb
 
     def await_original(self, request: RequestRecord) -> None:
--- a/snowthread/admission/request.py
+++ b/snowthread/admission/request.py
@@ -56,7 +56,7 @@
     priority: float = 0.0  # in the wait queue: the highest goes first
 
     @classmethod
-    def of_arrival(  # one argument for each value that is computed for a newcomer
+    def of_arrival(  # noqa: PLR0913  # one argument for each value that is computed for a newcomer
         cls,
         event: RequestArrived,
         class_index: int,
--- a/snowthread/net/loop.py
+++ b/snowthread/net/loop.py
@@ -168,7 +168,7 @@
                 continue
             try:
                 timer.pop()()
-            except Exception:
+            except Exception:  # noqa: BLE001  # one timer's failure is not another's
                 logger.exception("a timer failed")
 
     def _resume(self, task: Task, mask: int) -> None:
@@ -181,7 +181,7 @@
             task.begun = True
         except StopIteration:
             self._end(task)
-        except Exception:  # exceptions stop here: one connection's failure is not another's
+        except Exception:  # noqa: BLE001  # exceptions stop here: one connection's failure is not another's
             logger.exception("a coroutine failed")
             self._end(task)
         else:
--- a/snowthread/net/tls_stream.py
+++ b/snowthread/net/tls_stream.py
@@ -101,7 +101,7 @@
             return b""
         except OSError as error:
             return Failure(Progress.SENT, str(error))
-        return data if data else Failure(Progress.SENT, "closed by the peer")
+        return data or Failure(Progress.SENT, "closed by the peer")
 
     def _flush(self) -> None:
         try:
--- a/snowthread/node/node.py
+++ b/snowthread/node/node.py
@@ -147,7 +147,7 @@
                 try:
                     for effect in self._reduce(self.state, event, self._clock.now()):
                         self._effect_handlers[type(effect)](effect)
-                except Exception:  # a failed event must not end the connection or timer that brought it
+                except Exception:  # noqa: BLE001  # must not end the connection or timer that posted it
                     logger.exception("{} failed", type(event).__name__)
         finally:
             self._dispatching = False
--- a/snowthread/node/signals.py
+++ b/snowthread/node/signals.py
@@ -85,7 +85,7 @@
     def _try_reload(self) -> None:
         try:
             self._reload()
-        except Exception:  # whatever is wrong with a file, this task must go on listening
+        except Exception:  # noqa: BLE001  # whatever is wrong with a file, this task must go on listening
             logger.exception("configuration not taken up")
 
 
--- a/snowthread/records/observer.py
+++ b/snowthread/records/observer.py
@@ -114,7 +114,7 @@
         # A class that the settings don't name is whatever a caller wrote: it gets no row of its own.
         name = event.class_name if event.class_name in self._latency_objectives_ms else ""
         sent_at = event.sent_at_ms
-        request = OpenRequest(event.attempt_id, name, event.tenant, sent_at if sent_at < now else now)
+        request = OpenRequest(event.attempt_id, name, event.tenant, min(sent_at, now))
         self._open[event.response_address] = request
         self._by_attempt[event.attempt_id] = request
         self._just_received = request
--- a/snowthread/recovery/manager.py
+++ b/snowthread/recovery/manager.py
@@ -74,13 +74,13 @@
         longest_window_ms = max(windows_s, default=0.0) * MS_PER_S
         self._key_recorder = KeyRecorder(settings, state, started_at_ms, longest_window_ms)
         configured_nodes = max(1, config.settings.node_count)
-        self._member = RegistryMember(settings, configured_nodes, post, lambda: self._report_now())
+        self._member = RegistryMember(settings, configured_nodes, post, self._report)
         self._snapshots = LearnedSnapshots(settings, state, post)
         self._pacer = _make_pacer(settings, config.settings.cores, self._random)
         self._update_fleet()
-        self._warmup = WarmupTracker(self._pacer, started_at_ms, lambda: self._report_now())
+        self._warmup = WarmupTracker(self._pacer, started_at_ms, self._report)
         self._admission = ColdRequestAdmission(self._pacer)
-        self._calls = CallPacing(loop, state, self._pacer, post, lambda effect: self._carry_out(effect))
+        self._calls = CallPacing(loop, state, self._pacer, post, self._carry_out_delayed)
 
         self._reconnect_backoff = Backoff(BACKOFF_BASE_MS, BACKOFF_CAP_MS)
         self._pace = events.CallPacingChanged()
@@ -94,6 +94,12 @@
         self._carry_out = carry_out
         self._loop.spawn(self._write_snapshots())
 
+    def _report(self) -> None:
+        self._report_now()
+
+    def _carry_out_delayed(self, effect: effects.Effect) -> None:
+        self._carry_out(effect)
+
     @property
     def rejected_requests(self) -> int:
         """Requests rejected because slow start had no place for them."""
--- a/snowthread/tenants/inspection.py
+++ b/snowthread/tenants/inspection.py
@@ -153,7 +153,9 @@
 def find_problems(result: InspectionResult) -> list[str]:
     """Return a line for each entry that can't be used, contradicts another or identifies no client."""
     problems = list(dict.fromkeys(result.problems))
-    for tenant in result.tenants.table.tenants.values():
-        if not tenant.networks and not tenant.balancers:
-            problems.append(f"{json.dumps(tenant.name)} has neither a network nor a balancer, so no callers")
+    problems += [
+        f"{json.dumps(tenant.name)} has neither a network nor a balancer, so no callers"
+        for tenant in result.tenants.table.tenants.values()
+        if not tenant.networks and not tenant.balancers
+    ]
     return problems
--- a/tests/records/test_record_program.py
+++ b/tests/records/test_record_program.py
@@ -130,6 +130,7 @@
             env=environment(path),
             capture_output=True,
             timeout=PATIENCE_S,
+            check=False,
         )
 
     records = str(tmp_path / "written")
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -25,7 +25,7 @@
 SOCKET_BYTES = 65536
 
 
-def packed_request(
+def packed_request(  # noqa: PLR0913  # the fields of a request, by name
     number: int,
     attempt_id: str,
     *,
--- a/tests/tenants/test_tenants_program.py
+++ b/tests/tenants/test_tenants_program.py
@@ -166,7 +166,7 @@
         setup.start_directory()
         setup.command("suspend Farbhof")
         first = setup.start_node()
-        setup.wait_until(lambda: snapshot.exists())
+        setup.wait_until(snapshot.exists)
         first.send_signal(signal.SIGTERM)
         first.communicate(timeout=PATIENCE_S)
         setup.directory.kill()
@@ -231,6 +231,7 @@
         env=environment(setup.node_config),
         capture_output=True,
         timeout=PATIENCE_S,
+        check=False,
     )
 
 
@@ -269,5 +270,6 @@
         capture_output=True,
         env=os.environ | {"PYTHONPATH": str(ROOT)},
         timeout=PATIENCE_S,
+        check=False,
     )
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
