--- a/snowthread/tenants/inspection.py
+++ b/snowthread/tenants/inspection.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import json
-import os
 import random
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -14,7 +13,6 @@
 from snowthread import config
 from snowthread.net.clock import Clock
 from snowthread.net.loop import EventLoop
-from snowthread.operator.features import Features
 from snowthread.tenants import snapshot as tenant_snapshot
 from snowthread.tenants.changes import TenantChanges
 from snowthread.tenants.model import IdentifiedBy, Tenant
@@ -22,7 +20,6 @@
 from snowthread.tenants.settings import TenantSettings
 from snowthread.tenants.state import TenantState
 
-EXAMPLE_NODE_CONFIG = Path(__file__).parents[2] / "examples" / "node.json"
 LOOP_ROUND_S = 0.05
 MS_PER_S = 1000.0
 MAX_NETWORKS_SHOWN = 4
@@ -45,28 +42,16 @@
     text: str
 
 
-def fetch(operator_file: Path, snapshot_path: Path | None) -> InspectionResult:
+def fetch(settings: TenantSettings, snapshot_path: Path | None) -> InspectionResult:
     """Read all tenants from the snapshot, if one is named, else from the directory.
 
     ConfigError says why that is not possible.
     """
-    settings = _read_settings(operator_file)
     if snapshot_path is not None:
         return _fetch_from_snapshot(settings, snapshot_path)
     return _fetch_from_directory(settings)
 
 
-def _read_settings(operator_file: Path) -> TenantSettings:
-    # This needs no node: without NODE_CONFIG the settings of the example are used.
-    environment = dict(os.environ)
-    if not environment.get("NODE_CONFIG"):
-        environment["NODE_CONFIG"] = str(EXAMPLE_NODE_CONFIG)
-    tenants = Features.load(operator_file, config.load(environment)).tenants
-    if tenants is None:
-        raise config.ConfigError(f"{operator_file}: it has no block 'tenants'")
-    return tenants
-
-
 def _fetch_from_snapshot(settings: TenantSettings, path: Path) -> InspectionResult:
     now = Clock().now()
     try:
