--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -1,7 +1,11 @@
-"""The state of a node; only the reducer and its handlers change it. Times are float Unix milliseconds."""
+"""The state of a node; only the reducer and its handlers change it.
+
+Points in time (``..._at_ms``, ``..._until_ms``) are float Unix milliseconds.
+"""
 
 from __future__ import annotations
 
+import math
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import NamedTuple
@@ -9,7 +13,7 @@
 from snowthread.admission import events as admission_events
 from snowthread.admission.controller import Controller
 from snowthread.admission.settings import RequestClass, Settings
-from snowthread.core.command_log import CommandLog, SentCommand
+from snowthread.core.command_log import CommandLog
 from snowthread.core.effects import Command
 from snowthread.core.events import (
     CallPacingChanged,
@@ -19,9 +23,10 @@
     ResponseAddress,
 )
 from snowthread.core.idempotency import IdempotencyTable, IndeterminateKeys
+from snowthread.core.run import Run
 
 MS_PER_S = 1000.0
-MIN_TIMESTAMP_S = 0.001  # the controller takes a time of 0 for none
+MIN_TIMESTAMP_S = 0.001  # to the controller a time of 0 means that there is none
 
 
 class RequestPhase(Enum):
@@ -37,12 +42,12 @@
 
     STANDALONE = 0
     PREDECESSOR = 1  # the older of two processes: decides claims of idempotency keys
-    SUCCESSOR = 2  # the newer one: claims a key before it takes it
+    SUCCESSOR = 2  # the newer one: claims a key before it runs a request with it
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One attempt that was read; ``response_address`` is None once it is answered or nobody waits."""
+    """One attempt that was read; ``response_address`` is None once no answer is owed any more."""
 
     number: int
     attempt_id: str
@@ -53,21 +58,16 @@
     original_number: int | None
     received_at_ms: float
     request_class: RequestClass  # as it was on arrival
-    memory_kb: float  # booked while queued; times the running memory factor while it runs
+    memory_kb: float  # used while queued; multiplied by the running memory factor while it runs
     body_digest: bytes = b""  # of class and body, where the class is keyed
     phase: RequestPhase = RequestPhase.QUEUED
-    link_number: int = 0  # the link to the runtime on which its run was taken up last; 0: not sent yet
-    pending_call_notice: int | None = None  # the notice of the call that its run waits for
-    call_body: bytes = b""
-    call_in_flight: bool = False
-    last_command: SentCommand | None = None  # the last command that lets its run go on
-    last_command_lost: bool = False  # it may be: its link broke before it was known to be read
-    start_confirmed: bool = False  # the runtime is known to have read the start
-    stop_command: SentCommand | None = None
-    answered_call_notice: int = 0  # the notice of the call replied to last
-    indeterminate: bool = False  # its last command may be lost with a link; no notice came since
-    stopping: bool = False
-    followers: list[int] = field(default_factory=list)  # retries that wait for its result
+    run: Run | None = None  # while the phase is RUNNING
+    followers: list[int] = field(default_factory=list)  # numbers of the retries that wait for its result
+
+    @property
+    def call_in_flight(self) -> bool:
+        """Whether the run waits for a downstream call that was sent."""
+        return self.run is not None and self.run.call_in_flight
 
 
 class PendingClaim(NamedTuple):
@@ -80,7 +80,8 @@
 class AdmissionClock:
     """Converts between Unix milliseconds and the seconds of the admission controller.
 
-    The controller's zero lies a second before the start, as it takes a time of 0 for none.
+    The controller's zero lies a second before the start: to the controller a time of 0 means that there is
+    none.
     """
 
     def __init__(self, start_ms: float) -> None:
@@ -121,18 +122,18 @@
     last_request_number: int = 0
     command_log: CommandLog = field(default_factory=CommandLog)
     runtime_connected: bool = False
-    disconnected_at_ms: float = float("-inf")  # when the last link broke
-    reconnected_at_ms: float = float("-inf")  # when there was a link again
-    unsent_commands: list[Command] = field(default_factory=list)  # they wait for a link
-    load_sample: tuple[float, ...] = ()
-    load_sample_at_ms: float = float("-inf")
+    disconnected_at_ms: float = -math.inf  # when the last link broke
+    reconnected_at_ms: float = -math.inf  # when there was a link again
+    unsent_commands: list[Command] = field(default_factory=list)  # in order; they wait for a link
+    load_sample: tuple[float, ...] = ()  # in the order of ``gauge_names``
+    load_sample_at_ms: float = -math.inf
     load_sample_used: bool = False  # for an update of the controller
     last_sample_number: int = 0
     last_stale_sample_number: int = 0  # up to this one the gauges had another order
-    load_report: float | None = None
+    load_report: float | None = None  # sent with each response
     healthy: bool = True
     shutting_down: bool = False
-    retired_until_ms: dict[str, float] = field(default_factory=dict)  # served until then (ms)
+    retired_until_ms: dict[str, float] = field(default_factory=dict)  # until when a removed class is served
     drained: bool = False  # by the operators, until they undo it
     handover_role: HandoverRole = HandoverRole.STANDALONE
     peer_load: PeerLoadReported | None = None  # what the peer process uses of the shared limits
--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -13,8 +13,9 @@
     key_replication,
     load_samples,
     peer_process,
-    runs,
-    settings_reload,
+    run_completion,
+    runtime_resync,
+    settings_changes,
     shutdown,
 )
 from snowthread.core.action_handlers import ACTION_HANDLERS
@@ -27,8 +28,9 @@
     key_replication,
     load_samples,
     peer_process,
-    runs,
-    settings_reload,
+    run_completion,
+    runtime_resync,
+    settings_changes,
     shutdown,
 )
 
