--- a/snowthread/tenants/replication.py
+++ b/snowthread/tenants/replication.py
@@ -8,6 +8,7 @@
 
 import random
 from collections.abc import Callable, Generator
+from contextlib import closing
 from dataclasses import replace
 
 from loguru import logger
@@ -85,23 +86,23 @@
                 yield Wait(until_ms=retry_at)
 
     def _connect_and_follow(self, server_index: int) -> Generator[Wait, int, ConnectionFailure]:
-        connection = LdapConnection(self._loop, self.settings.servers[server_index], self.settings.connection)
-        try:
-            failure = yield from connection.open()
-            if failure is not None:
-                return failure
-            self._session = DirectorySession(
-                self._context,
-                connection,
-                self.sync,
-                on_refresh=lambda: self.server_selector.record_success(server_index),
-            )
-            return (yield from self._session.run())
-        finally:
-            self._session = None
-            self.sync.reset()
-            self._context.tenants.unknown_clients.abort_lookups()
-            connection.close()
+        url = self.settings.servers[server_index]
+        with closing(LdapConnection(self._loop, url, self.settings.connection)) as connection:
+            try:
+                failure = yield from connection.open()
+                if failure is not None:
+                    return failure
+                self._session = DirectorySession(
+                    self._context,
+                    connection,
+                    self.sync,
+                    on_refresh=lambda: self.server_selector.record_success(server_index),
+                )
+                return (yield from self._session.run())
+            finally:
+                self._session = None
+                self.sync.reset()
+                self._context.tenants.unknown_clients.abort_lookups()
 
     def _record_failure(self, server_index: int, failure: ConnectionFailure) -> None:
         self.connection_failures += 1
