--- a/emulators/balancers.py
+++ b/emulators/balancers.py
@@ -106,8 +106,8 @@
         keyed = next(kind for kind in self._plan.classes if kind.keyed)
         if self._generator.random() < self._plan.keyed_share:
             return keyed
-        safe = [kind for kind in self._plan.classes if not kind.keyed]
-        return self._generator.choices(safe, [kind.share for kind in safe])[0]
+        others = [kind for kind in self._plan.classes if not kind.keyed]
+        return self._generator.choices(others, [kind.share for kind in others])[0]
 
     def _start_request(
         self, kind: RequestClass, key: str, source: str, foreign: bool, repeat_after_ms: float
--- a/snowthread/recovery/call_pacing.py
+++ b/snowthread/recovery/call_pacing.py
@@ -68,8 +68,8 @@
         """Take the end of a call, and release the calls that may go instead."""
         outcome = event.outcome
         was_reached = outcome is not Outcome.UNREACHABLE
-        tells_latency = outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT)
-        self._pacer.call_ended(now_ms, event.attempt_id, was_reached, tells_latency)
+        shows_latency = outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT)
+        self._pacer.call_ended(now_ms, event.attempt_id, was_reached, shows_latency)
         self.release()
 
     def forget_run(self, attempt_id: str) -> None:
--- a/snowthread/sites/membership.py
+++ b/snowthread/sites/membership.py
@@ -4,7 +4,7 @@
 | ---------- | ----------------------------------------------------------- | ---------- | -------------- |
 | up         | silent for longer than `suspicion_timeout_ms`               | suspect    | stays          |
 | suspect    | a heartbeat of its present incarnation                      | up         | stays          |
-| suspect    | silent ``lost_after_ms`` more, unreachable for all sites up | lost       | may move       |
+| suspect    | silent ``lost_after_ms`` more, unreachable for all sites up | lost       | may migrate    |
 | suspect    | the same, but reachable for a site that is up               | suspect    | stays          |
 | any        | a heartbeat of an earlier incarnation or generation         | same       | -, counted     |
 | lost       | a heartbeat                                                 | recovering | returns, paced |
@@ -106,8 +106,8 @@
     ) -> SiteMembership:
         """Return the view of a site that has just started.
 
-        All others are suspect, since none has been heard yet, so nothing moves. ``now_ms`` is the time on the
-        caller's clock.
+        All others are suspect, since none has been heard yet, so no load migrates. ``now_ms`` is the time on
+        the caller's clock.
 
         Raises:
             ValueError: There are more than ``MAX_SITES`` sites.
--- a/snowthread/sites/shedding.py
+++ b/snowthread/sites/shedding.py
@@ -3,7 +3,7 @@
 | request                                               | verdict                          |
 | ----------------------------------------------------- | -------------------------------- |
 | of this site's own client                             | ADMIT: admission control decides |
-| of another site's client, not safe to repeat          | FAIL: its home site may run it   |
+| of another site's client, not idempotent              | FAIL: its home site may run it   |
 | of another site's client, the share in flight is full | REJECT                           |
 | of another site's client, pressure over its threshold | REJECT                           |
 | of another site's client, otherwise                   | ADMIT                            |
