--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -28,10 +28,10 @@
 from emulators.load_generator import LoadGenerator
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 from snowthread.lab.process_usage import children, cpu_seconds
+from snowthread.records.files import SUFFIX
 from snowthread.records.frame import encode
 from snowthread.records.model import Fields, Record, RecordKind
 from snowthread.records.reader import Findings, merge
-from snowthread.records.writer import SUFFIX
 
 SOURCES = [f"127.0.{number}.9" for number in range(5)]  # addresses of the load
 CORES = 64  # of the emulated runtime
--- a/snowthread/node/signals.py
+++ b/snowthread/node/signals.py
@@ -41,7 +41,8 @@
 
     def start(self) -> None:
         """Listen from now on; signals that were blocked so far arrive at once."""
-        reader, writer = self._sockets = socket.socketpair()
+        reader, writer = socket.socketpair()
+        self._sockets = (reader, writer)
         reader.setblocking(False)
         writer.setblocking(False)
         signal.set_wakeup_fd(writer.fileno())
@@ -84,7 +85,7 @@
     def _try_reload(self) -> None:
         try:
             self._reload()
-        except Exception:  # whatever is wrong with a file, this task must go on listening
+        except Exception:  # noqa: BLE001  # whatever is wrong with a file, this task must go on listening
             logger.exception("configuration not taken up")
 
 
