--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -3,17 +3,18 @@
 from collections.abc import Callable
 
 from snowthread.admission import events
-from snowthread.admission.actions import Action, LogNotice, Notice, SetHealth
+from snowthread.admission.actions import Action, SetHealth
 from snowthread.admission.arrivals import request_arrived
 from snowthread.admission.deadline_rule import ANSWER_MARGIN_S, check_deadline
 from snowthread.admission.estimators import TIME_TOLERANCE_S
+from snowthread.admission.graceful_shutdown import answer_all_before_stop, shutdown_noticed
 from snowthread.admission.lost_runs import check_lost_run, run_count_uncertain, run_indeterminate
 from snowthread.admission.periodic_update import begin_period, update
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.run_load import RunLoad
 from snowthread.admission.run_results import call_finished, call_needed, run_finished
 from snowthread.admission.settings import Settings, check_settings
-from snowthread.admission.settlement import reject, reject_all, request_abandoned
+from snowthread.admission.settlement import reject, request_abandoned
 from snowthread.admission.start_rule import start_queued
 from snowthread.admission.state import State
 from snowthread.admission.timer_queue import DEADLINE_TIMER, UPDATE_TIMER, TimerQueue
@@ -46,15 +47,8 @@
 
     def run_load(self) -> RunLoad:
         """Return the controller's count of runs and the limits that it is compared with."""
-        open_requests = self.state.open_requests
-        return RunLoad(
-            running=open_requests.cores.running,
-            indeterminate=open_requests.cores.indeterminate,
-            excess_runs=open_requests.cores.excess_runs,
-            at_calls=len(open_requests.calls),
-            limit=self.concurrency.limit,
-            ceiling=self.concurrency.ceiling(self.state.age_s(self._now)),
-        )
+        ceiling = self.concurrency.ceiling(self.state.age_s(self._now))
+        return RunLoad.of(self.state.open_requests, self.concurrency.limit, ceiling)
 
     def handle(self, now: float, event: events.Event) -> list[Action]:
         """Take one event, at ``now`` seconds, and return what to do about it, in order."""
@@ -63,11 +57,11 @@
         self._now = now
         state.open_requests.cores.advance(elapsed_s)
         state.calls.advance(elapsed_s)
-        taken = _dispatch(state, now, event)
-        taken += state.calls.dispatch(now)
-        taken += start_queued(state, now)
-        taken += state.deadlines.arm(now, state.open_requests.by_id)
-        return taken
+        actions = _dispatch(state, now, event)
+        actions += state.calls.dispatch(now)
+        actions += start_queued(state, now)
+        actions += state.deadlines.arm(now, state.open_requests.by_id)
+        return actions
 
 
 def _dispatch(state: State, now: float, event: events.Event) -> list[Action]:
@@ -82,10 +76,10 @@
 
 def _started(state: State, now: float, _: events.Started) -> list[Action]:
     state.started_at = now
-    taken: list[Action] = [begin_period(state, now)]
+    actions: list[Action] = [begin_period(state, now)]
     if state.settings.deep_health_checks:
-        taken.append(SetHealth(True, shallow=True))
-    return taken
+        actions.append(SetHealth(True, shallow=True))
+    return actions
 
 
 def _settings_changed(state: State, _: float, event: events.SettingsChanged) -> list[Action]:
@@ -101,22 +95,16 @@
 
 
 def _tenants_changed(state: State, now: float, event: events.TenantsChanged) -> list[Action]:
-    taken: list[Action] = []
+    actions: list[Action] = []
     for request in state.quotas.change_tenants(event):
-        taken += reject(state, now, request, RejectReason.TENANT)
-    return taken
-
-
-def _shutdown_noticed(state: State, now: float, event: events.ShutdownNotice) -> list[Action]:
-    state.shutdown.set(now, event)
-    notice = LogNotice(Notice.GRACEFUL_SHUTDOWN_BEGUN)
-    return [notice, SetHealth(False), *state.load_report.shut_down()]
+        actions += reject(state, now, request, RejectReason.TENANT)
+    return actions
 
 
 def _timer_fired(state: State, now: float, event: events.TimerFired) -> list[Action]:
-    taken: list[Action] = []
+    actions: list[Action] = []
     if event.label == UPDATE_TIMER:
-        taken = update(state, now, event)
+        actions = update(state, now, event)
     elif not state.deadlines.fire(now):
         return []  # an earlier timer has replaced it: arming again would make a second chain of timers
     state.calls.next_dispatch_at = now
@@ -125,18 +113,17 @@
         if request is None:
             continue
         if not request.is_answered:
-            taken += check_deadline(state, now, request)
-        taken += check_lost_run(state, now, request)
-    if state.shutdown.must_answer_all(now):
-        taken += reject_all(state, now, RejectReason.SHUTDOWN)
-    return taken
+            actions += check_deadline(state, now, request)
+        actions += check_lost_run(state, now, request)
+    actions += answer_all_before_stop(state, now)
+    return actions
 
 
 _HANDLERS: dict[type, Callable[..., list[Action]]] = {
     events.Started: _started,
     events.RequestArrived: request_arrived,
     events.TimerFired: _timer_fired,
-    events.ShutdownNotice: _shutdown_noticed,
+    events.ShutdownNotice: shutdown_noticed,
     events.SettingsChanged: _settings_changed,
     events.TenantsChanged: _tenants_changed,
     events.RequestAbandoned: request_abandoned,
--- a/snowthread/admission/open_requests.py
+++ b/snowthread/admission/open_requests.py
@@ -21,7 +21,7 @@
         self.by_id: dict[int, RequestRecord] = {}
         self.queued: dict[int, RequestRecord] = {}  # paused ones included
         self.cores = Cores(settings)
-        self.calls = CallTable(self.cores)
+        self.call_table = CallTable(self.cores)
         self.memory = MemoryAccount(settings)
 
     def apply_settings(self, settings: Settings) -> None:
@@ -31,7 +31,8 @@
 
     def add(self, request: RequestRecord) -> None:
         """Queue a request."""
-        self.by_id[request.id] = self.queued[request.id] = request
+        self.by_id[request.id] = request
+        self.queued[request.id] = request
         self.memory.used_kb += request.memory_kb
 
     def await_original(self, request: RequestRecord) -> None:
--- a/snowthread/records/observer.py
+++ b/snowthread/records/observer.py
@@ -36,7 +36,7 @@
         self._by_attempt: dict[str, OpenRequest] = {}
         self._second = Second(now)
         self._runtime_connected = False
-        self._run_classes: dict[str, str] = {}  # by attempt id; its caller may be gone already
+        self._run_classes: dict[str, str] = {}  # by attempt id; its request may be answered already
         self._just_received: OpenRequest | None = None  # by the event that is being observed
         self._event_handlers: dict[type, Callable[[Any, float], RecordDraft | None]] = {}
         self._effect_handlers: dict[type, Callable[[Any, State, float], RecordDraft | None]] = {}
@@ -114,7 +114,7 @@
         # A class that the settings don't name is whatever a caller wrote: it gets no row of its own.
         name = event.class_name if event.class_name in self._latency_objectives_ms else ""
         sent_at = event.sent_at_ms
-        request = OpenRequest(event.attempt_id, name, event.tenant, sent_at if sent_at < now else now)
+        request = OpenRequest(event.attempt_id, name, event.tenant, min(sent_at, now))
         self._open[event.response_address] = request
         self._by_attempt[event.attempt_id] = request
         self._just_received = request
--- a/tests/ldap/test_ldap_texts.py
+++ b/tests/ldap/test_ldap_texts.py
@@ -2,44 +2,49 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from snowthread.ldap import dn, filters, url
-from snowthread.ldap.messages import FilterTree, Scope
+from snowthread.ldap.messages import Scope
+from snowthread.ldap.search_filter import (
+    Comparison,
+    ComparisonKind,
+    ExtensibleMatch,
+    Filter,
+    Or,
+    Present,
+    Substring,
+    SubstringKind,
+    Substrings,
+)
+from snowthread.ldap.text_errors import DnError, FilterError, LdapTextError, UrlError
 
 PLAIN_BASE = dn.parse("ou=tenants,dc=example")
 
 
 @pytest.mark.parametrize(
-    ("text", "tree"),
+    ("text", "expected"),
     [
-        ("(cn=Babs J ensen)", ("equalityMatch", {"attributeDesc": b"cn", "assertionValue": b"Babs J ensen"})),
+        ("(cn=Babs J ensen)", Comparison(ComparisonKind.EQUALITY, b"cn", b"Babs J ensen")),
         (
             "(o=Parens R Us \\28for all\\29)",
-            ("equalityMatch", {"attributeDesc": b"o", "assertionValue": b"Parens R Us (for all)"}),
-        ),
-        ("(cn=*\\2A*)", ("substrings", {"type": b"cn", "substrings": [("any", b"*")]})),
-        ("(sn;lang-en~=x)", ("approxMatch", {"attributeDesc": b"sn;lang-en", "assertionValue": b"x"})),
-        ("(seeAlso=)", ("equalityMatch", {"attributeDesc": b"seeAlso", "assertionValue": b""})),
-        (
-            "(1.2.3=\\04\\02\\48\\69)",
-            ("equalityMatch", {"attributeDesc": b"1.2.3", "assertionValue": b"\x04\x02Hi"}),
-        ),
-        ("(|)", ("or", [])),
-        ("(cn=*)", ("present", b"cn")),
-        (
-            "(cn:dn:2.4.6:=Dino)",
-            (
-                "extensibleMatch",
-                {"type": b"cn", "matchingRule": b"2.4.6", "dnAttributes": True, "matchValue": b"Dino"},
-            ),
+            Comparison(ComparisonKind.EQUALITY, b"o", b"Parens R Us (for all)"),
         ),
+        ("(cn=*\\2A*)", Substrings(b"cn", (Substring(SubstringKind.ANY, b"*"),))),
+        ("(sn;lang-en~=x)", Comparison(ComparisonKind.APPROX, b"sn;lang-en", b"x")),
+        ("(seeAlso=)", Comparison(ComparisonKind.EQUALITY, b"seeAlso", b"")),
+        ("(1.2.3=\\04\\02\\48\\69)", Comparison(ComparisonKind.EQUALITY, b"1.2.3", b"\x04\x02Hi")),
+        ("(|)", Or(())),
+        ("(cn=*)", Present(b"cn")),
+        ("(cn:dn:2.4.6:=Dino)", ExtensibleMatch(b"Dino", b"2.4.6", b"cn", dn_attributes=True)),
     ],
 )
-def test_the_examples_of_rfc_4515_are_parsed(text: str, tree: FilterTree) -> None:
-    assert filters.parse(text) == tree
+def test_the_examples_of_rfc_4515_are_parsed(text: str, expected: Filter) -> None:
+    assert filters.parse(text) == expected
 
 
 @pytest.mark.parametrize(
@@ -60,14 +65,27 @@
     ],
 )
 def test_a_text_that_is_no_filter_is_an_error(text: str) -> None:
-    with pytest.raises(filters.FilterError):
+    with pytest.raises(FilterError):
         filters.parse(text)
 
 
+@pytest.mark.parametrize(
+    ("parse", "text", "column"),
+    [(filters.parse, "(cn=a))", 7), (dn.parse, "cn=a,,cn=b", 6), (dn.parse, "cn=" + "x" * 5000, None)],
+)
+def test_the_error_says_at_which_character_the_text_is_wrong(
+    parse: Callable[[str], object], text: str, column: int | None
+) -> None:
+    with pytest.raises(LdapTextError) as caught:
+        parse(text)
+    assert caught.value.column == column
+    assert str(caught.value).endswith(f"at character {column}") is (column is not None)
+
+
 @given(st.binary(max_size=20))
 def test_an_escaped_value_is_read_back(value: bytes) -> None:
     text = f"(cn={filters.escape(value)})"
-    assert filters.parse(text) == ("equalityMatch", {"attributeDesc": b"cn", "assertionValue": value})
+    assert filters.parse(text) == Comparison(ComparisonKind.EQUALITY, b"cn", value)
 
 
 def test_names_compare_without_case_and_extra_spaces() -> None:
@@ -98,7 +116,7 @@
 
 @pytest.mark.parametrize("text", ["cn", "=a", "cn=a,,cn=b", "cn=a\\", "cn=a;b", "cn=" + "x" * 5000])
 def test_a_text_that_is_no_name_is_an_error(text: str) -> None:
-    with pytest.raises(dn.DnError):
+    with pytest.raises(DnError):
         dn.parse(text)
 
 
@@ -122,10 +140,10 @@
     ],
 )
 def test_a_bad_url_is_an_error(text: str) -> None:
-    with pytest.raises(url.UrlError):
+    with pytest.raises(UrlError):
         url.parse(text)
 
 
 def test_the_host_of_a_url_must_be_a_number_to_connect_to() -> None:
-    with pytest.raises(url.UrlError, match="numeric"):
+    with pytest.raises(UrlError, match="numeric"):
         _ = url.parse("ldap://directory.example").address
