--- a/snowthread/node/shutdown.py
+++ b/snowthread/node/shutdown.py
@@ -1,8 +1,19 @@
 """Graceful shutdown: from the signal to the exit, within the grace period that the platform gives.
 
-The platform kills the process at a known time. Until then the node answers what it has read and what still
-comes. A process that has the listening socket to itself closes it shortly before the kill; one that shares it
-with a successor leaves new clients to the successor and exits once all is answered.
+The platform kills the process at a known time, the grace period after the signal. In this order:
+
+1. At the signal the core is notified: it deregisters the node (:mod:`snowthread.core.shutdown`), and the
+   admission controller decides what still starts (:mod:`snowthread.admission.graceful_shutdown`). Every
+   connection is sent a farewell. Requests go on being read and answered.
+2. ``CLOSE_LISTENER_BEFORE_KILL_MS`` before the kill pending connections are accepted and the listener is
+   closed.
+3. ``ANSWER_ALL_MARGIN_S`` before the kill the admission controller has whatever is open answered.
+4. The process exits once all is answered and nothing happened for ``QUIET_BEFORE_EXIT_MS``, and at
+   ``EXIT_BEFORE_KILL_MS`` before the kill in any case.
+
+A process that shares the listening socket with a successor leaves new clients to it: the listener is not
+closed (step 2), step 4 may come as soon as the successor serves, and the grace period is no longer than open
+requests can need.
 """
 
 from __future__ import annotations
@@ -43,11 +54,7 @@
 
 
 class GracefulShutdown:
-    """Ends a node's service without leaving a request unanswered.
-
-    The shutdown module of the core decides what becomes of queued and later requests; this one decides when
-    the listener closes and when the process exits.
-    """
+    """Ends a node's service: decides when the listener closes and when the process exits."""
 
     def __init__(self, node: ServingNode) -> None:
         self._node = node
