--- a/tests/admission/test_decisions_page.py
+++ b/tests/admission/test_decisions_page.py
@@ -23,6 +23,7 @@
 PACKAGE = "snowthread.admission"
 COLUMNS = ("question", "rule", "inputs", "reason", "constants", "seen in")
 CONSTANT = re.compile(r"`([A-Z][A-Z0-9_]+)` (\S+?)(?:,|$)")
+FILE_ENDINGS = (".py", ".md", ".toml")
 NAME = re.compile(r"`([a-z_]+(?:\.[A-Za-z_]+)+)`")  # a dotted name in code quotes
 
 
@@ -90,7 +91,7 @@
     """Return what the page says that the code does not bear out."""
     errors = []
     for name in NAME.findall(page):
-        if name.endswith((".py", ".md", ".toml")):
+        if name.endswith(FILE_ENDINGS):
             continue
         try:
             resolve(name)
@@ -128,6 +129,28 @@
     assert f"`{notice.value.partition(':')[0]}: " in PAGE
 
 
+def test_tests_named_on_the_page_are_there() -> None:
+    names = set(re.findall(r"`(?:tests/admission/)?(test_\w+\.py)`", PAGE))
+    assert len(names) > 12
+    assert all(Path(__file__).with_name(name).exists() for name in names)
+
+
+def test_constants_named_in_the_text_are_on_a_row() -> None:
+    text = "\n".join(line for line in PAGE.splitlines() if not line.startswith("|"))
+    named = set(re.findall(r"`([A-Z]+_[A-Z_]+)`", text)) - set(RejectReason.__members__)
+    assert named
+    assert named <= {name for row in rows(PAGE) for name, _ in CONSTANT.findall(row.constants)}
+
+
+def test_log_lines_of_the_runtime_are_those_of_the_code() -> None:
+    sources = [*(ROOT / "snowthread/core").glob("*.py"), ROOT / "snowthread/admission/run_load.py"]
+    code = "".join(path.read_text() for path in sources)
+    lines = re.findall(r"`(runtime: [^`]+)`", "".join(row.seen_in for row in rows(PAGE)))
+    parts = {part.strip(" :") for line in lines for part in re.split(r"\bID\b|\bN\b|\.\.\.", line)}
+    assert len(lines) >= 4
+    assert [part for part in parts if part not in code] == []
+
+
 def test_records_named_as_evidence_are_in_the_model() -> None:
     named = {
         name
@@ -156,7 +179,7 @@
 
 
 def resolve_module(name: str) -> ModuleType | None:
-    return None if name.endswith((".py", ".md", ".toml")) else module_of(name)
+    return None if name.endswith(FILE_ENDINGS) else module_of(name)
 
 
 @pytest.mark.parametrize(
--- a/tests/admission/test_health.py
+++ b/tests/admission/test_health.py
@@ -8,6 +8,7 @@
 from snowthread.admission.actions import SetHealth
 from snowthread.admission.concurrency import UPDATE_PERIOD_S
 from snowthread.admission.events import ShutdownNotice, TimerFired
+from snowthread.admission.health import EJECTION_S
 from snowthread.admission.timer_queue import UPDATE_TIMER
 
 
@@ -25,6 +26,18 @@
     assert health == ([False, True] if leaves else [])
 
 
+def test_an_ejection_lasts_for_its_time() -> None:
+    controller = started_controller()
+    controller.estimates.work_speed = 1.0
+    controller.estimates.best_work_speed = 10.0
+    changes: list[tuple[float, bool]] = []
+    for n in range(1, 100):
+        now = n * UPDATE_PERIOD_S
+        actions = controller.handle(now, TimerFired(UPDATE_TIMER, core_utilization=0.1))
+        changes += [(now, action.healthy) for action in actions if isinstance(action, SetHealth)]
+    assert changes == [(UPDATE_PERIOD_S, False), (UPDATE_PERIOD_S + EJECTION_S, True)]
+
+
 def test_a_server_that_shuts_down_does_not_become_healthy_again() -> None:
     controller = started_controller()
     controller.estimates.work_speed, controller.estimates.best_work_speed = 1.0, 10.0
