--- a/snowthread/admission/admission_rule.py
+++ b/snowthread/admission/admission_rule.py
@@ -25,7 +25,8 @@
     if exceeds_memory_limit(open_requests.memory, key_kb):
         return RejectReason.MEMORY
     are_cores_taken = open_requests.cores.occupied >= int(state.concurrency.limit)
-    has_to_wait = are_cores_taken or len(open_requests.queued) > 1
+    others_wait = len(open_requests.queued) > 1  # the newcomer is among them
+    has_to_wait = are_cores_taken or others_wait
     if has_to_wait and state.blocking.is_blocked(newcomer):
         return RejectReason.BLOCKED
     if has_to_wait and wait_is_too_long(state, now, newcomer):
--- a/snowthread/admission/backoff.py
+++ b/snowthread/admission/backoff.py
@@ -8,6 +8,8 @@
 import random
 from dataclasses import dataclass
 
+GROWTH_FACTOR = 3.0  # of the last delay, that the next one has at most
+
 
 @dataclass(slots=True)
 class Backoff:
@@ -24,7 +26,7 @@
 
     def next_delay_ms(self, generator: random.Random) -> float:
         """Return how long to wait after a failed attempt, in ms."""
-        self.delay_ms = min(self.cap_ms, generator.uniform(self.base_ms, 3.0 * self.delay_ms))
+        self.delay_ms = min(self.cap_ms, generator.uniform(self.base_ms, GROWTH_FACTOR * self.delay_ms))
         return self.delay_ms
 
     def reset(self) -> None:
--- a/snowthread/admission/call_budget.py
+++ b/snowthread/admission/call_budget.py
@@ -16,6 +16,7 @@
 GROWTH_RATIO_PER_S = 0.1  # of the fair rate
 SLOW_CALL_CUT_FACTOR = 0.5  # of the rate
 MIN_RATE_RATIO = 0.2  # of the fair rate
+MS_PER_S = 1000.0
 
 
 @dataclass(slots=True)
@@ -51,14 +52,14 @@
             self.refilled_at_ms = now_ms
             self.tokens = min(1.0, self.rate())
             return
-        elapsed_s = max(0.0, now_ms - self.refilled_at_ms) / 1000.0
+        elapsed_s = max(0.0, now_ms - self.refilled_at_ms) / MS_PER_S
         self.refilled_at_ms = now_ms
         self.share = min(1.0, self.share + GROWTH_RATIO_PER_S * elapsed_s)
         self.tokens = min(self.capacity(), self.tokens + self.rate() * elapsed_s)
 
     def next_token_at_ms(self, now_ms: float) -> float:
         """Return when the token of the next call is available, at the present rate."""
-        return now_ms + max(0.0, 1.0 - self.tokens) * 1000.0 / self.rate()
+        return now_ms + max(0.0, 1.0 - self.tokens) * MS_PER_S / self.rate()
 
     def try_acquire(self, now_ms: float, leave: float = 0.0) -> bool:
         """Take the token of a call if as many as ``leave`` remain; count a denial if not."""
--- a/snowthread/admission/node_state.py
+++ b/snowthread/admission/node_state.py
@@ -9,7 +9,7 @@
 
 
 class NodeState:
-    """Times are seconds of the controller's clock."""
+    """What the parts of ``State`` take, so that they need not import it. Times are seconds."""
 
     def __init__(self, settings: Settings, seed: int, deadlines: TimerQueue) -> None:
         self.started_at = 0.0
