--- a/snowthread/core/runtime_resync.py
+++ b/snowthread/core/runtime_resync.py
@@ -3,8 +3,12 @@
 1. The link breaks (:func:`runtime_disconnected`): each command is read, unsent or possibly lost.
 2. There is a link again (:func:`runtime_connected`): what was unsent is sent, and a load sample requested.
    The runtime first repeats the notices that the node missed.
-3. The sample arrives (:func:`resume_runs`): all missed notices were read, so a run without one is where its
-   last command put it, unless that command may be lost.
+3. The sample arrives (:func:`resume_runs`): all missed notices were read, so a run without a notice is where
+   its last command put it, unless that command may be lost.
+
+A run whose start or last reply may be lost and must not be sent again is reported to the controller as
+indeterminate. It counts as running until the runtime reports something of it, or until
+:mod:`snowthread.admission.lost_runs` takes it for lost and abandons it.
 """
 
 from __future__ import annotations
