--- a/benchmarks/hot_restart.py
+++ b/benchmarks/hot_restart.py
@@ -21,6 +21,7 @@
 import tempfile
 import time
 from collections import Counter
+from contextlib import closing
 from dataclasses import dataclass
 from functools import partial
 from http.client import HTTPConnection
@@ -216,12 +217,11 @@
 
 def play(seed: int, seconds: float, restarts_at_s: list[float]) -> dict[str, Any]:
     """Play one stretch of load in a folder of its own."""
-    with tempfile.TemporaryDirectory() as folder:
-        run = LoadRun(Path(folder), seed, seconds, restarts_at_s)
-        try:
-            return run.play()
-        finally:
-            run.close()
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        closing(LoadRun(Path(folder), seed, seconds, restarts_at_s)) as run,
+    ):
+        return run.play()
 
 
 def missed_objectives(figures: dict[str, Any]) -> list[str]:
--- a/emulators/soak.py
+++ b/emulators/soak.py
@@ -11,6 +11,7 @@
 import sys
 import tempfile
 from collections.abc import Callable
+from contextlib import ExitStack
 from dataclasses import asdict
 from functools import partial
 from pathlib import Path
@@ -59,7 +60,9 @@
         """Play the plan and judge it."""
         loop = self.node.loop
         plan = self.plan
-        try:
+        with ExitStack() as stack:
+            stack.enter_context(self.node)
+            stack.callback(self._clients.close_crowd)
             begin_ms = loop.clock.now()
             self._schedule_traffic(begin_ms)
             for fault in plan.faults:
@@ -67,9 +70,6 @@
             self.node.run_for(plan.traffic_ms)
             self._terminate()
             return judge(self._observe())
-        finally:
-            self._clients.close_crowd()
-            self.node.__exit__()
 
     # Traffic.
 
