--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -51,7 +51,7 @@
     request_class = _find_class(state, event.class_name, transition.now_ms)
     if request_class is None or event.attempt_id in state.requests_by_attempt_id:
         # An unknown class, or the same attempt while its run goes on: nothing can be promised.
-        transition.respond(event.response_address, effects.Failed())
+        transition.respond(event.response_address, effects.Failed(event.attempt_id))
         return
     key = _NO_KEY
     if request_class.idempotency is Idempotency.KEYED:
@@ -76,7 +76,7 @@
     idempotency_key = event.idempotency_key
     body_digest = digest(event)
     if not idempotency_key or not _is_key_usable(state, idempotency_key, body_digest, sent_at_ms):
-        transition.respond(event.response_address, effects.Failed())
+        transition.respond(event.response_address, effects.Failed(event.attempt_id))
         return None
     original_number = state.idempotency_table.owner_at(idempotency_key, sent_at_ms)
     if original_number is None and state.handover_role is HandoverRole.SUCCESSOR:
@@ -87,7 +87,7 @@
             claim_key(transition, event, claim_request, request_class.deadline_s)
             return None
         if claim is ClaimDecision.DENIED:  # another attempt owns the key and yet is unknown here
-            transition.respond(event.response_address, effects.Failed())
+            transition.respond(event.response_address, effects.Failed(event.attempt_id))
             return None
     return _KeyMatch(idempotency_key, body_digest, original_number)
 
@@ -175,7 +175,11 @@
 
 
 def request_cancelled(transition: Transition, event: events.RequestCancelled) -> None:
-    """Abandon a request that nobody waits for; its run, if any, goes on to its end."""
+    """Settle a request to which no answer is owed any more.
+
+    Where runs can be stopped its run is stopped, if it has one, and retries that wait for its result then
+    fail; elsewhere the run goes on to its end.
+    """
     request = transition.state.requests_by_response_address.pop(event.response_address, None)
     if request is None:
         withdraw_claim(transition.state, event.response_address)
--- a/snowthread/core/key_claims.py
+++ b/snowthread/core/key_claims.py
@@ -27,6 +27,10 @@
 KEY_CLAIM_WAIT_RATIO = 0.5  # of the time left, at most: the rest is for the run
 MAX_PENDING_KEY_CLAIMS = 256  # keys whose claim may be undecided at once
 
+# Why a request is rejected, for the log.
+TOO_MANY_CLAIMS = "too many undecided key claims"
+CLAIM_TIMED_OUT = "key claim not decided in time"
+
 
 class ClaimDecision(Enum):
     """What the predecessor decided on the key of a request."""
@@ -51,7 +55,7 @@
     claim = state.pending_claims.get(claim_request.idempotency_key)
     if claim is None:
         if len(state.pending_claims) >= MAX_PENDING_KEY_CLAIMS:
-            transition.respond(event.response_address, effects.Rejected())
+            _reject(transition, event, TOO_MANY_CLAIMS)
             return
         claim = PendingClaim(event.attempt_id, [])
         state.pending_claims[claim_request.idempotency_key] = claim
@@ -65,20 +69,27 @@
     transition.emit(effects.ScheduleTimer(decide_by_ms, events.KeyClaimTimedOut(event.response_address)))
 
 
-def withdraw_claim(state: State, response_address: events.ResponseAddress) -> bool:
-    """Drop a request that waits for a decision on its key; return False where none does."""
+def withdraw_claim(state: State, response_address: events.ResponseAddress) -> events.RequestReceived | None:
+    """Drop a request that waits for a decision on its key; return it, or None where none waits."""
     for claim in state.pending_claims.values():
         for request in claim.waiting:
             if request.response_address == response_address:
                 claim.waiting.remove(request)
-                return True
-    return False
+                return request
+    return None
 
 
 def key_claim_timed_out(transition: Transition, event: events.KeyClaimTimedOut) -> None:
     """Reject a request that waited too long for the decision on its key."""
-    if withdraw_claim(transition.state, event.response_address):
-        transition.respond(event.response_address, effects.Rejected())
+    request = withdraw_claim(transition.state, event.response_address)
+    if request is not None:
+        _reject(transition, request, CLAIM_TIMED_OUT)
+
+
+def _reject(transition: Transition, request: events.RequestReceived, reason: str) -> None:
+    """Reject a request that never reached the controller."""
+    rejected = effects.Rejected(attempt_id=request.attempt_id, reason=reason)
+    transition.respond(request.response_address, rejected)
 
 
 def key_claim_requested(transition: Transition, event: events.KeyClaimRequested) -> None:
--- a/snowthread/core/request_lifecycle.py
+++ b/snowthread/core/request_lifecycle.py
@@ -77,7 +77,8 @@
 
 def finish_follower(transition: Transition, follower: Request, result: bytes | None) -> None:
     """Answer a retry with the result of its original (None: failed), and finish it."""
-    answer(transition, follower, effects.Failed() if result is None else effects.Served(result))
+    response = effects.Failed(follower.attempt_id) if result is None else effects.Served(result)
+    answer(transition, follower, response)
     follower.phase = RequestPhase.QUEUED
     finish(transition, follower, None)
     transition.dispatch(
--- a/snowthread/core/run_completion.py
+++ b/snowthread/core/run_completion.py
@@ -27,7 +27,8 @@
         if request.idempotency_key:
             complete_followers(transition, request, None)
     else:
-        answer(transition, request, effects.Failed() if result is None else effects.Served(result))
+        response = effects.Failed(request.attempt_id) if result is None else effects.Served(result)
+        answer(transition, request, response)
         finish(transition, request, result)
     duration_s = state.admission_clock.duration_s(event.duration_ms)
     transition.dispatch(admission_events.RunFinished(request.number, event.outcome, duration_s))
--- a/snowthread/recovery/request_admission.py
+++ b/snowthread/recovery/request_admission.py
@@ -9,6 +9,7 @@
 
 RETRY_AFTER_DIVISOR = 8.0  # Retry-After is the latency objective over this times the slow start's window
 MS_PER_S = 1000.0
+REJECT_REASON = "no place in the slow start"  # for the log
 
 
 class ColdRequestAdmission:
@@ -59,7 +60,11 @@
             retry_after_s = request_class.latency_objective_s / (RETRY_AFTER_DIVISOR * window)
         return effects.SendResponse(
             request.response_address,
-            effects.Rejected(MS_PER_S * min(retry_after_s, settings.max_retry_after_s)),
+            effects.Rejected(
+                MS_PER_S * min(retry_after_s, settings.max_retry_after_s),
+                attempt_id=request.attempt_id,
+                reason=REJECT_REASON,
+            ),
             state.load_report,
         )
 
--- a/snowthread/sites/client_filter.py
+++ b/snowthread/sites/client_filter.py
@@ -22,6 +22,8 @@
 MS_PER_S = 1000.0
 RETRY_AFTER_RATIO = 0.5  # of Retry-After to the latency objective of the request's class
 
+REJECT_REASON = "another site's client"  # for the log
+
 Reducer = Callable[[State, events.Event, float], list[effects.Effect]]
 
 
@@ -47,9 +49,14 @@
         verdict = Verdict.FAIL if request_class is None else self._judge(state, message, request_class)
         self.counts[f"{home_site} {verdict.value}"] += 1
         if verdict is Verdict.FAIL:
-            return [effects.SendResponse(message.response_address, effects.Failed(), state.load_report)]
+            failed = effects.Failed(message.attempt_id)
+            return [effects.SendResponse(message.response_address, failed, state.load_report)]
         if verdict is Verdict.REJECT:
-            rejected = effects.Rejected(_retry_after_ms(state.settings, request_class))
+            rejected = effects.Rejected(
+                _retry_after_ms(state.settings, request_class),
+                attempt_id=message.attempt_id,
+                reason=REJECT_REASON,
+            )
             return [effects.SendResponse(message.response_address, rejected, state.load_report)]
         self._foreign_attempts[message.attempt_id] = None
         return self._next_reducer(state, message, now)
--- a/tests/core/conftest.py
+++ b/tests/core/conftest.py
@@ -6,6 +6,7 @@
 
 import pytest
 from support.exchange import START, ExchangePlayer
+from support.response_log import ResponseLog, collect_responses
 from support.run_transitions import CheckedRunState
 
 from snowthread.admission.settings import Idempotency, Preemption, RequestClass, Settings
@@ -19,6 +20,14 @@
     monkeypatch.setattr(Run, "state", CheckedRunState(Run.__dict__["state"]))
 
 
+@pytest.fixture(autouse=True)
+def response_log(monkeypatch: pytest.MonkeyPatch) -> Iterator[ResponseLog]:
+    """Check what the log says of each response without a result: its attempt and why it was rejected."""
+    log = collect_responses(monkeypatch)
+    yield log
+    log.check()
+
+
 @pytest.fixture
 def player() -> Iterator[ExchangePlayer]:
     """Yield a node with the example configuration and peers that it can reach."""
--- a/tests/core/test_key_claims.py
+++ b/tests/core/test_key_claims.py
@@ -5,8 +5,9 @@
 import pytest
 from support.core_events import connect, make_request
 from support.exchange import START
+from support.response_log import ResponseLog
 
-from snowthread.core import effects, events
+from snowthread.core import effects, events, key_claims
 from snowthread.core.key_claims import KEY_CLAIM_TIMEOUT_MS
 from snowthread.core.reducer import reduce
 from snowthread.core.state import State
@@ -44,12 +45,15 @@
     assert successor.pending_claims == {}
 
 
-def test_all_requests_with_a_denied_key_fail(successor: State) -> None:
+def test_all_requests_with_a_denied_key_fail(successor: State, response_log: ResponseLog) -> None:
     for number in (1, 2):
         reduce(successor, make_request(number, "keyed", START, idempotency_key=KEY), START)
     claimant = successor.pending_claims[KEY].attempt_id
     emitted = reduce(successor, events.KeyClaimDecided(KEY, claimant, granted=False), START)
     assert responses(emitted) == [effects.Failed(), effects.Failed()]
+    assert [response.attempt_id for _, response in response_log.without_result] == [
+        f"{number:016x}" for number in (1, 2)
+    ]
     assert started(emitted) == []
 
 
@@ -71,3 +75,22 @@
     assert timer.at_ms == START + KEY_CLAIM_TIMEOUT_MS
     assert responses(reduce(successor, timer.event, timer.at_ms)) == [effects.Rejected()]
     assert successor.pending_claims[KEY].waiting == []
+
+
+def test_a_request_rejected_for_its_claim_is_logged_with_its_attempt_and_the_reason(
+    successor: State, response_log: ResponseLog, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(key_claims, "MAX_PENDING_KEY_CLAIMS", 1)
+    waiting, rejected = (make_request(number, "keyed", START) for number in (1, 2))
+    reduce(successor, waiting, START)
+    reduce(successor, rejected, START)
+    reduce(successor, events.KeyClaimTimedOut(waiting.response_address), START + KEY_CLAIM_TIMEOUT_MS)
+    logged = [
+        (response.attempt_id, response.reason)
+        for _, response in response_log.without_result
+        if isinstance(response, effects.Rejected)
+    ]
+    assert logged == [
+        (rejected.attempt_id, key_claims.TOO_MANY_CLAIMS),
+        (waiting.attempt_id, key_claims.CLAIM_TIMED_OUT),
+    ]
--- /dev/null
+++ b/tests/support/response_log.py
@@ -0,0 +1,49 @@
+"""Collects the responses without a result that the reducer emits, for tests of what the log says of them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+import pytest
+
+from snowthread.core import effects, events, reducer
+from snowthread.core.transition import Transition
+
+
+@dataclass(slots=True)
+class ResponseLog:
+    """The responses without a result that the reducer emitted, each with the attempt it is due to."""
+
+    attempt_ids: dict[events.ResponseAddress, str] = field(default_factory=dict)  # as read last
+    without_result: list[tuple[str, effects.Rejected | effects.Failed]] = field(default_factory=list)
+
+    def check(self) -> None:
+        """Assert that the log can name the attempt of each, and why it was rejected."""
+        for attempt_id, response in self.without_result:
+            assert response.attempt_id == attempt_id
+            assert isinstance(response, effects.Failed) or response.reason
+
+
+def collect_responses(monkeypatch: pytest.MonkeyPatch) -> ResponseLog:
+    """Have the reducer's responses collected until the end of the test."""
+    log = ResponseLog()
+    handle_request = reducer.EVENT_HANDLERS[events.RequestReceived]
+    respond = Transition.respond
+
+    def note_request(transition: Transition, event: events.RequestReceived) -> None:
+        log.attempt_ids[event.response_address] = event.attempt_id
+        handle_request(transition, event)
+
+    def note_response(
+        transition: Transition,
+        response_address: events.ResponseAddress,
+        response: effects.Served | effects.Rejected | effects.Failed | effects.HealthStatus,
+    ) -> None:
+        if isinstance(response, effects.Rejected | effects.Failed):
+            log.without_result.append((log.attempt_ids[response_address], response))
+        respond(transition, response_address, response)
+
+    handlers = {**reducer.EVENT_HANDLERS, events.RequestReceived: note_request}
+    monkeypatch.setattr(reducer, "EVENT_HANDLERS", handlers)
+    monkeypatch.setattr(Transition, "respond", note_response)
+    return log
