--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -47,7 +47,7 @@
     state = transition.state
     transition.ensure_controller()
     state.last_request_number += 1
-    sent_at_ms = min(event.sent_at_ms, transition.now_ms)
+    arrived_at_ms = min(event.arrived_at_ms, transition.now_ms)
     request_class = _find_class(state, event.class_name, transition.now_ms)
     if request_class is None or event.attempt_id in state.requests_by_attempt_id:
         # An unknown class, or the same attempt while its run goes on: nothing can be promised.
@@ -55,11 +55,11 @@
         return
     key = _NO_KEY
     if request_class.idempotency is Idempotency.KEYED:
-        match = _match_key(transition, event, request_class, sent_at_ms, claim)
+        match = _match_key(transition, event, request_class, arrived_at_ms, claim)
         if match is None:
             return
         key = match
-    _admit(transition, event, request_class, sent_at_ms, key)
+    _admit(transition, event, request_class, arrived_at_ms, key)
     if claim is ClaimDecision.GRANTED:
         _release_unused_claim(transition, event.attempt_id)
 
@@ -68,21 +68,21 @@
     transition: Transition,
     event: events.RequestReceived,
     request_class: RequestClass,
-    sent_at_ms: float,
+    arrived_at_ms: float,
     claim: ClaimDecision,
 ) -> _KeyMatch | None:
     """Look up a request's key; return None where the request fails or waits until its key is claimed."""
     state = transition.state
     idempotency_key = event.idempotency_key
     body_digest = digest(event)
-    if not idempotency_key or not _is_key_usable(state, idempotency_key, body_digest, sent_at_ms):
+    if not idempotency_key or not _is_key_usable(state, idempotency_key, body_digest, arrived_at_ms):
         transition.respond(event.response_address, effects.Failed(event.attempt_id))
         return None
-    original_number = state.idempotency_table.owner_at(idempotency_key, sent_at_ms)
+    original_number = state.idempotency_table.owner_at(idempotency_key, arrived_at_ms)
     if original_number is None and state.handover_role is HandoverRole.SUCCESSOR:
         if claim is ClaimDecision.UNDECIDED:
             claim_request = events.KeyClaimRequested(
-                idempotency_key, event.attempt_id, sent_at_ms, body_digest
+                idempotency_key, event.attempt_id, arrived_at_ms, body_digest
             )
             claim_key(transition, event, claim_request, request_class.deadline_s)
             return None
@@ -111,15 +111,15 @@
     return None
 
 
-def _is_key_usable(state: State, idempotency_key: str, body_digest: bytes, sent_at_ms: float) -> bool:
+def _is_key_usable(state: State, idempotency_key: str, body_digest: bytes, arrived_at_ms: float) -> bool:
     """Return False where the key stands for another body, or may have run in an earlier incarnation."""
     table = state.idempotency_table
     if table.conflicts_with(idempotency_key, body_digest):
         return False
     return (
         state.indeterminate_keys is None
-        or table.owner_at(idempotency_key, sent_at_ms) is not None
-        or not state.indeterminate_keys.may_have_run(idempotency_key, sent_at_ms)
+        or table.owner_at(idempotency_key, arrived_at_ms) is not None
+        or not state.indeterminate_keys.may_have_run(idempotency_key, arrived_at_ms)
     )
 
 
@@ -127,7 +127,7 @@
     transition: Transition,
     event: events.RequestReceived,
     request_class: RequestClass,
-    sent_at_ms: float,
+    arrived_at_ms: float,
     key: _KeyMatch,
 ) -> None:
     """Enter the request into the state and hand it to the controller."""
@@ -148,18 +148,18 @@
     state.requests[request.number] = request
     state.requests_by_attempt_id[event.attempt_id] = request
     state.requests_by_response_address[event.response_address] = request
-    transition.dispatch(_arrival(transition, event, request, sent_at_ms))
+    transition.dispatch(_arrival(transition, event, request, arrived_at_ms))
 
 
 def _arrival(
-    transition: Transition, event: events.RequestReceived, request: Request, sent_at_ms: float
+    transition: Transition, event: events.RequestReceived, request: Request, arrived_at_ms: float
 ) -> admission_events.RequestArrived:
     """Return the event that hands a request to the controller."""
     clock = transition.state.admission_clock
     now_ms = transition.now_ms
     time_left_s = None
     if event.timeout_ms is not None:
-        time_left_s = clock.duration_s(max(MIN_TIME_LEFT_MS, sent_at_ms + event.timeout_ms - now_ms))
+        time_left_s = clock.duration_s(max(MIN_TIME_LEFT_MS, arrived_at_ms + event.timeout_ms - now_ms))
     return admission_events.RequestArrived(
         request_id=request.number,
         class_name=event.class_name,
@@ -169,7 +169,7 @@
         rank=event.rank,
         caller_id=event.caller_id,
         tenant=event.tenant,
-        unread_s=clock.duration_s(now_ms - sent_at_ms),
+        unread_s=clock.duration_s(now_ms - arrived_at_ms),
         original_id=request.original_number,
     )
 
--- a/snowthread/core/events.py
+++ b/snowthread/core/events.py
@@ -29,8 +29,8 @@
     attempt_id: str
     class_name: str
     body: bytes
-    sent_at_ms: float  # when it reached the machine
-    timeout_ms: float | None  # from ``sent_at_ms``; None: the deadline of the class applies
+    arrived_at_ms: float  # when it reached the machine; it is read later, where the node is busy
+    timeout_ms: float | None  # from ``arrived_at_ms``; None: the deadline of the class applies
     caller_id: int  # of the balancer
     memory_kb: float  # that it occupies while it is queued
     rank: float  # among the requests of its class, 0 to 1
@@ -49,7 +49,7 @@
         request.attempt_id,
         request.class_name,
         request.body,
-        request.sent_at_ms,
+        request.arrived_at_ms,
         request.timeout_ms,
         request.caller_id,
         request.memory_kb,
@@ -271,7 +271,7 @@
 
     idempotency_key: str
     attempt_id: str
-    sent_at_ms: float
+    arrived_at_ms: float  # when the request of this attempt reached the machine
     body_digest: bytes
 
 
--- a/snowthread/core/idempotency.py
+++ b/snowthread/core/idempotency.py
@@ -12,7 +12,7 @@
 
 DIGEST_BYTES = 16
 MAX_RESULT_BYTES = 24 * 2**20  # of all results retained; the oldest are dropped, and their retries fail
-LATE_READ_ALLOWANCE_MS = 8_000.0  # a retry sent within the window may be read so much later
+LATE_READ_ALLOWANCE_MS = 8_000.0  # a retry that arrived within the window may be read so much later
 
 
 def key_digest(idempotency_key: str) -> bytes:
@@ -51,11 +51,11 @@
     def __len__(self) -> int:
         return len(self._expires_at_ms_by_digest)
 
-    def may_have_run(self, idempotency_key: str, sent_at_ms: float) -> bool:
+    def may_have_run(self, idempotency_key: str, arrived_at_ms: float) -> bool:
         """Return whether a request with this key may be a retry of one that ran."""
-        return sent_at_ms < self.any_until_ms or (
-            sent_at_ms < self.last_expiry_ms
-            and sent_at_ms < self._expires_at_ms_by_digest.get(key_digest(idempotency_key), 0.0)
+        return arrived_at_ms < self.any_until_ms or (
+            arrived_at_ms < self.last_expiry_ms
+            and arrived_at_ms < self._expires_at_ms_by_digest.get(key_digest(idempotency_key), 0.0)
         )
 
 
@@ -108,10 +108,10 @@
         record = self._by_key.get(idempotency_key)
         return record is not None and record.body_digest != body_digest
 
-    def owner_at(self, idempotency_key: str, sent_at_ms: float) -> int | None:
-        """Return the request that owns the key for a retry sent at this time, however late it is read."""
+    def owner_at(self, idempotency_key: str, arrived_at_ms: float) -> int | None:
+        """Return the request that owns the key for a retry that arrived then, however late it is read."""
         record = self._by_key.get(idempotency_key)
-        return record.request_number if record is not None and sent_at_ms < record.expires_at_ms else None
+        return record.request_number if record is not None and arrived_at_ms < record.expires_at_ms else None
 
     def remove(self, request_number: int) -> None:
         """Remove the record of a request that never ran."""
--- a/snowthread/core/key_claims.py
+++ b/snowthread/core/key_claims.py
@@ -48,7 +48,7 @@
 ) -> None:
     """Make a request wait until the predecessor has decided on its key.
 
-    ``class_deadline_s`` is the deadline of its class, from when the request was sent, which holds where the
+    ``class_deadline_s`` is the deadline of its class, from its arrival, which holds where the
     request has no timeout of its own.
     """
     state = transition.state
@@ -64,7 +64,7 @@
     timeout_ms = event.timeout_ms
     if timeout_ms is None:
         timeout_ms = state.admission_clock.duration_ms(class_deadline_s)
-    time_left_ms = max(0.0, claim_request.sent_at_ms + timeout_ms - transition.now_ms)
+    time_left_ms = max(0.0, claim_request.arrived_at_ms + timeout_ms - transition.now_ms)
     decide_by_ms = transition.now_ms + min(KEY_CLAIM_TIMEOUT_MS, KEY_CLAIM_WAIT_RATIO * time_left_ms)
     transition.emit(effects.ScheduleTimer(decide_by_ms, events.KeyClaimTimedOut(event.response_address)))
 
@@ -101,7 +101,7 @@
     """
     state = transition.state
     table = state.idempotency_table
-    is_free = table.owner_at(event.idempotency_key, event.sent_at_ms) is None
+    is_free = table.owner_at(event.idempotency_key, event.arrived_at_ms) is None
     granted = is_free and not table.conflicts_with(event.idempotency_key, event.body_digest)
     if granted:
         state.last_request_number += 1
--- a/snowthread/core/request_lifecycle.py
+++ b/snowthread/core/request_lifecycle.py
@@ -85,7 +85,7 @@
         admission_events.RunFinished(
             follower.number,
             Outcome.FAILURE if result is None else Outcome.SUCCESS,
-            transition.state.admission_clock.duration_s(transition.now_ms - follower.received_at_ms),
+            transition.state.admission_clock.duration_s(transition.now_ms - follower.read_at_ms),
         )
     )
 
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -56,7 +56,7 @@
     response_address: ResponseAddress | None
     idempotency_key: str | None
     original_number: int | None
-    received_at_ms: float
+    read_at_ms: float  # or taken up anew, where it waited for a decision on its key
     request_class: RequestClass  # as it was on arrival
     memory_kb: float  # used while queued; multiplied by the running memory factor while it runs
     body_digest: bytes = b""  # of class and body, where the class is keyed
--- a/snowthread/frontends/balancers/request_fields.py
+++ b/snowthread/frontends/balancers/request_fields.py
@@ -57,19 +57,19 @@
     )
     if not _NUMERIC_FIELDS.fullmatch(digits):
         raise FieldError("at, wait, kb, rank or from", "is not a number")
-    sent_at_ms, timeout_ms, memory_kb, rank, caller_id = map(float, digits.split(","))
+    arrived_at_ms, timeout_ms, memory_kb, rank, caller_id = map(float, digits.split(","))
     if not (
         0.0 <= timeout_ms <= MAX_TIMEOUT_MS and 0.0 < memory_kb < MAX_MEMORY_KB and 0.0 <= rank < MAX_RANK
     ):
         raise FieldError("wait, kb or rank", "is out of range")
-    if not now_ms - MAX_REQUEST_AGE_MS <= sent_at_ms <= now_ms + MAX_CLOCK_LEAD_MS:
+    if not now_ms - MAX_REQUEST_AGE_MS <= arrived_at_ms <= now_ms + MAX_CLOCK_LEAD_MS:
         raise FieldError("at", "is too far from the present")
     return events.RequestReceived(
         response_address=response_address,
         attempt_id=attempt_id,
         class_name=request.class_name,
         body=request.body,
-        sent_at_ms=sent_at_ms,
+        arrived_at_ms=arrived_at_ms,
         timeout_ms=None if wait is None else timeout_ms,
         caller_id=int(caller_id),
         memory_kb=memory_kb,
--- a/snowthread/hot_restart/messages.py
+++ b/snowthread/hot_restart/messages.py
@@ -138,7 +138,7 @@
         "asked",
         events.KeyClaimRequested,
         events.KeyClaimRequested,
-        {"idempotency_key": str, "attempt_id": str, "sent_at_ms": float, "body_digest": bytes},
+        {"idempotency_key": str, "attempt_id": str, "arrived_at_ms": float, "body_digest": bytes},
     ),
     MessageFormat(
         "judged",
--- a/snowthread/records/observer.py
+++ b/snowthread/records/observer.py
@@ -113,8 +113,8 @@
     def _request_received(self, event: events.RequestReceived, now: float) -> None:
         # A class that the settings don't name is whatever a caller wrote: it gets no row of its own.
         name = event.class_name if event.class_name in self._latency_objectives_ms else ""
-        sent_at = event.sent_at_ms
-        request = OpenRequest(event.attempt_id, name, event.tenant, min(sent_at, now))
+        arrived_at = event.arrived_at_ms
+        request = OpenRequest(event.attempt_id, name, event.tenant, min(arrived_at, now))
         self._open[event.response_address] = request
         self._by_attempt[event.attempt_id] = request
         self._just_received = request
@@ -124,9 +124,9 @@
         least = ages.get(caller)
         if least is None:
             if len(ages) < MAX_CALLERS:
-                ages[caller] = now - sent_at
-        elif now - sent_at < least:
-            ages[caller] = now - sent_at
+                ages[caller] = now - arrived_at
+        elif now - arrived_at < least:
+            ages[caller] = now - arrived_at
 
     def _run_completed(self, event: events.RunCompleted, _now: float) -> None:
         class_name = self._run_classes.pop(event.attempt_id, None)
@@ -168,7 +168,7 @@
         match effect.response:
             case effects.Served():
                 objective_ms = self._latency_objectives_ms.get(request.class_name, 0.0)
-                if now - request.received_at_ms <= objective_ms:
+                if now - request.arrived_at_ms <= objective_ms:
                     totals.served += 1
                 else:
                     totals.late += 1
--- a/snowthread/records/open_request.py
+++ b/snowthread/records/open_request.py
@@ -10,21 +10,21 @@
     """A request that is not answered yet. No dataclass: one is made for each request."""
 
     __slots__ = (
+        "arrived_at_ms",
         "attempt_id",
         "call_in_flight",
         "class_name",
         "counted_in",
-        "received_at_ms",
         "run_started",
         "tenant",
         "totals",
     )
 
-    def __init__(self, attempt_id: str, class_name: str, tenant: str, received_at_ms: float) -> None:
+    def __init__(self, attempt_id: str, class_name: str, tenant: str, arrived_at_ms: float) -> None:
         self.attempt_id = attempt_id
         self.class_name = class_name
         self.tenant = tenant
-        self.received_at_ms = received_at_ms  # when it reached the machine
+        self.arrived_at_ms = arrived_at_ms
         self.run_started = False
         self.call_in_flight = False
         self.totals: Totals | None = None  # its row in the second where it was counted last
--- a/snowthread/recovery/request_admission.py
+++ b/snowthread/recovery/request_admission.py
@@ -73,7 +73,7 @@
     key = request.idempotency_key
     if not key:
         return False
-    at_ms = min(request.sent_at_ms, now_ms)
+    at_ms = min(request.arrived_at_ms, now_ms)
     if state.idempotency_table.owner_at(key, at_ms) is not None:
         return True
     indeterminate_keys = state.indeterminate_keys
--- a/snowthread/recovery/warmup.py
+++ b/snowthread/recovery/warmup.py
@@ -50,7 +50,7 @@
         if request_class.skipped_call_weight or not request_class.may_call:
             return
         objective_ms = request_class.latency_objective_s * MS_PER_S
-        in_time = now_ms - request.received_at_ms <= objective_ms
+        in_time = now_ms - request.read_at_ms <= objective_ms
         self._pacer.run_ended(now_ms, event.outcome is Outcome.SUCCESS and in_time, objective_ms)
 
     def update_speed(self, controller: Controller, restored: LearnedState, at_s: float) -> None:
--- a/tests/frontends/test_balancer_codec.py
+++ b/tests/frontends/test_balancer_codec.py
@@ -86,7 +86,7 @@
         attempt_id="00000000000000a1",
         class_name="match",
         body=b"x",
-        sent_at_ms=NOW_MS,
+        arrived_at_ms=NOW_MS,
         timeout_ms=9000.0,
         caller_id=4,
         memory_kb=20.0,
--- a/tests/hot_restart/test_hot_restart_capacity.py
+++ b/tests/hot_restart/test_hot_restart_capacity.py
@@ -24,7 +24,7 @@
                 attempt_id(prefix, index),
                 method="match",
                 key=None,
-                sent_at_ms=pair.predecessor.clock.now_ms,
+                arrived_at_ms=pair.predecessor.clock.now_ms,
                 timeout_ms=9000,
                 memory_kb=memory_kb,
             )
--- a/tests/hot_restart/test_hot_restart_faults.py
+++ b/tests/hot_restart/test_hot_restart_faults.py
@@ -49,7 +49,7 @@
 
     def request(sock: socket.socket | None, number: int, attempt_id: str, key: str) -> None:
         if sock is not None:
-            pair.request(sock, number, attempt_id, key=key, sent_at_ms=START)
+            pair.request(sock, number, attempt_id, key=key, arrived_at_ms=START)
 
     predecessor = pair.predecessor
     first = pair.connect(predecessor)
--- a/tests/hot_restart/test_hot_restart_keys.py
+++ b/tests/hot_restart/test_hot_restart_keys.py
@@ -70,9 +70,9 @@
     pair.end(pair.predecessor)
     pair.settle()
     assert responses(second) == [[1, "Failed", None]]
-    pair.request(second, 2, THIRD, sent_at_ms=START, key="k1")
+    pair.request(second, 2, THIRD, arrived_at_ms=START, key="k1")
     assert responses(second) == [[2, "Failed", None]]
-    pair.request(second, 3, THIRD, sent_at_ms=START, key="k9")
+    pair.request(second, 3, THIRD, arrived_at_ms=START, key="k9")
     assert responses(second) == []
     assert pair.started_runs(pair.successor) == [THIRD]
     assert pair.successor.node.state.handover_role is HandoverRole.STANDALONE
--- a/tests/hot_restart/test_hot_restart_program.py
+++ b/tests/hot_restart/test_hot_restart_program.py
@@ -90,7 +90,7 @@
 
 def request_with_key(number: int, attempt_id: str, key: str, body: bytes) -> bytes:
     return packed_request(
-        number, attempt_id, sent_at_ms=time.time() * 1000, key=key, body=body, timeout_ms=9000
+        number, attempt_id, arrived_at_ms=time.time() * 1000, key=key, body=body, timeout_ms=9000
     )
 
 
--- a/tests/records/test_record_observer.py
+++ b/tests/records/test_record_observer.py
@@ -49,12 +49,22 @@
     ) -> str:
         """Receive a request and return its attempt id."""
         attempt_id = f"{number:016x}"
-        sent_at = self.now - 5.0
+        arrived_at = self.now - 5.0
         address = (1, number)
         caller = number % 3
         self.post(
             events.RequestReceived(
-                address, attempt_id, class_name, b"b", sent_at, 5000.0, caller, 20.0, 0.5, key, tenant=tenant
+                address,
+                attempt_id,
+                class_name,
+                b"b",
+                arrived_at,
+                5000.0,
+                caller,
+                20.0,
+                0.5,
+                key,
+                tenant=tenant,
             )
         )
         return attempt_id
--- a/tests/support/core_events.py
+++ b/tests/support/core_events.py
@@ -10,7 +10,7 @@
 
 
 def make_request(
-    number: int, class_name: str, sent_at_ms: float, idempotency_key: str | None = None
+    number: int, class_name: str, arrived_at_ms: float, idempotency_key: str | None = None
 ) -> events.RequestReceived:
     """Return a request whose number stands in its attempt id, response address and key."""
     return events.RequestReceived(
@@ -18,7 +18,7 @@
         attempt_id=f"{number:016x}",
         class_name=class_name,
         body=b"p",
-        sent_at_ms=sent_at_ms,
+        arrived_at_ms=arrived_at_ms,
         timeout_ms=5000.0,
         caller_id=4,
         memory_kb=20.0,
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -29,7 +29,7 @@
     number: int,
     attempt_id: str,
     *,
-    sent_at_ms: float,
+    arrived_at_ms: float,
     method: str = "dispense",
     key: str | None = DEFAULT_KEY,
     body: bytes = b"p",
@@ -39,7 +39,7 @@
     """Return a balancer's request."""
     fields = {
         "id": attempt_id,
-        "at": f"{sent_at_ms:.0f}",
+        "at": f"{arrived_at_ms:.0f}",
         "from": "4",
         "wait": str(timeout_ms),
         "kb": str(memory_kb),
@@ -226,14 +226,14 @@
         number: int,
         attempt_id: str,
         *,
-        sent_at_ms: float | None = None,
+        arrived_at_ms: float | None = None,
         settle: bool = True,
         **fields: Any,
     ) -> None:
         """Send a request; ``fields`` as in :func:`packed_request`."""
-        if sent_at_ms is None:
-            sent_at_ms = self.running[0].clock.now_ms
-        sock.sendall(packed_request(number, attempt_id, sent_at_ms=sent_at_ms, **fields))
+        if arrived_at_ms is None:
+            arrived_at_ms = self.running[0].clock.now_ms
+        sock.sendall(packed_request(number, attempt_id, arrived_at_ms=arrived_at_ms, **fields))
         if settle:
             self.settle()
 
