--- a/snowthread/config.py
+++ b/snowthread/config.py
@@ -26,7 +26,7 @@
 
 DEFAULT_MAX_SOCKETS = 1024  # where the file sets no limit
 DEFAULT_MEMORY_MB = 192.0  # where the file sets no limit
-DEFAULT_GRACE_PERIOD_MS = 3000.0  # where the file states none
+DEFAULT_TERMINATION_GRACE_PERIOD_MS = 3000.0  # where the file states none
 MAX_SOCKETS_MIN = 64  # with fewer a node has none left for balancers
 SEED_BASE = 16
 FIELD_BY_VARIABLE = {"NODE_NAME": "name", "NODE_LISTEN": "listen", "NODE_ADMIN_ADDR": "admin_addr"}
@@ -61,7 +61,7 @@
     registry: Address
     database: Address | None  # None where the settings say that runs call no database
     seed: int
-    grace_period_ms: float  # from SIGTERM to the kill
+    termination_grace_period_ms: float  # from SIGTERM to the kill
     sockets: int  # the most that may be open
     memory_mb: float
     settings: Settings
@@ -139,7 +139,7 @@
     registry = _parse_address(fields, "roster")
     database = _parse_address(fields, "index") if fields.get("index") else None
     admin = _parse_address(fields, "admin_addr") if fields.get("admin_addr") is not None else None
-    grace_period_ms = _parse_grace_period_ms(fields)
+    termination_grace_period_ms = _parse_termination_grace_period_ms(fields)
     sockets, memory_mb = _parse_limits(fields)
     seed = _parse_seed(fields)
     settings, gauge_names = _parse_settings(fields, seed)
@@ -152,7 +152,7 @@
         registry=registry,
         database=database,
         seed=seed,
-        grace_period_ms=grace_period_ms,
+        termination_grace_period_ms=termination_grace_period_ms,
         sockets=sockets,
         memory_mb=memory_mb,
         settings=settings,
@@ -175,11 +175,11 @@
         raise ConfigError(str(error), key=key) from None
 
 
-def _parse_grace_period_ms(fields: Mapping[str, Any]) -> float:
-    grace_period_ms = fields.get("stop_ms", DEFAULT_GRACE_PERIOD_MS)
-    if not _is_positive_number(grace_period_ms):
+def _parse_termination_grace_period_ms(fields: Mapping[str, Any]) -> float:
+    termination_grace_period_ms = fields.get("stop_ms", DEFAULT_TERMINATION_GRACE_PERIOD_MS)
+    if not _is_positive_number(termination_grace_period_ms):
         raise ConfigError("a number of milliseconds above 0 is wanted", key="stop_ms")
-    return float(grace_period_ms)
+    return float(termination_grace_period_ms)
 
 
 def _parse_limits(fields: Mapping[str, Any]) -> tuple[int, float]:
--- a/snowthread/node/shutdown.py
+++ b/snowthread/node/shutdown.py
@@ -1,19 +1,22 @@
-"""Graceful shutdown: from the signal to the exit, within the grace period that the platform gives.
+"""Graceful shutdown: from the signal to the exit, within the termination grace period of the platform.
 
-The platform kills the process at a known time, the grace period after the signal. In this order:
+The platform kills the process at a known time, the termination grace period (``stop_ms``) after the signal.
+In this order:
 
 1. At the signal the core is notified: it deregisters the node (:mod:`snowthread.core.shutdown`), and the
    admission controller decides what still starts (:mod:`snowthread.admission.graceful_shutdown`). Every
    connection is sent a farewell. Requests go on being read and answered.
 2. ``CLOSE_LISTENER_BEFORE_KILL_MS`` before the kill pending connections are accepted and the listener is
-   closed.
+   closed. An idle process waits for this too: balancers learn late that the node is deregistered, and what
+   they send meanwhile is answered.
 3. ``ANSWER_ALL_MARGIN_S`` before the kill the admission controller has whatever is open answered.
 4. The process exits once all is answered and nothing happened for ``QUIET_BEFORE_EXIT_MS``, and at
    ``EXIT_BEFORE_KILL_MS`` before the kill in any case.
 
 A process that shares the listening socket with a successor leaves new clients to it: the listener is not
-closed (step 2), step 4 may come as soon as the successor serves, and the grace period is no longer than open
-requests can need.
+closed (step 2), step 4 may come as soon as all is answered, and the time until the assumed kill is no longer
+than open requests can need. That time is set once, at the signal: a successor that comes or goes later does
+not change it. Without a successor such a process serves until step 4 at the latest.
 """
 
 from __future__ import annotations
@@ -29,11 +32,11 @@
 from snowthread.hot_restart.channel import HotRestartChannel
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
 
-CLOSE_LISTENER_BEFORE_KILL_MS = 500.0  # what has come by then is answered by the kill
+CLOSE_LISTENER_BEFORE_KILL_MS = 500.0  # leaves time to answer, before the kill, what was accepted last
 EXIT_BEFORE_KILL_MS = 120.0  # the process exits by then, whatever is left unanswered
 POLL_INTERVAL_MS = 10.0  # between two checks whether all is answered
 QUIET_BEFORE_EXIT_MS = 100.0  # without any work; what crosses a farewell on the wire takes up to 50 ms
-SUPERSEDED_GRACE_MS = 700.0  # with a successor: this long beyond the longest deadline
+SUPERSEDED_MARGIN_MS = 700.0  # with a successor: from the longest deadline to the assumed kill
 SUPERSEDED_DEADLINE_MAX_MS = 3000.0  # the longest deadline counts for no more than this
 
 
@@ -60,31 +63,37 @@
         self._node = node
 
     def begin(self, signalled_at_ms: float) -> None:
-        """Begin to shut down; the grace period counts from the signal, not from now."""
+        """Begin to shut down; the time until the kill counts from the signal, not from now."""
         node = self._node
         clock = node.loop.clock
-        grace_ms = self._grace_ms()
+        kill_after_ms = self._kill_after_ms()
         elapsed_ms = max(0.0, clock.now() - signalled_at_ms)
-        logger.bind(event="node.shutdown").info("graceful shutdown begins, {} ms until the kill", grace_ms)
-        node.post(events.ShutdownRequested(grace_ms - elapsed_ms, elapsed_ms))
+        logger.bind(event="node.shutdown").info(
+            "graceful shutdown begins, {} ms from the signal until the kill", kill_after_ms
+        )
+        node.post(events.ShutdownRequested(kill_after_ms - elapsed_ms, elapsed_ms))
         node.balancers.send_farewell_to_all()
-        kill_at_ms = clock.now() + grace_ms - elapsed_ms
+        kill_at_ms = clock.now() + kill_after_ms - elapsed_ms
         if node.hot_restart is None:
             steps = self.serve_until_kill(kill_at_ms)
         else:
             steps = self.serve_until_superseded(kill_at_ms, node.hot_restart)
         node.loop.spawn(steps)
 
-    def _grace_ms(self) -> float:
-        """Return the time until the kill; with a successor no more than open requests can need."""
+    def _kill_after_ms(self) -> float:
+        """Return the time from the signal to the kill; with a successor no more than open requests can need.
+
+        Computed once, at the signal: the controller plans its answers by it.
+        """
         config = self._node.config
         if not self._node.state.superseded:
-            return config.grace_period_ms
+            return config.termination_grace_period_ms
         longest_deadline_ms = AdmissionClock.duration_ms(
             max(request_class.deadline_s for request_class in config.settings.classes)
         )
         return min(
-            config.grace_period_ms, SUPERSEDED_GRACE_MS + min(SUPERSEDED_DEADLINE_MAX_MS, longest_deadline_ms)
+            config.termination_grace_period_ms,
+            SUPERSEDED_MARGIN_MS + min(SUPERSEDED_DEADLINE_MAX_MS, longest_deadline_ms),
         )
 
     def serve_until_superseded(self, kill_at_ms: float, channel: HotRestartChannel) -> TaskSteps:
--- a/snowthread/node/signals.py
+++ b/snowthread/node/signals.py
@@ -67,7 +67,7 @@
     def _note_shutdown_signal(self, *_: object) -> None:
         """Note when a signal to shut down came.
 
-        The loop may be late to read of it, and the grace period counts from the signal.
+        The loop may be late to read of it, and the termination grace period counts from the signal.
         """
         self._shutdown_signal_at_ms = min(self._shutdown_signal_at_ms, self._loop.clock.now())
 
