--- a/snowthread/clients/database.py
+++ b/snowthread/clients/database.py
@@ -59,7 +59,7 @@
         """Make a call on an idle connection, else on a new one.
 
         A call that may not be retried never uses an idle connection: a reset there would leave open whether
-        it ran.
+        it ran, and :meth:`.DatabaseConnection.exchange` has it count as never run.
         """
         self.cancel_call(call.attempt_id)
         if self._address is None:
--- a/snowthread/clients/database_connection.py
+++ b/snowthread/clients/database_connection.py
@@ -44,7 +44,7 @@
         self.sock: socket.socket | None = None
         self.task: Task | None = None
         self._unsent = b""  # of the call's request
-        self._progress = Progress.NOT_CONNECTED  # what a failure would prove now
+        self._progress = Progress.NOT_CONNECTED  # as which a failure would count now
         self._reader = ResponseReader()
 
     def has_nothing_to_read(self) -> bool:
@@ -74,7 +74,8 @@
             self.sock = attempt.sock
         now_ms = self._loop.clock.now()
         self._unsent = encode(call, f"{address.host}:{address.port}", deadline_ms - now_ms)
-        # Idle connections are at times dropped and reset at the next call, which then never ran.
+        # Idle connections are at times dropped and reset at the next call, which then counts as never run.
+        # That is no proof: it holds because DatabaseClient.start_call makes only retryable calls on them.
         self._progress = Progress.NOT_CONNECTED if was_used else Progress.SENT
         self._reader = ResponseReader()
         if now_ms >= deadline_ms:
