--- a/snowthread/frontends/balancers/connection.py
+++ b/snowthread/frontends/balancers/connection.py
@@ -51,9 +51,9 @@
         "_messages",
         "_owner",
         "abuse_budget",
-        "broken",
         "clock",
-        "ending",
+        "closing_at_once",
+        "closing_gracefully",
         "farewell_at_ms",
         "number",
         "open_numbers",
@@ -71,8 +71,8 @@
         self.post = owner.post
         self.open_numbers: set[int] = set()  # messages that are still to be answered
         self.farewell_at_ms = math.inf
-        self.broken = False  # to be closed at once
-        self.ending = False  # nothing more is read
+        self.closing_at_once = False  # failed, evicted or closed: nothing more is read or sent
+        self.closing_gracefully = False  # nothing more is read; what is unsent is sent first
         self.abuse_budget = AbuseBudget(self.clock.now())
         self.writer = BufferedSocketWriter(sock, self.clock)
         self._messages = MessageStream(self.clock)
@@ -115,7 +115,7 @@
 
     def write(self, data: bytes) -> None:
         """Send what the socket takes and buffer the rest; a connection that takes too little is aborted."""
-        if self.broken:
+        if self.closing_at_once:
             return
         try:
             self.writer.write(data)
@@ -127,18 +127,18 @@
 
     def send_farewell(self) -> None:
         """Ask the peer, once, to send nothing new here and to close."""
-        if self.farewell_at_ms == math.inf and not self.ending:
+        if self.farewell_at_ms == math.inf and not self.closing_gracefully:
             self.farewell_at_ms = self.clock.now()
             self.write(FAREWELL)
 
     def abort(self) -> None:
         """Close at once, in the loop's next round."""
-        self.broken = True
+        self.closing_at_once = True
         self._owner.loop.wake(self.task)
 
     def close_gracefully(self) -> None:
         """Read nothing more; fail the open requests, send what is unsent and close."""
-        self.ending = True
+        self.closing_gracefully = True
         self._owner.loop.wake(self.task)
 
     # Reading.
@@ -150,11 +150,11 @@
         was written, and a close would lose it.
         """
         try:
-            if not self.broken and not self.ending and not self._read():
-                self.ending = True
+            if not self.closing_at_once and not self.closing_gracefully and not self._read():
+                self.closing_gracefully = True
         except OSError:
-            self.broken = True
-        if self.broken or self.ending:
+            self.closing_at_once = True
+        if self.closing_at_once or self.closing_gracefully:
             self._owner.loop.wake(self.task)
 
     def _read(self) -> bool:
@@ -168,7 +168,7 @@
         invalid = self._messages.feed(data, self._handle)
         if invalid is not None:
             reject_invalid(self, invalid)
-            self.ending = True
+            self.closing_gracefully = True
         elif self._messages.partial_message and not self.open_numbers:
             # A request is arriving in pieces: silent connections are evicted before this one.
             self.mark_active()
@@ -177,13 +177,13 @@
     def _handle(self, message: DecodedMessage) -> bool:
         """Handle a message; return whether the next one is to be read."""
         handle_message(self, message)
-        return not self.broken and not self.ending
+        return not self.closing_at_once and not self.closing_gracefully
 
     # The connection's task.
 
     def _steps(self) -> TaskSteps:
         try:
-            while not self.broken and not self.ending:
+            while not self.closing_at_once and not self.closing_gracefully:
                 reads = len(self.writer.unsent) < UNSENT_PAUSE_BYTES
                 mask = (READABLE if reads else 0) | (WRITABLE if self.writer.unsent else 0)
                 ready = yield Wait(self.sock.fileno(), mask)
@@ -191,8 +191,13 @@
                     self.writer.flush()
                     if not self.writer.unsent:
                         self.mark_active()
-                if ready & (READABLE | HANGUP) and not self.broken and not self.ending and not self._read():
-                    self.ending = True
+                if (
+                    ready & (READABLE | HANGUP)
+                    and not self.closing_at_once
+                    and not self.closing_gracefully
+                    and not self._read()
+                ):
+                    self.closing_gracefully = True
             logger.debug(
                 "balancer connection {}: closes, {} requests open", self.number, len(self.open_numbers)
             )
@@ -201,7 +206,7 @@
         except OSError as error:
             logger.debug("balancer connection {}: {}", self.number, error)
         finally:
-            self.broken = True
+            self.closing_at_once = True
             self._owner.connection_closed(self)
 
     def _fail_open_requests(self) -> None:
--- a/snowthread/frontends/balancers/message_handler.py
+++ b/snowthread/frontends/balancers/message_handler.py
@@ -34,7 +34,7 @@
     clock: Clock
     open_numbers: set[int]  # messages that are still to be answered
     abuse_budget: AbuseBudget
-    ending: bool  # nothing more is read
+    closing_gracefully: bool  # nothing more is read
 
     def write(self, data: bytes) -> None:
         """Send an answer."""
@@ -69,7 +69,7 @@
         return
     if len(open_numbers) >= MAX_OPEN_REQUESTS:
         reject_invalid(connection, InvalidMessage(message.number, Violation.TOO_MANY_OPEN_REQUESTS))
-        connection.ending = True
+        connection.closing_gracefully = True
         return
     request = parse_request(message, (connection.number, message.number), connection.clock.now())
     if isinstance(request, InvalidMessage):
@@ -108,7 +108,7 @@
     """
     logger.debug("balancer connection {}: {} {}", connection.number, message.violation.value, message.detail)
     if message.number is None:
-        connection.ending = True
+        connection.closing_gracefully = True
     else:
         connection.write(encode(message.number, effects.Failed(), None))
         _charge_abuse(connection)
@@ -116,4 +116,4 @@
 
 def _charge_abuse(connection: MessageConnection) -> None:
     if not connection.abuse_budget.spend(connection.clock.now()):
-        connection.ending = True
+        connection.closing_gracefully = True
--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -128,7 +128,7 @@
 
     def _close_now(self, connection: BalancerConnection) -> None:
         """Close within this round of the loop, because the descriptor is needed."""
-        connection.broken = True
+        connection.closing_at_once = True
         self.loop.end_task(connection.task)
         if connection.number in self._connections:  # a task that never ran does not call connection_closed
             self.connection_closed(connection)
@@ -138,7 +138,7 @@
     def mark_active(self, connection: BalancerConnection) -> None:
         """Restart the connection's idle time, or note that it is busy."""
         self._idle_since_ms.pop(connection.number, None)
-        if connection.idle and not connection.broken:
+        if connection.idle and not connection.closing_at_once:
             self._idle_since_ms[connection.number] = self.loop.clock.now()
 
     def connection_closed(self, connection: BalancerConnection) -> None:
@@ -229,7 +229,8 @@
 
 def _log_without_result(response: effects.Rejected | effects.Failed) -> None:
     """Log, as a detail, which request gets no result, and why."""
-    if isinstance(response, effects.Rejected):
-        logger.debug("request {}: rejected: {}", response.attempt_id, response.reason)
+    request = response.attempt_id or "without an id"
+    if isinstance(response, effects.Failed):
+        logger.debug("request {}: failed", request)
     else:
-        logger.debug("request {}: failed", response.attempt_id)
+        logger.debug("request {}: rejected: {}", request, response.reason or "no reason given")
