--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -52,7 +52,7 @@
         self._sweeper = ConnectionSweeper(self._connections, self._idle_since_ms, max_unsent_bytes)
         self.set_max_connections(max_connections)
         self._last_connection_number = 0
-        self._draining = False  # connections are sent a farewell as soon as they are idle
+        self._releasing = False  # each connection is sent a farewell, new ones once they were served
         listener = (
             open_listener(address, LISTEN_BACKLOG)
             if listen_descriptor is None
@@ -69,7 +69,7 @@
     @property
     def accepting(self) -> bool:
         """Whether new connections are accepted and stay open."""
-        return not self.acceptor.stopped and not self._draining and not self.acceptor.paused
+        return not self.acceptor.stopped and not self._releasing and not self.acceptor.paused
 
     @property
     def busy(self) -> bool:
@@ -168,7 +168,7 @@
         if isinstance(effect.response, _WITHOUT_RESULT):
             _log_without_result(effect.response)
         connection.write(encode(number, effect.response, effect.load_report))
-        if self._draining and not connection.open_numbers:
+        if self._releasing and not connection.open_numbers:
             connection.send_farewell()
         self.mark_active(connection)
 
@@ -178,14 +178,14 @@
         while True:
             yield Wait(until_ms=self.loop.clock.now() + SWEEP_INTERVAL_MS)
             self._sweeper.sweep(
-                self.loop.clock.now(), closes_after_farewell=self.acceptor.paused or not self._draining
+                self.loop.clock.now(), closes_after_farewell=self.acceptor.paused or not self._releasing
             )
 
-    # Draining and stopping.
+    # Releasing clients and stopping.
 
     def send_farewell_to_all(self) -> None:
-        """Drain: send a farewell on all connections, and on new ones once they were served."""
-        self._draining = True
+        """Release the clients: send a farewell on all connections, and on new ones once they were served."""
+        self._releasing = True
         for connection in list(self._connections.values()):
             connection.send_farewell()
 
@@ -194,8 +194,8 @@
         self.acceptor.pause()
 
     def resume_accepting(self) -> None:
-        """Accept connections again and stop draining."""
-        self._draining = False
+        """Accept connections again, and retain them."""
+        self._releasing = False
         self.acceptor.resume()
 
     def stop_accepting(self) -> None:
