--- a/tests/node/test_node_shutdown.py
+++ b/tests/node/test_node_shutdown.py
@@ -84,7 +84,7 @@
 
 @pytest.mark.usefixtures("restored_signals")
 @pytest.mark.parametrize(("after", "runs"), [(1950.0, True), (2010.0, False)])
-def test_grace_period_counts_from_the_signal_not_from_its_read(
+def test_time_to_accept_requests_counts_from_the_signal_not_from_its_read(
     harness: NodeHarness, after: float, runs: bool
 ) -> None:
     harness.connect("1")
