--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -7,8 +7,8 @@
 1.10 of an earlier version (a ratio of CPU in one run, so that a noisy machine does not decide). Ends with one
 JSON object; status 1 if an objective is missed.
 
-``--only off`` compares the CPU a request and the memory of a node without features with the version
-``BEFORE``; the other parts are service, change_to_decision, look_up, gate, full_sync and codec.
+``--only off`` compares the CPU a request, the CPU of the start and the memory of a node without features with
+the version ``BEFORE``; the other parts are service, change_to_decision, look_up, gate, full_sync and codec.
 """
 
 from __future__ import annotations
@@ -21,6 +21,7 @@
 import tempfile
 from collections.abc import Callable, Mapping
 from contextlib import ExitStack
+from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
 from typing import Any
@@ -35,7 +36,7 @@
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 from snowthread.lab.process_usage import cpu_seconds, resident_mb
 
-BEFORE = "4b467b1"  # the version that the part ``off`` compares with
+BEFORE = "cf437b5"  # the version that the part ``off`` compares with
 PACKAGES_BEFORE = ("snowthread", "clovertack")  # the program's top-level packages, then or now
 CORES = 4
 RUN_MS = 20.0
@@ -161,8 +162,17 @@
     return True
 
 
+@dataclass(frozen=True, slots=True)
+class NodeCost:
+    """What a node took to start and to answer a load."""
+
+    start_cpu_s: float
+    request_cpu_us: float
+    memory_mb: float
+
+
 def off(rounds: int, requests: int) -> dict[str, float] | None:
-    """Compare the CPU a request and the memory of a node without features with ``BEFORE``, turn by turn."""
+    """Compare what a node without features costs with ``BEFORE``, turn by turn."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         before = folder / "before"
@@ -170,25 +180,31 @@
         if not extract_version(BEFORE, before):
             return None
         roots = {"before": before, "now": ROOT}
-        cpu_us: dict[str, list[float]] = {which: [] for which in roots}
-        memory_mb: dict[str, list[float]] = {which: [] for which in roots}
+        costs: dict[str, list[NodeCost]] = {which: [] for which in roots}
         for n in range(rounds):
             for which in ("before", "now") if n % 2 else ("now", "before"):
                 place = folder / f"{which}{n}"
                 place.mkdir()
-                cpu, memory = bare_node(place, roots[which], n, requests)
-                cpu_us[which].append(cpu)
-                memory_mb[which].append(memory)
+                costs[which].append(bare_node(place, roots[which], n, requests))
+    before_us = [cost.request_cpu_us for cost in costs["before"]]
+    now_us = [cost.request_cpu_us for cost in costs["now"]]
     return {
-        "before_us": quantile(cpu_us["before"], 0.5),
-        "now_us": quantile(cpu_us["now"], 0.5),
-        "cpu_ratio": sum(cpu_us["now"]) / sum(cpu_us["before"]),
-        "memory_ratio": sum(memory_mb["now"]) / sum(memory_mb["before"]),
+        "before_us": quantile(before_us, 0.5),
+        "now_us": quantile(now_us, 0.5),
+        "cpu_ratio": sum(now_us) / sum(before_us),
+        "start_cpu_ratio": _ratio_of_sums(costs, "start_cpu_s"),
+        "memory_ratio": _ratio_of_sums(costs, "memory_mb"),
     }
 
 
-def bare_node(folder: Path, root: Path, seed: int, requests: int) -> tuple[float, float]:
-    """Return the CPU a request (microseconds) and the memory (MB) of a node run from this root."""
+def _ratio_of_sums(costs: Mapping[str, list[NodeCost]], field: str) -> float:
+    now = sum(getattr(cost, field) for cost in costs["now"])
+    before = sum(getattr(cost, field) for cost in costs["before"])
+    return float(now / before)
+
+
+def bare_node(folder: Path, root: Path, seed: int, requests: int) -> NodeCost:
+    """Return what a node costs that is run from this root."""
     with ExitStack() as stack:
         setup = Setup(stack, folder, 64, 1.0, tenants=False, cwd=root)
         load = LoadGenerator(setup.listen, SOURCES)
@@ -197,7 +213,7 @@
         cpu_us = (cpu_seconds(setup.node.pid) - began) / len(load.sent_requests) * US_PER_S
         memory_mb = resident_mb(setup.node.pid)
         load.close()
-    return cpu_us, memory_mb
+    return NodeCost(start_cpu_s=began, request_cpu_us=cpu_us, memory_mb=memory_mb)
 
 
 def run_service(seed: int, seconds: float) -> dict[str, Any]:
