--- a/snowthread/node/shutdown.py
+++ b/snowthread/node/shutdown.py
@@ -16,7 +16,7 @@
 A process that shares the listening socket with a successor leaves new clients to it: the listener is not
 closed (step 2), step 4 may come as soon as all is answered, and the time until the assumed kill is no longer
 than open requests can need. That time is set once, at the signal: a successor that comes or goes later does
-not change it. Without a successor such a process serves until step 4 at the latest.
+not change it. Without a successor it serves until ``EXIT_BEFORE_KILL_MS`` before the kill, idle or not.
 """
 
 from __future__ import annotations
@@ -99,7 +99,7 @@
     def serve_until_superseded(self, kill_at_ms: float, channel: HotRestartChannel) -> TaskSteps:
         """Leave new clients to the successor and exit once all is answered.
 
-        The listening socket is shared: closing it here would reject nobody. Without a successor, serve until
+        The listening socket is shared: its close here would refuse nobody. Without a successor, serve until
         shortly before the kill.
         """
         node = self._node
