--- a/snowthread/core/request_lifecycle.py
+++ b/snowthread/core/request_lifecycle.py
@@ -19,7 +19,8 @@
 RUNNING            ``RunCompleted``: cancelled, and an        QUEUED
                    answer is owed
 RUNNING            ``RunCompleted``: any other                finished
-RUNNING            action ``AbandonRun``                      finished
+RUNNING            action ``AbandonRun``: the run is          finished
+                   presumed lost
 AWAITING_ORIGINAL  the original's run ends                    finished, with the original's result
 AWAITING_ORIGINAL  action ``Reject``, ``Fail``;               finished
                    ``RequestCancelled``
@@ -79,7 +80,6 @@
     """Answer a retry with the result of its original (None: failed), and finish it."""
     response = effects.Failed(follower.attempt_id) if result is None else effects.Served(result)
     answer(transition, follower, response)
-    follower.phase = RequestPhase.QUEUED
     finish(transition, follower, None)
     transition.dispatch(
         admission_events.RunFinished(
--- a/snowthread/core/run.py
+++ b/snowthread/core/run.py
@@ -1,8 +1,8 @@
 """The run of a request at the runtime: what is known of its start, and of the command that it goes on with.
 
 States of a run (:class:`RunState`) and what moves it on. A run begins when the admission controller starts
-it, and is dropped when it ends or is abandoned, in whichever state. *Resynchronisation* is the step after a
-broken link when all missed notices were read (:mod:`snowthread.core.runtime_resync`).
+it, and is dropped when it ends or is presumed lost, in whichever state. *Resynchronisation* is the step after
+a broken link when all missed notices were read (:mod:`snowthread.core.runtime_resync`).
 
 ===================  ======================================================  ===================
 state                event                                                   next
@@ -26,6 +26,9 @@
 
 ``stop_requested`` is no state of its own: until the runtime reports the end of the run, what is known of the
 start still decides what a broken link leaves open. A run whose start is queued ends at once instead.
+
+The action ``SkipCall`` changes no state either: a run that is REPLY_INDETERMINATE stays so until its next
+``CallRequested``. The limits that follow are in :mod:`snowthread.core.runtime_resync`.
 """
 
 from __future__ import annotations
--- a/snowthread/core/run_completion.py
+++ b/snowthread/core/run_completion.py
@@ -1,4 +1,10 @@
-"""Ends of runs: the result is recorded, and the request is answered or queued again."""
+"""Ends of runs: the result is recorded, and the request is answered or queued again.
+
+Limits: a run that the runtime cancels of its own accord goes back to the controller. With ``Preemption.DROP``
+only an idempotent request starts again. With ``NONE`` and ``PAUSE`` the controller takes the run for one that
+continues where it was, and sends its start again for each kind of request. The code does not check that the
+runtime continues it.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +17,7 @@
 
 
 def run_completed(transition: Transition, event: events.RunCompleted) -> None:
-    """Finish the request whose run ended, or queue it again where its run was preempted."""
+    """Finish the request whose run ended, or queue it again where its run was cancelled unasked."""
     state = transition.state
     result = event.result if event.outcome is Outcome.SUCCESS else None
     if event.outcome is not Outcome.NOT_STARTED:
@@ -22,7 +28,8 @@
     cancel_call(transition, request)
     request.run = None
     if event.outcome is Outcome.CANCELLED and request.response_address is not None:
-        # Stopped while an answer is owed. A keyed attempt does not start again, so its followers fail.
+        # Cancelled by the runtime of its own accord: the controller stops only runs that are owed no answer.
+        # With Preemption.DROP it fails a keyed attempt now; its followers fail with any preemption.
         request.phase = RequestPhase.QUEUED
         if request.idempotency_key:
             complete_followers(transition, request, None)
--- a/snowthread/core/runtime_resync.py
+++ b/snowthread/core/runtime_resync.py
@@ -7,8 +7,22 @@
    its last command put it, unless that command may be lost.
 
 A run whose start or last reply may be lost and must not be sent again is reported to the controller as
-indeterminate. It counts as running until the runtime reports something of it, or until
-:mod:`snowthread.admission.lost_runs` takes it for lost and abandons it.
+indeterminate. It counts as running until the runtime reports something of it, or until it is presumed lost
+(:mod:`snowthread.admission.lost_runs`).
+
+Limits:
+
+- Only runs that were reported as indeterminate can be presumed lost. A run with a confirmed start and no
+  answer owed at the resynchronisation is not reported: it counts until the runtime reports its end.
+- Such a run may wait for a reply that was lost with the link. With ``Preemption.NONE`` it gets neither that
+  reply nor a stop.
+- A call skipped for a run that is REPLY_INDETERMINATE leaves the state and the link number of the run as they
+  are. If the skip may be lost with a second link, it is not sent again.
+- While :data:`~snowthread.clients.runtime.LOAD_SAMPLE_QUEUE_LIMIT` commands are unsent, requests for samples
+  are dropped, also the one that ends the resynchronisation. Then the runs of earlier links are not
+  resynchronised before the next link.
+- The runtime is assumed not to restart while the node serves. Its age and ``starts_cold`` are only read when
+  it connects before there is a controller: not on later links, nor after a first request.
 """
 
 from __future__ import annotations
@@ -33,7 +47,10 @@
 
 
 def runtime_connected(transition: Transition, event: events.RuntimeConnected) -> None:
-    """Send the commands that waited for a link, and ask for the sample that ends the resynchronisation."""
+    """Send the commands that waited for a link, and request the sample that ends the resynchronisation.
+
+    Before there is a controller, ``starts_cold`` of the settings becomes true where the runtime is cold.
+    """
     state = transition.state
     if state.controller is None:
         if event.starts_cold and not state.settings.starts_cold:
--- a/snowthread/core/settings_changes.py
+++ b/snowthread/core/settings_changes.py
@@ -1,7 +1,8 @@
 """Changes to what the controller works with while serving.
 
 Reloaded settings, tenant quotas, the pacing of calls during recovery, and the learned state of an earlier
-incarnation. The settings in effect are computed in :mod:`snowthread.core.effective_settings`.
+incarnation. The settings in effect are computed in :mod:`snowthread.core.effective_settings`. One field is
+changed elsewhere: ``starts_cold``, when the runtime connects (:mod:`snowthread.core.runtime_resync`).
 """
 
 from __future__ import annotations
