--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -160,7 +160,7 @@
     """Take the node into registration or out of it, as its health is."""
     state = transition.state
     # A process that shuts down is reported unhealthy by its controller. If that were stored, it would
-    # withdraw the registration under which its successor serves (``State.accepts_work``).
+    # withdraw the registration under which its successor serves (``NodeState.accepts_work``).
     if not state.shutting_down:
         state.healthy = action.healthy
     transition.emit(effects.SetRegistration(state.accepts_work))
--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -11,7 +11,7 @@
 from snowthread.core.idempotency import DIGEST_BYTES
 from snowthread.core.key_claims import ClaimDecision, claim_key, withdraw_claim
 from snowthread.core.request_lifecycle import cancel_call, release_if_answered
-from snowthread.core.state import HandoverRole, Request, State
+from snowthread.core.state import HandoverRole, NodeState, Request
 from snowthread.core.transition import HandlerTable, Transition
 
 MIN_TIME_LEFT_MS = 1.0  # reported for a request read past its deadline: 0 would mean that it has none
@@ -102,7 +102,7 @@
         transition.send_to_peer_process(events.KeyReleased(attempt_id))
 
 
-def _find_class(state: State, name: str, now_ms: float) -> RequestClass | None:
+def _find_class(state: NodeState, name: str, now_ms: float) -> RequestClass | None:
     """Return the class of this name, unless it was retired and its retention is over."""
     for request_class in state.settings.classes:
         if request_class.name == name:
@@ -111,7 +111,7 @@
     return None
 
 
-def _is_key_usable(state: State, idempotency_key: str, body_digest: bytes, arrived_at_ms: float) -> bool:
+def _is_key_usable(state: NodeState, idempotency_key: str, body_digest: bytes, arrived_at_ms: float) -> bool:
     """Return False where the key stands for another body, or may have run in an earlier incarnation."""
     table = state.idempotency_table
     if table.conflicts_with(idempotency_key, body_digest):
--- a/snowthread/core/key_claims.py
+++ b/snowthread/core/key_claims.py
@@ -20,7 +20,7 @@
 
 from snowthread.core import effects, events
 from snowthread.core.idempotency import IdempotencyRecord
-from snowthread.core.state import PendingClaim, State
+from snowthread.core.state import NodeState, PendingClaim
 from snowthread.core.transition import HandlerTable, Transition
 
 KEY_CLAIM_TIMEOUT_MS = 400.0  # the longest wait for a decision
@@ -69,7 +69,9 @@
     transition.emit(effects.ScheduleTimer(decide_by_ms, events.KeyClaimTimedOut(event.response_address)))
 
 
-def withdraw_claim(state: State, response_address: events.ResponseAddress) -> events.RequestReceived | None:
+def withdraw_claim(
+    state: NodeState, response_address: events.ResponseAddress
+) -> events.RequestReceived | None:
     """Drop a request that waits for a decision on its key; return it, or None where none waits."""
     for claim in state.pending_claims.values():
         for request in claim.waiting:
--- a/snowthread/core/load_samples.py
+++ b/snowthread/core/load_samples.py
@@ -8,7 +8,7 @@
 from snowthread.core.peer_process import report_load
 from snowthread.core.run_commands import request_load_sample
 from snowthread.core.runtime_resync import end_runs_stopped_unseen, resume_runs, sync_tag
-from snowthread.core.state import HandoverRole, State
+from snowthread.core.state import HandoverRole, NodeState
 from snowthread.core.transition import HandlerTable, Transition
 
 LOAD_SAMPLE_LEAD_MS = 20.0  # before the update that it is for, a sample is requested
@@ -44,7 +44,7 @@
         report_load(transition)
 
 
-def _measured_load(state: State, now_ms: float) -> dict[str, float]:
+def _measured_load(state: NodeState, now_ms: float) -> dict[str, float]:
     """Return the figures of the last load sample that are still valid, by field of ``TimerFired``."""
     if now_ms - state.load_sample_at_ms > LOAD_SAMPLE_MAX_AGE_MS:
         return {}
@@ -83,7 +83,7 @@
         resume_runs(transition)
 
 
-def _is_stale(state: State, tag: str) -> bool:
+def _is_stale(state: NodeState, tag: str) -> bool:
     """Return whether the sample was requested while the gauges had another order."""
     return (
         state.last_stale_sample_number > 0
--- a/snowthread/core/reducer.py
+++ b/snowthread/core/reducer.py
@@ -23,7 +23,7 @@
     shutdown,
 )
 from snowthread.core.action_handlers import ACTION_HANDLERS
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 from snowthread.core.transition import HandlerTable, Transition
 
 EVENT_HANDLERS: HandlerTable = {
@@ -40,7 +40,7 @@
 }
 
 
-def reduce(state: State, event: events.Event, now_ms: float, /) -> list[effects.Effect]:
+def reduce(state: NodeState, event: events.Event, now_ms: float, /) -> list[effects.Effect]:
     """Handle one event at this time (Unix milliseconds) and return its effects, in order."""
     transition = Transition(state, now_ms, ACTION_HANDLERS)
     EVENT_HANDLERS[type(event)](transition, event)
--- a/snowthread/core/run_evidence.py
+++ b/snowthread/core/run_evidence.py
@@ -5,7 +5,7 @@
 import math
 
 from snowthread.core import effects
-from snowthread.core.state import Request, State
+from snowthread.core.state import NodeState, Request
 from snowthread.core.transition import Transition
 
 RUN_EVENT = "runtime.run"
@@ -45,11 +45,11 @@
     transition.emit(effects.LogNote(f"runtime: run {request.attempt_id}: {fate}", RUN_EVENT, is_detail=True))
 
 
-def _run_load(state: State) -> str:
+def _run_load(state: NodeState) -> str:
     return "no runs counted" if state.controller is None else str(state.controller.run_load())
 
 
-def _load_sample(state: State, now_ms: float) -> str:
+def _load_sample(state: NodeState, now_ms: float) -> str:
     age_ms = now_ms - state.load_sample_at_ms
     if not math.isfinite(age_ms):
         return "no load sample"
--- a/snowthread/core/settings_changes.py
+++ b/snowthread/core/settings_changes.py
@@ -14,7 +14,7 @@
 from snowthread.admission.settings import RequestClass, Settings
 from snowthread.core import events
 from snowthread.core.effective_settings import merge_settings, remaining_limits
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 from snowthread.core.transition import HandlerTable, Transition, apply_learned_state
 
 
@@ -45,7 +45,7 @@
     _apply_tenants(transition, old, event.settings)
 
 
-def _extend_idempotency_windows(state: State, old_classes: tuple[RequestClass, ...]) -> None:
+def _extend_idempotency_windows(state: NodeState, old_classes: tuple[RequestClass, ...]) -> None:
     """Extend the expiry of the keys of classes whose idempotency window is longer now.
 
     A window that is shorter now leaves the keys as they are: callers retry within the window that they know.
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -103,7 +103,7 @@
 
 
 @dataclass(slots=True)
-class State:
+class NodeState:
     """The state of a node.
 
     The controller is created when the runtime connects, or with the first request.
--- a/snowthread/core/transition.py
+++ b/snowthread/core/transition.py
@@ -17,7 +17,7 @@
 from snowthread.core import effects
 from snowthread.core.effective_settings import remaining_limits
 from snowthread.core.events import ResponseAddress
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 
 Handler = Callable[["Transition", Any], None]
 """Handles one event, or one action of the admission controller, of the type it is registered for."""
@@ -30,7 +30,7 @@
 
     __slots__ = ("_action_handlers", "_dispatching", "_undispatched", "effects", "emit", "now_ms", "state")
 
-    def __init__(self, state: State, now_ms: float, action_handlers: HandlerTable) -> None:
+    def __init__(self, state: NodeState, now_ms: float, action_handlers: HandlerTable) -> None:
         self.state = state
         self.now_ms = now_ms
         self.effects: list[effects.Effect] = []
@@ -92,7 +92,7 @@
         return controller
 
 
-def apply_learned_state(state: State) -> None:
+def apply_learned_state(state: NodeState) -> None:
     """Hand the learned state of an earlier incarnation to the controller, once there are both."""
     restored = state.pending_learned_state
     if state.controller is not None and restored is not None:
--- a/snowthread/node/node.py
+++ b/snowthread/node/node.py
@@ -14,7 +14,7 @@
 from snowthread.config import Config
 from snowthread.core import effects, events
 from snowthread.core.idempotency import IdempotencyTable
-from snowthread.core.state import AdmissionClock, State
+from snowthread.core.state import AdmissionClock, NodeState
 from snowthread.frontends.admin.server import AdminServer
 from snowthread.frontends.balancers.server import BalancerServer
 from snowthread.hot_restart.channel import HotRestartChannel
@@ -184,9 +184,9 @@
         self.loop.stop()
 
 
-def _initial_state(config: Config, clock: Clock) -> State:
+def _initial_state(config: Config, clock: Clock) -> NodeState:
     """Return the state of a node that has read nothing yet."""
-    return State(
+    return NodeState(
         config.settings,
         config.seed,
         config.gauge_names,
--- a/snowthread/node/operator_calls.py
+++ b/snowthread/node/operator_calls.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from snowthread.core import events
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 from snowthread.frontends.admin.routes import AdminResponse, Route, RouteTable
 from snowthread.frontends.balancers.server import BalancerServer
 from snowthread.hot_restart.channel import HotRestartChannel
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        state: State,
+        state: NodeState,
         balancers: BalancerServer,
         hot_restart: HotRestartChannel | None,
         post: Callable[[events.Event], None],
--- a/snowthread/node/optional_features.py
+++ b/snowthread/node/optional_features.py
@@ -12,7 +12,7 @@
 from snowthread.config import Config
 from snowthread.core import effects, events
 from snowthread.core.reducer import reduce
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 from snowthread.net.loop import EventLoop
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
     from snowthread.sites.client_filter import ClientFilter
     from snowthread.tenants.identification import TenantIdentification
 
-Reduce = Callable[[State, events.Event, float], list[effects.Effect]]
+Reduce = Callable[[NodeState, events.Event, float], list[effects.Effect]]
 """A reducer's step, or a feature that wraps one: (state, event, now in milliseconds) to effects."""
 
 Post = Callable[[events.Event], None]
@@ -40,7 +40,7 @@
 
 
 def build_feature_parts(
-    features: Features | None, loop: EventLoop, config: Config, state: State, post: Post
+    features: Features | None, loop: EventLoop, config: Config, state: NodeState, post: Post
 ) -> FeatureParts:
     """Make what the features need, the innermost wrapper of the reducer first."""
     if features is None:
@@ -61,7 +61,7 @@
     return FeatureParts(step, recorder, recovery, tenant_identification)
 
 
-def _build_recorder(features: Features, loop: EventLoop, config: Config, state: State) -> Recorder | None:
+def _build_recorder(features: Features, loop: EventLoop, config: Config, state: NodeState) -> Recorder | None:
     if features.records is None:
         return None
     from snowthread.records.recorder import Recorder
@@ -70,7 +70,7 @@
 
 
 def _build_recovery(
-    features: Features, loop: EventLoop, config: Config, state: State, post: Post, step: Reduce
+    features: Features, loop: EventLoop, config: Config, state: NodeState, post: Post, step: Reduce
 ) -> RecoveryManager | None:
     if features.recovery is None:
         return None
--- a/snowthread/node/reconfiguration.py
+++ b/snowthread/node/reconfiguration.py
@@ -12,7 +12,7 @@
 from snowthread.clients.runtime import RuntimeClient
 from snowthread.config import Config
 from snowthread.core import events
-from snowthread.core.state import AdmissionClock, State
+from snowthread.core.state import AdmissionClock, NodeState
 from snowthread.frontends.balancers.server import BalancerServer
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
 
     config: Config
     features: Features | None
-    state: State
+    state: NodeState
     balancers: BalancerServer
     runtime: RuntimeClient
     database: DatabaseClient
--- a/snowthread/node/shutdown.py
+++ b/snowthread/node/shutdown.py
@@ -27,7 +27,7 @@
 
 from snowthread.config import Config
 from snowthread.core import events
-from snowthread.core.state import AdmissionClock, State
+from snowthread.core.state import AdmissionClock, NodeState
 from snowthread.frontends.balancers.server import BalancerServer
 from snowthread.hot_restart.channel import HotRestartChannel
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
@@ -45,7 +45,7 @@
 
     config: Config
     loop: EventLoop
-    state: State
+    state: NodeState
     balancers: BalancerServer
     hot_restart: HotRestartChannel | None
 
--- a/snowthread/records/observer.py
+++ b/snowthread/records/observer.py
@@ -10,7 +10,7 @@
 
 from snowthread.admission.settings import Settings
 from snowthread.core import effects, events
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 from snowthread.records.model import Fields, RecordDraft, RecordKind, Totals
 from snowthread.records.open_request import OpenRequest
 from snowthread.records.second import Second, count_duration, second_fields
@@ -39,7 +39,7 @@
         self._run_classes: dict[str, str] = {}  # by attempt id; its request may be answered already
         self._just_received: OpenRequest | None = None  # by the event that is being observed
         self._event_handlers: dict[type, Callable[[Any, float], RecordDraft | None]] = {}
-        self._effect_handlers: dict[type, Callable[[Any, State, float], RecordDraft | None]] = {}
+        self._effect_handlers: dict[type, Callable[[Any, NodeState, float], RecordDraft | None]] = {}
         self._register_handlers()
 
     def __len__(self) -> int:
@@ -54,7 +54,7 @@
         }
 
     def observe(
-        self, event: events.Event, produced: Sequence[effects.Effect], state: State, now: float
+        self, event: events.Event, produced: Sequence[effects.Effect], state: NodeState, now: float
     ) -> Sequence[RecordDraft]:
         """Count one step of the reducer and return the records to be made at once."""
         handle_event = self._event_handlers.get(type(event))
@@ -75,7 +75,7 @@
                     drafts.append(draft)
         return drafts
 
-    def take_totals(self, state: State, now: float) -> Fields:
+    def take_totals(self, state: NodeState, now: float) -> Fields:
         """Return the fields of a ``second``: the counts since the last call, and the current figures."""
         second = self._second
         self._second = Second(now)
@@ -103,7 +103,7 @@
         self._event_handlers[event_type] = handler
 
     def _on_effect(
-        self, effect_type: type[_EffectT], handler: Callable[[_EffectT, State, float], RecordDraft | None]
+        self, effect_type: type[_EffectT], handler: Callable[[_EffectT, NodeState, float], RecordDraft | None]
     ) -> None:
         """Register a handler; the types of effect and handler are checked against each other here."""
         self._effect_handlers[effect_type] = handler
@@ -160,7 +160,7 @@
 
     # Effects.
 
-    def _response_sent(self, effect: effects.SendResponse, state: State, now: float) -> None:
+    def _response_sent(self, effect: effects.SendResponse, state: NodeState, now: float) -> None:
         request = self._remove(effect.response_address)
         if request is None:
             return  # a health check
@@ -188,7 +188,7 @@
                 else:
                     totals.failed += 1
 
-    def _run_started(self, effect: effects.StartRun, _state: State, _now: float) -> None:
+    def _run_started(self, effect: effects.StartRun, _state: NodeState, _now: float) -> None:
         request = self._by_attempt.get(effect.attempt_id)
         if request is not None and not request.run_started:
             request.run_started = True
@@ -197,12 +197,14 @@
         if len(self._run_classes) > MAX_AWAITED_RUNS:  # runs lost with a broken connection never end here
             del self._run_classes[next(iter(self._run_classes))]
 
-    def _call_started(self, effect: effects.StartCall, _state: State, _now: float) -> None:
+    def _call_started(self, effect: effects.StartCall, _state: NodeState, _now: float) -> None:
         request = self._by_attempt.get(effect.attempt_id)
         if request is not None:
             request.call_in_flight = True
 
-    def _registration_set(self, effect: effects.SetRegistration, _state: State, _now: float) -> RecordDraft:
+    def _registration_set(
+        self, effect: effects.SetRegistration, _state: NodeState, _now: float
+    ) -> RecordDraft:
         return RecordDraft(RecordKind.REGISTRATION, {"taking": effect.accepts_work})
 
     # Open requests.
--- a/snowthread/records/recorder.py
+++ b/snowthread/records/recorder.py
@@ -15,7 +15,7 @@
 from snowthread.admission.settings import Settings
 from snowthread.core import effects, events
 from snowthread.core.reducer import reduce
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
 from snowthread.records import writer
 from snowthread.records.batch import RecordBatch
@@ -42,7 +42,7 @@
 class Recorder:
     """Records of one node. ``reduce`` takes the place of the reducer's: the same effects come out."""
 
-    def __init__(self, loop: EventLoop, settings: RecordSettings, config: Config, state: State) -> None:
+    def __init__(self, loop: EventLoop, settings: RecordSettings, config: Config, state: NodeState) -> None:
         self._loop = loop
         self._state = state
         self._node = config.name
@@ -70,7 +70,7 @@
         """Count the classes of these settings from now on."""
         self._observer.apply_settings(settings)
 
-    def reduce(self, state: State, message: events.Event, now: float) -> list[effects.Effect]:
+    def reduce(self, state: NodeState, message: events.Event, now: float) -> list[effects.Effect]:
         """Run one step of the reducer, record it, and return its effects."""
         produced = reduce(state, message, now)
         for kind, fields in self._observer.observe(message, produced, state, now):
--- a/snowthread/records/second.py
+++ b/snowthread/records/second.py
@@ -8,7 +8,7 @@
 
 from snowthread.admission.controller import Controller
 from snowthread.admission.learned_state import confirmation_ages_s
-from snowthread.core.state import RequestPhase, State
+from snowthread.core.state import NodeState, RequestPhase
 from snowthread.records.model import Fields, Totals
 
 COARSE_FROM_MS = 1000.0  # from here on durations are counted in coarse steps
@@ -47,7 +47,7 @@
     counts[value] = counts.get(value, 0) + 1
 
 
-def second_fields(second: Second, state: State, now: float) -> Fields:
+def second_fields(second: Second, state: NodeState, now: float) -> Fields:
     """Return the fields of a ``second``: what was counted, and the node's figures as they are now."""
     fields = _counted_fields(second, now)
     if state.controller is not None:
@@ -94,7 +94,7 @@
     }
 
 
-def _load_fields(state: State) -> Fields:
+def _load_fields(state: NodeState) -> Fields:
     phases = [request.phase for request in state.requests.values()]
     fields: Fields = {
         "held": phases.count(RequestPhase.QUEUED),
--- a/snowthread/recovery/call_pacing.py
+++ b/snowthread/recovery/call_pacing.py
@@ -7,7 +7,7 @@
 from snowthread.admission.recovery_pacer import CallPermission, RecoveryPacer
 from snowthread.admission.settings import Outcome
 from snowthread.core import effects, events
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 from snowthread.net.loop import EventLoop, Timer
 
 MAX_COUNTED_RUNS = 4096  # beyond it the calls of runs that have ended are no longer counted
@@ -23,7 +23,7 @@
     def __init__(
         self,
         loop: EventLoop,
-        state: State,
+        state: NodeState,
         pacer: RecoveryPacer,
         post: Callable[[events.Event], None],
         carry_out: Callable[[effects.Effect], None],
@@ -37,7 +37,7 @@
         self._calls_made: dict[str, int] = {}  # by attempt
         self._timer: Timer | None = None
 
-    def permits(self, state: State, call: effects.StartCall, now_ms: float) -> bool:
+    def permits(self, state: NodeState, call: effects.StartCall, now_ms: float) -> bool:
         """Return whether a call may start now; otherwise queue it, or report that it was denied."""
         attempt_id = call.attempt_id
         request = state.requests_by_attempt_id.get(attempt_id)
--- a/snowthread/recovery/key_recorder.py
+++ b/snowthread/recovery/key_recorder.py
@@ -8,7 +8,7 @@
 
 from snowthread.core import effects
 from snowthread.core.idempotency import IndeterminateKeys, key_digest
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 from snowthread.recovery import storage
 from snowthread.recovery.key_log import KeyLogVerdict
 from snowthread.recovery.settings import RecoverySettings
@@ -19,7 +19,7 @@
     """Opens the key log at the start of the process and appends to it."""
 
     def __init__(
-        self, settings: RecoverySettings, state: State, now_ms: float, longest_window_ms: float
+        self, settings: RecoverySettings, state: NodeState, now_ms: float, longest_window_ms: float
     ) -> None:
         """Open the key log and mark in ``state`` which keys may have run in an earlier incarnation.
 
@@ -31,7 +31,7 @@
         self._key_log = opened.key_log
         _mark_indeterminate_keys(state, opened, any_until_ms, now_ms)
 
-    def record_start(self, state: State, start: effects.StartRun, now_ms: float) -> bool:
+    def record_start(self, state: NodeState, start: effects.StartRun, now_ms: float) -> bool:
         """Write the key of a run that is about to start; return False where it must not start.
 
         A run without a key may start at once.
@@ -46,7 +46,9 @@
         return False
 
 
-def _mark_indeterminate_keys(state: State, opened: OpenedKeyLog, any_until_ms: float, now_ms: float) -> None:
+def _mark_indeterminate_keys(
+    state: NodeState, opened: OpenedKeyLog, any_until_ms: float, now_ms: float
+) -> None:
     found = opened.found
     if opened.error is not None:
         logger.bind(event="recovery.key_log").error(
--- a/snowthread/recovery/learned_snapshots.py
+++ b/snowthread/recovery/learned_snapshots.py
@@ -10,7 +10,7 @@
 from snowthread.admission.controller import Controller
 from snowthread.admission.learned_state import LearnedClassTimes, LearnedState, LearnedStateAging
 from snowthread.core import events
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 from snowthread.recovery import storage
 from snowthread.recovery.membership import FleetView
 from snowthread.recovery.settings import RecoverySettings
@@ -26,7 +26,7 @@
     """Reads the snapshot of the earlier incarnation and writes those of this one."""
 
     def __init__(
-        self, settings: RecoverySettings, state: State, post: Callable[[events.Event], None]
+        self, settings: RecoverySettings, state: NodeState, post: Callable[[events.Event], None]
     ) -> None:
         """Read the snapshot; it is assessed once the fleet's generation is known."""
         self._settings = settings
--- a/snowthread/recovery/manager.py
+++ b/snowthread/recovery/manager.py
@@ -26,7 +26,7 @@
 from snowthread.admission.timer_queue import UPDATE_TIMER
 from snowthread.config import Config
 from snowthread.core import effects, events
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
 from snowthread.recovery.call_pacing import CallPacing
 from snowthread.recovery.key_recorder import KeyRecorder
@@ -36,7 +36,7 @@
 from snowthread.recovery.settings import RecoverySettings
 from snowthread.recovery.warmup import WarmupTracker
 
-Reduce = Callable[[State, events.Event, float], list[effects.Effect]]
+Reduce = Callable[[NodeState, events.Event, float], list[effects.Effect]]
 
 SEED_MASK = 0x5EED  # draws of recovery are other ones than those of the controller
 PACED_CALL_FACTOR = 4.0  # times its quota that the controller may have in flight: some are queued here
@@ -56,7 +56,7 @@
         loop: EventLoop,
         settings: RecoverySettings,
         config: Config,
-        state: State,
+        state: NodeState,
         post: Callable[[events.Event], None],
         inner: Reduce,
     ) -> None:
@@ -132,7 +132,7 @@
 
     # Each step of the node.
 
-    def reduce(self, state: State, message: events.Event, now: float) -> list[effects.Effect]:
+    def reduce(self, state: NodeState, message: events.Event, now: float) -> list[effects.Effect]:
         """Do the reducer's step; let starts of runs and calls pass only as they may."""
         self._observe(state, message, now)
         if type(message) is events.RequestReceived and self._pacer.cold:
@@ -141,7 +141,7 @@
                 return [rejection]
         return [effect for effect in self._inner(state, message, now) if self._permits(state, effect, now)]
 
-    def _permits(self, state: State, effect: effects.Effect, now_ms: float) -> bool:
+    def _permits(self, state: NodeState, effect: effects.Effect, now_ms: float) -> bool:
         """Return whether an effect may be carried out now; one that may not is queued or reported."""
         if type(effect) is effects.StartRun:
             if not self._key_recorder.record_start(state, effect, now_ms):
@@ -153,7 +153,7 @@
             self._calls.cancel(effect.attempt_id, now_ms)
         return True
 
-    def _observe(self, state: State, message: events.Event, now: float) -> None:
+    def _observe(self, state: NodeState, message: events.Event, now: float) -> None:
         match message:
             case events.CallCompleted():
                 self._calls.complete_call(message, now)
@@ -166,7 +166,7 @@
             case events.TimerExpired(label=label) if label == UPDATE_TIMER:
                 self._update(state, now)
 
-    def _update(self, state: State, now_ms: float) -> None:
+    def _update(self, state: NodeState, now_ms: float) -> None:
         """Do what is due once a period of the controller."""
         controller = state.controller
         if controller is None:
@@ -177,7 +177,7 @@
         self._post_pace(state)
         self._warmup.report_change(now_ms)
 
-    def _post_pace(self, state: State) -> None:
+    def _post_pace(self, state: NodeState) -> None:
         """Notify the controller of how many calls it may have in flight, where that has changed."""
         is_pacing = self._pacer.is_pacing
         pace = events.CallPacingChanged(PACED_CALL_FACTOR * state.settings.call_quota if is_pacing else 0.0)
--- a/snowthread/recovery/request_admission.py
+++ b/snowthread/recovery/request_admission.py
@@ -5,7 +5,7 @@
 from snowthread.admission.recovery_pacer import RecoveryPacer
 from snowthread.admission.settings import RequestClass
 from snowthread.core import effects, events
-from snowthread.core.state import RequestPhase, State
+from snowthread.core.state import NodeState, RequestPhase
 
 RETRY_AFTER_DIVISOR = 8.0  # Retry-After is the latency objective over this times the slow start's window
 MS_PER_S = 1000.0
@@ -20,7 +20,7 @@
         self.rejected_requests = 0
 
     def rejection_of(
-        self, state: State, request: events.RequestReceived, now_ms: float
+        self, state: NodeState, request: events.RequestReceived, now_ms: float
     ) -> effects.SendResponse | None:
         """Return the response to a request that is rejected; None for one that the reducer decides on.
 
@@ -37,7 +37,7 @@
             is_rejected = not self._pacer.slow_start.admits(_open_requests(state, request_class))
         return self._reject(state, request, request_class) if is_rejected else None
 
-    def _yields_to_warming_up(self, state: State, now_ms: float) -> bool:
+    def _yields_to_warming_up(self, state: NodeState, now_ms: float) -> bool:
         """Return whether a request that makes no calls waits for those that do.
 
         While any key may have run, the calls with the highest priority weight may not be made: what warms the
@@ -50,7 +50,7 @@
         return running >= state.settings.cores and self._pacer.has_idle_budget(now_ms)
 
     def _reject(
-        self, state: State, request: events.RequestReceived, request_class: RequestClass
+        self, state: NodeState, request: events.RequestReceived, request_class: RequestClass
     ) -> effects.SendResponse:
         settings = state.settings
         self.rejected_requests += 1
@@ -69,7 +69,7 @@
         )
 
 
-def _may_be_a_retry(state: State, request: events.RequestReceived, now_ms: float) -> bool:
+def _may_be_a_retry(state: NodeState, request: events.RequestReceived, now_ms: float) -> bool:
     key = request.idempotency_key
     if not key:
         return False
@@ -80,7 +80,7 @@
     return indeterminate_keys is not None and indeterminate_keys.may_have_run(key, at_ms)
 
 
-def _open_requests(state: State, request_class: RequestClass) -> int:
+def _open_requests(state: NodeState, request_class: RequestClass) -> int:
     """Return how many requests of a class are open, without those that follow another one's run."""
     return sum(
         request.request_class.name == request_class.name
--- a/snowthread/recovery/warmup.py
+++ b/snowthread/recovery/warmup.py
@@ -12,7 +12,7 @@
 from snowthread.admission.recovery_pacer import RecoveryPacer
 from snowthread.admission.settings import Outcome
 from snowthread.core import events
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 
 MAX_WARM_RUN_TIME_RATIO = 1.25  # of a run's time to the one restored, on a machine that is warm
 WARM_SPEED_RATIO = 1.0  # of a machine, relative to a warm one
@@ -39,7 +39,7 @@
             self._pacer.slow_start.is_complete = not event.starts_cold
             self._report_now()
 
-    def record_run(self, state: State, event: events.RunCompleted, now_ms: float) -> None:
+    def record_run(self, state: NodeState, event: events.RunCompleted, now_ms: float) -> None:
         """Let slow start learn from a run that cannot do without its calls, while the node is cold."""
         if not self._pacer.cold:
             return
--- a/snowthread/sites/client_filter.py
+++ b/snowthread/sites/client_filter.py
@@ -13,7 +13,7 @@
 
 from snowthread.admission.settings import Idempotency, RequestClass, Settings
 from snowthread.core import effects, events
-from snowthread.core.state import Request, RequestPhase, State
+from snowthread.core.state import NodeState, Request, RequestPhase
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
 from snowthread.sites.settings import SiteSettings
 from snowthread.sites.shedding import NodeLoad, Verdict, decide, shedding_order
@@ -24,7 +24,7 @@
 
 REJECT_REASON = "another site's client"  # for the log
 
-Reducer = Callable[[State, events.Event, float], list[effects.Effect]]
+Reducer = Callable[[NodeState, events.Event, float], list[effects.Effect]]
 
 
 class ClientFilter:
@@ -38,7 +38,7 @@
         self.counts: Counter[str] = Counter()  # by home site and verdict, since the last log line
         loop.spawn(self._log_counts())
 
-    def reduce(self, state: State, message: events.Event, now: float) -> list[effects.Effect]:
+    def reduce(self, state: NodeState, message: events.Event, now: float) -> list[effects.Effect]:
         """Pass the event to the next reducer unless it is another site's request that may not run here."""
         if type(message) is not events.RequestReceived:
             return self._next_reducer(state, message, now)
@@ -61,7 +61,7 @@
         self._foreign_attempts[message.attempt_id] = None
         return self._next_reducer(state, message, now)
 
-    def _judge(self, state: State, event: events.RequestReceived, request_class: RequestClass) -> Verdict:
+    def _judge(self, state: NodeState, event: events.RequestReceived, request_class: RequestClass) -> Verdict:
         self._foreign_attempts = {
             attempt_id: None
             for attempt_id in self._foreign_attempts
@@ -77,7 +77,7 @@
             load=self._node_load(state),
         )
 
-    def _node_load(self, state: State) -> NodeLoad:
+    def _node_load(self, state: NodeState) -> NodeLoad:
         controller = state.controller
         cores = state.settings.cores
         return NodeLoad(
@@ -97,7 +97,7 @@
                 logger.bind(event="site.edge", **counts).info("other sites' clients: {}", dict(counts))
 
 
-def _shedding_order(state: State) -> dict[str, int]:
+def _shedding_order(state: NodeState) -> dict[str, int]:
     """Return each class's position in the order of shedding, from its priority weight and core time."""
     controller = state.controller
     weight_per_core_s = {}
--- a/tests/core/conftest.py
+++ b/tests/core/conftest.py
@@ -11,7 +11,7 @@
 
 from snowthread.admission.settings import Idempotency, Preemption, RequestClass, Settings
 from snowthread.core.run import Run
-from snowthread.core.state import AdmissionClock, State
+from snowthread.core.state import AdmissionClock, NodeState
 
 
 @pytest.fixture(autouse=True)
@@ -37,18 +37,18 @@
 
 
 @pytest.fixture
-def state() -> State:
+def state() -> NodeState:
     """Return the state of a node with one class of each kind of idempotency, before its first event."""
     return make_state(Preemption.DROP)
 
 
 @pytest.fixture
-def unstoppable_state() -> State:
+def unstoppable_state() -> NodeState:
     """Return the same at a site that can't stop runs."""
     return make_state(Preemption.NONE)
 
 
-def make_state(preemption: Preemption) -> State:
+def make_state(preemption: Preemption) -> NodeState:
     """Return the state of a node at a site that does this to runs it stops."""
     classes = (
         RequestClass("idempotent", 1.0, 3.0),
@@ -58,4 +58,4 @@
     settings = Settings(
         classes=classes, cores=2, memory_kb=1000.0, running_memory_factor=4.0, preemption=preemption
     )
-    return State(settings, seed=1, gauge_names=(), admission_clock=AdmissionClock(START))
+    return NodeState(settings, seed=1, gauge_names=(), admission_clock=AdmissionClock(START))
--- a/tests/core/test_key_claims.py
+++ b/tests/core/test_key_claims.py
@@ -10,13 +10,13 @@
 from snowthread.core import effects, events, key_claims
 from snowthread.core.key_claims import KEY_CLAIM_TIMEOUT_MS
 from snowthread.core.reducer import reduce
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 
 KEY = "key"
 
 
 @pytest.fixture
-def successor(state: State) -> State:
+def successor(state: NodeState) -> NodeState:
     connect(state, START)
     reduce(state, events.PeerProcessConnected(is_predecessor=False), START)
     return state
@@ -34,7 +34,7 @@
     return [effect.response for effect in emitted if isinstance(effect, effects.SendResponse)]
 
 
-def test_a_request_starts_only_once_its_key_is_granted(successor: State) -> None:
+def test_a_request_starts_only_once_its_key_is_granted(successor: NodeState) -> None:
     request = make_request(1, "keyed", START, idempotency_key=KEY)
     emitted = reduce(successor, request, START)
     assert [type(message) for message in sent_to_peer(emitted)] == [events.KeyClaimRequested]
@@ -45,7 +45,7 @@
     assert successor.pending_claims == {}
 
 
-def test_all_requests_with_a_denied_key_fail(successor: State, response_log: ResponseLog) -> None:
+def test_all_requests_with_a_denied_key_fail(successor: NodeState, response_log: ResponseLog) -> None:
     for number in (1, 2):
         reduce(successor, make_request(number, "keyed", START, idempotency_key=KEY), START)
     claimant = successor.pending_claims[KEY].attempt_id
@@ -57,7 +57,7 @@
     assert started(emitted) == []
 
 
-def test_a_granted_key_is_released_where_the_claimant_was_cancelled(successor: State) -> None:
+def test_a_granted_key_is_released_where_the_claimant_was_cancelled(successor: NodeState) -> None:
     claimant, other = (make_request(number, "keyed", START, idempotency_key=KEY) for number in (1, 2))
     reduce(successor, claimant, START)
     reduce(successor, other, START)
@@ -69,7 +69,7 @@
     assert started(emitted) == []
 
 
-def test_a_request_is_rejected_where_the_decision_takes_too_long(successor: State) -> None:
+def test_a_request_is_rejected_where_the_decision_takes_too_long(successor: NodeState) -> None:
     emitted = reduce(successor, make_request(1, "keyed", START, idempotency_key=KEY), START)
     (timer,) = (effect for effect in emitted if isinstance(effect, effects.ScheduleTimer))
     assert timer.at_ms == START + KEY_CLAIM_TIMEOUT_MS
@@ -78,7 +78,7 @@
 
 
 def test_a_request_rejected_for_its_claim_is_logged_with_its_attempt_and_the_reason(
-    successor: State, response_log: ResponseLog, monkeypatch: pytest.MonkeyPatch
+    successor: NodeState, response_log: ResponseLog, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(key_claims, "MAX_PENDING_KEY_CLAIMS", 1)
     waiting, rejected = (make_request(number, "keyed", START) for number in (1, 2))
--- a/tests/core/test_load_samples.py
+++ b/tests/core/test_load_samples.py
@@ -20,7 +20,7 @@
 )
 from snowthread.core.reducer import reduce
 from snowthread.core.runtime_resync import sync_tag
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 
 GAUGES = ("core_use", "on_cores", "heap_share", "links")
 
@@ -47,29 +47,29 @@
 
 
 @pytest.fixture
-def connected(state: State) -> State:
+def connected(state: NodeState) -> NodeState:
     state.gauge_names = GAUGES
     reduce(state, events.RuntimeConnected(False, 0.0), START)
     return state
 
 
-def update(state: State, at_ms: float) -> None:
+def update(state: NodeState, at_ms: float) -> None:
     reduce(state, events.TimerExpired(UPDATE_TIMER), START + at_ms)
 
 
-def sample(state: State, at_ms: float, tag: str = "1") -> None:
+def sample(state: NodeState, at_ms: float, tag: str = "1") -> None:
     reduce(state, events.LoadSampleReceived(tag, (0.5, 3.0, 0.1, 2.0)), START + at_ms)
 
 
 def test_all_figures_of_a_sample_on_an_unbroken_link_are_passed_on(
-    connected: State, seen: Controllers
+    connected: NodeState, seen: Controllers
 ) -> None:
     sample(connected, 240.0)
     update(connected, 250.0)
     assert seen.timers == [admission_events.TimerFired(UPDATE_TIMER, 0.5, 3.0, 0.1, 2.0)]
 
 
-def test_sample_serves_one_update_only(connected: State, seen: Controllers) -> None:
+def test_sample_serves_one_update_only(connected: NodeState, seen: Controllers) -> None:
     """Idle cores that one sample shows would otherwise let the concurrency limit grow in each update."""
     sample(connected, 240.0)
     update(connected, 250.0)
@@ -77,13 +77,13 @@
     assert seen.timers[1] == admission_events.TimerFired(UPDATE_TIMER, None, None, 0.1, 2.0)
 
 
-def test_old_sample_is_not_passed_on(connected: State, seen: Controllers) -> None:
+def test_old_sample_is_not_passed_on(connected: NodeState, seen: Controllers) -> None:
     sample(connected, 0.0)
     update(connected, LOAD_SAMPLE_MAX_AGE_MS + 1.0)
     assert seen.timers == [admission_events.TimerFired(UPDATE_TIMER)]
 
 
-def test_each_update_has_a_sample_of_its_own_however_long_other_timers_are_set(state: State) -> None:
+def test_each_update_has_a_sample_of_its_own_however_long_other_timers_are_set(state: NodeState) -> None:
     """The sample of a timer seconds ahead does not serve the updates before it."""
     emitted = reduce(state, events.RuntimeConnected(False, 0.0), START)
     emitted += reduce(state, make_request(1, "idempotent", START), START)  # due in three seconds
@@ -99,7 +99,9 @@
     assert samples == [at_ms - LOAD_SAMPLE_LEAD_MS for at_ms in updates]
 
 
-def test_utilization_of_a_time_without_a_link_is_not_passed_on(connected: State, seen: Controllers) -> None:
+def test_utilization_of_a_time_without_a_link_is_not_passed_on(
+    connected: NodeState, seen: Controllers
+) -> None:
     """Cores that were idle because no start could reach them do not justify a higher concurrency limit."""
     reduce(connected, events.RuntimeDisconnected(), START + 100.0)
     reduce(connected, events.RuntimeConnected(False, 0.0), START + 400.0)
--- a/tests/core/test_responses.py
+++ b/tests/core/test_responses.py
@@ -13,7 +13,7 @@
 from snowthread.admission.settings import Outcome
 from snowthread.core import effects, events
 from snowthread.core.reducer import reduce
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 
 RECORDED = sorted((Path(__file__).parents[1] / "exchanges").glob("*.txt"))
 
@@ -27,7 +27,7 @@
 
 
 def test_a_request_of_an_unknown_class_and_an_attempt_in_flight_fail_under_their_own_attempt(
-    state: State, response_log: ResponseLog
+    state: NodeState, response_log: ResponseLog
 ) -> None:
     reduce(state, make_request(1, "idempotent", START), START)
     reduce(state, make_request(2, "no such class", START), START)
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("body", [b"p", b"another"])
 def test_a_retry_that_fails_does_so_under_its_own_attempt(
-    state: State, response_log: ResponseLog, body: bytes
+    state: NodeState, response_log: ResponseLog, body: bytes
 ) -> None:
     """It follows an original that fails, or has its key and another body."""
     reduce(state, events.RuntimeConnected(starts_cold=False, runtime_age_ms=0.0), START)
--- a/tests/core/test_run.py
+++ b/tests/core/test_run.py
@@ -20,7 +20,7 @@
 from snowthread.core.reducer import reduce
 from snowthread.core.run import Run, RunState
 from snowthread.core.runtime_resync import sync_tag
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 
 ATTEMPT = f"{1:016x}"
 NO_RUN = None
@@ -76,11 +76,11 @@
     return ways[target]
 
 
-def break_with_all_unsent(state: State, now_ms: float) -> None:
+def break_with_all_unsent(state: NodeState, now_ms: float) -> None:
     reduce(state, events.RuntimeDisconnected((effects.StartRun(ATTEMPT, "keyed", b"p"),)), now_ms)
 
 
-STEPS: dict[str, Callable[[State, float], object]] = {
+STEPS: dict[str, Callable[[NodeState, float], object]] = {
     "link ready": connect,
     "link broken": lambda state, now_ms: reduce(state, events.RuntimeDisconnected(), now_ms),
     "link broken, start unsent": break_with_all_unsent,
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize(("class_name", "walk"), WALKS)
-def test_the_states_of_a_run(state: State, class_name: str, walk: Walk) -> None:
+def test_the_states_of_a_run(state: NodeState, class_name: str, walk: Walk) -> None:
     connect(state, START)
     reduce(state, make_request(1, class_name, START), START)
     request = state.requests_by_attempt_id[ATTEMPT]
@@ -224,7 +224,7 @@
         assert (request.run.state if request.run is not None else NO_RUN) is expected, step
 
 
-def test_a_run_started_while_there_is_no_link_waits_for_one(state: State) -> None:
+def test_a_run_started_while_there_is_no_link_waits_for_one(state: NodeState) -> None:
     reduce(state, make_request(1, "keyed", START), START)
     request = state.requests_by_attempt_id[ATTEMPT]
     assert run_of(request).state is QUEUED
@@ -235,7 +235,7 @@
 class RandomRuntime:
     """Sends a reducer random events that a runtime on unreliable links may cause, and follows its effects."""
 
-    def __init__(self, state: State, seed: int) -> None:
+    def __init__(self, state: NodeState, seed: int) -> None:
         self.state = state
         self.visited: set[RunState] = set()
         self._random = random.Random(seed)
@@ -349,7 +349,9 @@
             self._post(events.RuntimeDisconnected(tuple(unread[first_unsent:])))
 
 
-def test_no_event_causes_a_transition_that_the_table_lacks(state: State, unstoppable_state: State) -> None:
+def test_no_event_causes_a_transition_that_the_table_lacks(
+    state: NodeState, unstoppable_state: NodeState
+) -> None:
     visited: set[RunState] = set()
     for seed, each_state in enumerate((state, unstoppable_state)):
         runtime = RandomRuntime(each_state, seed)
--- a/tests/core/test_runtime_resync.py
+++ b/tests/core/test_runtime_resync.py
@@ -12,30 +12,30 @@
 from snowthread.core import effects, events
 from snowthread.core.reducer import reduce
 from snowthread.core.runtime_resync import sync_tag
-from snowthread.core.state import Request, State
+from snowthread.core.state import NodeState, Request
 
 
-def start(state: State, request: events.RequestReceived) -> Request:
+def start(state: NodeState, request: events.RequestReceived) -> Request:
     """Connect and start the run of a request."""
     connect(state, START)
     assert any(isinstance(effect, effects.StartRun) for effect in reduce(state, request, START))
     return state.requests_by_attempt_id[request.attempt_id]
 
 
-def start_second(state: State, now_ms: float) -> Request:
+def start_second(state: NodeState, now_ms: float) -> Request:
     """Start the run of another keyed request on the present link."""
     reduce(state, make_request(2, "keyed", now_ms), now_ms)
     return state.requests_by_attempt_id[f"{2:016x}"]
 
 
-def counted_runs(state: State) -> int:
+def counted_runs(state: NodeState) -> int:
     """Return how many runs the controller takes to be on the cores."""
     assert state.controller is not None
     return state.controller.run_load().running
 
 
 @pytest.mark.parametrize("class_name", ["idempotent", "keyed", "non-idempotent"])
-def test_a_run_whose_start_was_read_before_the_break_goes_on(state: State, class_name: str) -> None:
+def test_a_run_whose_start_was_read_before_the_break_goes_on(state: NodeState, class_name: str) -> None:
     request = start(state, make_request(1, class_name, START))
     confirm_commands(state, START + 1.0)
     assert resynchronise(state, START + 1.0) == []
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("class_name", ["idempotent", "keyed", "non-idempotent"])
 def test_a_start_that_nothing_shows_to_be_read_may_be_lost_however_old_it_is(
-    state: State, class_name: str
+    state: NodeState, class_name: str
 ) -> None:
     """A link that is slow or silent delays what was sent long before it breaks."""
     request = start(state, make_request(1, class_name, START))
@@ -55,7 +55,7 @@
     assert len(resent) == (class_name == "idempotent")
 
 
-def test_an_echo_of_an_earlier_link_confirms_nothing_of_a_later_one(state: State) -> None:
+def test_an_echo_of_an_earlier_link_confirms_nothing_of_a_later_one(state: NodeState) -> None:
     request = start(state, make_request(1, "keyed", START))
     confirm_commands(state, START + 1.0)
     resynchronise(state, START + 2.0)
@@ -64,7 +64,7 @@
     assert run_of(late).is_indeterminate and not run_of(request).is_indeterminate
 
 
-def test_a_start_that_may_be_lost_is_sent_again_where_the_class_is_idempotent(state: State) -> None:
+def test_a_start_that_may_be_lost_is_sent_again_where_the_class_is_idempotent(state: NodeState) -> None:
     request = start(state, make_request(1, "idempotent", START))
     assert resynchronise(state, START + 1.0) == [
         effects.StartRun(request.attempt_id, "idempotent", request.body)
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("class_name", ["keyed", "non-idempotent"])
 def test_a_start_that_may_be_lost_is_never_sent_again_where_it_has_side_effects(
-    state: State, class_name: str
+    state: NodeState, class_name: str
 ) -> None:
     request = start(state, make_request(1, class_name, START))
     emitted = resynchronise(state, START + 1.0)
@@ -81,7 +81,7 @@
     assert run_of(request).is_indeterminate
 
 
-def test_an_indeterminate_run_counts_until_its_end_is_reported(state: State) -> None:
+def test_an_indeterminate_run_counts_until_its_end_is_reported(state: NodeState) -> None:
     request = start(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
     assert counted_runs(state) == 1
@@ -90,7 +90,7 @@
 
 
 def test_a_run_to_which_no_answer_is_owed_is_stopped_and_counts_until_its_end_is_reported(
-    state: State,
+    state: NodeState,
 ) -> None:
     request = start(state, make_request(1, "non-idempotent", START))
     confirm_commands(state, START)
@@ -103,7 +103,7 @@
     assert counted_runs(state) == 0 and state.requests == {}
 
 
-def test_a_stop_that_has_to_wait_for_a_link_is_sent_on_the_next(state: State) -> None:
+def test_a_stop_that_has_to_wait_for_a_link_is_sent_on_the_next(state: NodeState) -> None:
     """Were it dropped, the run would go on uncounted."""
     request = start(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
@@ -114,7 +114,7 @@
     assert effects.StopRun(request.attempt_id) in emitted
 
 
-def test_a_run_whose_stop_was_read_before_any_notice_of_it_is_over(state: State) -> None:
+def test_a_run_whose_stop_was_read_before_any_notice_of_it_is_over(state: NodeState) -> None:
     start(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
     reduce(state, events.RequestCancelled((1, 1)), START + 2.0)
@@ -125,7 +125,9 @@
     assert record is not None and record.completed  # it may have run all the same: never again
 
 
-def test_a_run_that_the_site_cannot_stop_counts_until_its_end_is_reported(unstoppable_state: State) -> None:
+def test_a_run_that_the_site_cannot_stop_counts_until_its_end_is_reported(
+    unstoppable_state: NodeState,
+) -> None:
     state = unstoppable_state
     request = start(state, make_request(1, "idempotent", START))
     confirm_commands(state, START)
@@ -137,7 +139,7 @@
     assert counted_runs(state) == 0
 
 
-def test_a_run_without_any_notice_frees_its_place_in_the_end(unstoppable_state: State) -> None:
+def test_a_run_without_any_notice_frees_its_place_in_the_end(unstoppable_state: NodeState) -> None:
     state = unstoppable_state
     start(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
@@ -146,7 +148,7 @@
     assert counted_runs(state) == 0 and state.requests == {}
 
 
-def test_a_reply_sent_on_the_new_link_does_not_count_as_lost_with_the_old_one(state: State) -> None:
+def test_a_reply_sent_on_the_new_link_does_not_count_as_lost_with_the_old_one(state: NodeState) -> None:
     request = start(state, make_request(1, "keyed", START))
     reduce(state, events.CallRequested(request.attempt_id, 1, b"c"), START + 1.0)
     reduce(state, events.RuntimeDisconnected(), START + 2.0)
@@ -163,7 +165,7 @@
         pytest.param(events.RuntimeDisconnected(), id="link broke"),
     ],
 )
-def test_more_runs_than_are_counted_are_measured_after(state: State, event: events.Event) -> None:
+def test_more_runs_than_are_counted_are_measured_after(state: NodeState, event: events.Event) -> None:
     """Runs of a process that has exited go on at the runtime, and so may those that a broken link hides."""
     state.gauge_names = ("on_cores",)
     reduce(state, events.RuntimeConnected(False, 0.0), START)
@@ -174,7 +176,7 @@
     assert state.controller is not None and state.controller.run_load().excess_runs == 6.0
 
 
-def test_runs_of_an_earlier_process_are_measured_after_the_start(state: State) -> None:
+def test_runs_of_an_earlier_process_are_measured_after_the_start(state: NodeState) -> None:
     state.gauge_names = ("on_cores",)
     reduce(state, events.RuntimeConnected(False, 60_000.0), START)
     reduce(state, events.LoadSampleReceived("x", (6.0,)), START + 240.0)
@@ -182,7 +184,7 @@
     assert state.controller is not None and state.controller.run_load().excess_runs == 6.0
 
 
-def test_exit_of_a_peer_process_before_the_runtime_is_there_starts_no_controller(state: State) -> None:
+def test_exit_of_a_peer_process_before_the_runtime_is_there_starts_no_controller(state: NodeState) -> None:
     """The controller would take a machine for warm whose age is not known yet."""
     reduce(state, events.PeerProcessExited(), START)
     assert state.controller is None
--- a/tests/records/test_record_observer.py
+++ b/tests/records/test_record_observer.py
@@ -10,7 +10,7 @@
 from snowthread.admission.settings import Outcome
 from snowthread.core import effects, events
 from snowthread.core.reducer import reduce
-from snowthread.core.state import AdmissionClock, State
+from snowthread.core.state import AdmissionClock, NodeState
 from snowthread.records.model import FIELD_DESCRIPTIONS, KINDS, RecordDraft, RecordKind, Totals
 from snowthread.records.observer import MAX_TENANT_ROWS, OTHER_TENANTS, Observer
 
@@ -35,7 +35,7 @@
 
     def __init__(self) -> None:
         self.now = START_MS
-        self.state = State(SETTINGS, 7, ("core_use",), AdmissionClock(START_MS))
+        self.state = NodeState(SETTINGS, 7, ("core_use",), AdmissionClock(START_MS))
         self.observer = Observer(SETTINGS, START_MS)
         self.drafts: list[RecordDraft] = []
         self.post(events.RuntimeConnected(False, 0.0))
@@ -180,7 +180,7 @@
 
 
 def test_effects_come_out_unchanged() -> None:
-    plain = State(SETTINGS, 7, (), AdmissionClock(START_MS))
+    plain = NodeState(SETTINGS, 7, (), AdmissionClock(START_MS))
     observed = ObservedReducer()
     observed.state.gauge_names = ()
     reduce(plain, events.RuntimeConnected(False, 0.0), START_MS)
--- a/tests/recovery/test_manager.py
+++ b/tests/recovery/test_manager.py
@@ -10,7 +10,7 @@
 from snowthread.admission.settings import Outcome
 from snowthread.core import effects, events
 from snowthread.core.reducer import reduce
-from snowthread.core.state import AdmissionClock, State
+from snowthread.core.state import AdmissionClock, NodeState
 from snowthread.net.clock import Clock
 from snowthread.net.loop import EventLoop
 from snowthread.recovery import key_log, storage
@@ -31,7 +31,7 @@
         node_config = config.load({"NODE_CONFIG": str(EXAMPLE)})
         self.loop = EventLoop(Clock())
         clock = AdmissionClock(self.loop.clock.now())
-        self.state = State(node_config.settings, 1, node_config.gauge_names, clock)
+        self.state = NodeState(node_config.settings, 1, node_config.gauge_names, clock)
         self.posted: list[events.Event] = []
         self.carried_out: list[effects.Effect] = []
         self.manager = RecoveryManager(
--- a/tests/stored/test_stored_formats.py
+++ b/tests/stored/test_stored_formats.py
@@ -20,7 +20,7 @@
 from snowthread.admission.settings import Outcome
 from snowthread.core import events
 from snowthread.core.reducer import reduce
-from snowthread.core.state import AdmissionClock, State
+from snowthread.core.state import AdmissionClock, NodeState
 from snowthread.records.files import RecordFiles
 from snowthread.records.frame import FrameReader, InvalidFrame, encode
 from snowthread.records.model import KINDS, Fields, Record, Totals
@@ -128,7 +128,7 @@
     """Return the fields of a ``second`` record: one request served, one late, two open with keys."""
     settings = config.parse(json.loads((ROOT / "examples" / "node.json").read_bytes())).settings
     now = START
-    state = State(settings, 7, ("core_use",), AdmissionClock(now))
+    state = NodeState(settings, 7, ("core_use",), AdmissionClock(now))
     observer = Observer(settings, now)
 
     def post(message: events.Event) -> None:
--- a/tests/support/core_events.py
+++ b/tests/support/core_events.py
@@ -6,7 +6,7 @@
 from snowthread.core.reducer import reduce
 from snowthread.core.run import Run
 from snowthread.core.runtime_resync import sync_tag
-from snowthread.core.state import Request, State
+from snowthread.core.state import NodeState, Request
 
 
 def make_request(
@@ -27,12 +27,12 @@
     )
 
 
-def connect(state: State, now_ms: float) -> list[effects.Effect]:
+def connect(state: NodeState, now_ms: float) -> list[effects.Effect]:
     """Have the runtime accept a link; return the effects."""
     return reduce(state, events.RuntimeConnected(starts_cold=False, runtime_age_ms=0.0), now_ms)
 
 
-def confirm_commands(state: State, now_ms: float) -> list[effects.Effect]:
+def confirm_commands(state: NodeState, now_ms: float) -> list[effects.Effect]:
     """Have the runtime echo a load sample request, which shows that it read all that was sent before."""
     reduce(state, events.LoadSampleDue(), now_ms)
     tag = str(state.last_sample_number)
@@ -40,7 +40,7 @@
     return [effect for effect in emitted if not isinstance(effect, effects.LogNote)]
 
 
-def resynchronise(state: State, now_ms: float) -> list[effects.Effect]:
+def resynchronise(state: NodeState, now_ms: float) -> list[effects.Effect]:
     """Break the link and connect again; return the effects, the log and load samples apart."""
     reduce(state, events.RuntimeDisconnected(), now_ms)
     emitted = connect(state, now_ms)
--- a/tests/tenants/test_tenant_changes_in_reducer.py
+++ b/tests/tenants/test_tenant_changes_in_reducer.py
@@ -15,7 +15,7 @@
 from snowthread.admission.settings import Outcome, Tenant
 from snowthread.core import effects, events
 from snowthread.core.reducer import reduce
-from snowthread.core.state import AdmissionClock, State
+from snowthread.core.state import AdmissionClock, NodeState
 
 START = 1_800_000_000_000.0
 FIELDS = json.loads((Path(__file__).parents[2] / "examples" / "node.json").read_bytes())
@@ -33,7 +33,7 @@
     def __init__(self, **more: object) -> None:
         self.now = START
         settings = replace(SETTINGS, cores=1, collapse_multiple=1.0, **more)  # type: ignore[arg-type]
-        self.state = State(settings, 7, (), AdmissionClock(START))
+        self.state = NodeState(settings, 7, (), AdmissionClock(START))
         self.answers: dict[int, list[object]] = {}
         self.started: list[str] = []
         self.calls: list[str] = []
@@ -155,7 +155,7 @@
 
 
 def test_quotas_set_before_the_runtime_connects_apply_then_and_a_cold_start_stays_cold() -> None:
-    state = State(replace(SETTINGS, starts_cold=False), 1, (), AdmissionClock(START))
+    state = NodeState(replace(SETTINGS, starts_cold=False), 1, (), AdmissionClock(START))
     for message in (
         events.TenantQuotasChanged((Tenant("a", 5.0), Tenant("b", 1.0)), over_quota_weight=0.3),
         events.TenantQuotasChanged((Tenant("a", 6.0),), frozenset({"b"})),
