--- a/snowthread/core/settings_changes.py
+++ b/snowthread/core/settings_changes.py
@@ -1,7 +1,8 @@
 """Changes to what the controller works with while serving.
 
 Reloaded settings, tenant quotas, the pacing of calls during recovery, and the learned state of an earlier
-incarnation. The settings in effect are computed in :mod:`snowthread.core.effective_settings`.
+incarnation. The settings in effect are computed in :mod:`snowthread.core.effective_settings`. One field is
+changed elsewhere: ``starts_cold``, when the runtime connects (:mod:`snowthread.core.runtime_resync`).
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from snowthread.admission.settings import RequestClass, Settings
 from snowthread.core import events
 from snowthread.core.effective_settings import merge_settings, remaining_limits
-from snowthread.core.state import State
+from snowthread.core.state import NodeState
 from snowthread.core.transition import HandlerTable, Transition, apply_learned_state
 
 
@@ -44,7 +45,7 @@
     _apply_tenants(transition, old, event.settings)
 
 
-def _extend_idempotency_windows(state: State, old_classes: tuple[RequestClass, ...]) -> None:
+def _extend_idempotency_windows(state: NodeState, old_classes: tuple[RequestClass, ...]) -> None:
     """Extend the expiry of the keys of classes whose idempotency window is longer now.
 
     A window that is shorter now leaves the keys as they are: callers retry within the window that they know.
--- a/tests/support/core_events.py
+++ b/tests/support/core_events.py
@@ -6,11 +6,11 @@
 from snowthread.core.reducer import reduce
 from snowthread.core.run import Run
 from snowthread.core.runtime_resync import sync_tag
-from snowthread.core.state import Request, State
+from snowthread.core.state import NodeState, Request
 
 
 def make_request(
-    number: int, class_name: str, sent_at_ms: float, idempotency_key: str | None = None
+    number: int, class_name: str, arrived_at_ms: float, idempotency_key: str | None = None
 ) -> events.RequestReceived:
     """Return a request whose number stands in its attempt id, response address and key."""
     return events.RequestReceived(
@@ -18,7 +18,7 @@
         attempt_id=f"{number:016x}",
         class_name=class_name,
         body=b"p",
-        sent_at_ms=sent_at_ms,
+        arrived_at_ms=arrived_at_ms,
         timeout_ms=5000.0,
         caller_id=4,
         memory_kb=20.0,
@@ -27,12 +27,12 @@
     )
 
 
-def connect(state: State, now_ms: float) -> list[effects.Effect]:
+def connect(state: NodeState, now_ms: float) -> list[effects.Effect]:
     """Have the runtime accept a link; return the effects."""
     return reduce(state, events.RuntimeConnected(starts_cold=False, runtime_age_ms=0.0), now_ms)
 
 
-def confirm_commands(state: State, now_ms: float) -> list[effects.Effect]:
+def confirm_commands(state: NodeState, now_ms: float) -> list[effects.Effect]:
     """Have the runtime echo a load sample request, which shows that it read all that was sent before."""
     reduce(state, events.LoadSampleDue(), now_ms)
     tag = str(state.last_sample_number)
@@ -40,7 +40,7 @@
     return [effect for effect in emitted if not isinstance(effect, effects.LogNote)]
 
 
-def resynchronise(state: State, now_ms: float) -> list[effects.Effect]:
+def resynchronise(state: NodeState, now_ms: float) -> list[effects.Effect]:
     """Break the link and connect again; return the effects, the log and load samples apart."""
     reduce(state, events.RuntimeDisconnected(), now_ms)
     emitted = connect(state, now_ms)
