--- a/snowthread/clients/command_queue.py
+++ b/snowthread/clients/command_queue.py
@@ -4,10 +4,9 @@
 
 import socket
 from collections import deque
-from collections.abc import Iterable
 from typing import NamedTuple
 
-from snowthread.clients.runtime_codec import RuntimeCommand, encode
+from snowthread.clients.runtime_codec import RuntimeCommand
 
 
 class QueuedLine(NamedTuple):
@@ -16,34 +15,18 @@
     command: RuntimeCommand | None  # None: the first line on a link
     line: bytes
 
-    @classmethod
-    def of(cls, command: RuntimeCommand) -> QueuedLine:
-        """Return the line of a command."""
-        return cls(command, encode(command))
-
 
 class CommandQueue:
-    """Unsent lines of one link, in order."""
+    """Unsent lines of one link, in order; ``lines`` may be added to, and is otherwise changed here alone."""
 
     def __init__(self) -> None:
-        self._lines: deque[QueuedLine] = deque()
+        self.lines: deque[QueuedLine] = deque()
         self._first_line_sent_bytes = 0
 
-    def __len__(self) -> int:
-        return len(self._lines)
-
-    def append(self, line: QueuedLine) -> None:
-        """Add a line."""
-        self._lines.append(line)
-
-    def extend(self, lines: Iterable[QueuedLine]) -> None:
-        """Add lines."""
-        self._lines.extend(lines)
-
     def flush(self, sock: socket.socket) -> bool:
         """Send lines; return False where one is left or the link is broken, which its task finds out."""
-        while self._lines:
-            line = self._lines[0].line
+        while self.lines:
+            line = self.lines[0].line
             try:
                 self._first_line_sent_bytes += sock.send(
                     line[self._first_line_sent_bytes :] if self._first_line_sent_bytes else line
@@ -52,15 +35,15 @@
                 return False
             if self._first_line_sent_bytes < len(line):
                 return False
-            self._lines.popleft()
+            self.lines.popleft()
             self._first_line_sent_bytes = 0
         return True
 
     def lines_not_begun(self) -> list[QueuedLine]:
         """Return the lines of which no byte was sent."""
-        return list(self._lines)[1 if self._first_line_sent_bytes else 0 :]
+        return list(self.lines)[1 if self._first_line_sent_bytes else 0 :]
 
     def clear(self) -> None:
         """Remove all."""
-        self._lines.clear()
+        self.lines.clear()
         self._first_line_sent_bytes = 0
--- a/snowthread/clients/runtime.py
+++ b/snowthread/clients/runtime.py
@@ -13,7 +13,7 @@
 
 from snowthread.address import Address
 from snowthread.clients.command_queue import CommandQueue, QueuedLine
-from snowthread.clients.runtime_codec import NoticeError, RuntimeCommand, decode, encode_sync
+from snowthread.clients.runtime_codec import NoticeError, RuntimeCommand, decode, encode, encode_sync
 from snowthread.clients.runtime_link import RuntimeLink
 from snowthread.core import effects, events
 from snowthread.net.attempt import Failure, Progress
@@ -64,10 +64,10 @@
         """Write a command as far as the socket takes it, or queue it; without a link it is dropped."""
         if self._migration_marker or (self._is_between_links and self._sock is None):
             if not isinstance(command, effects.RequestLoadSample):
-                self._queued_for_next_link.append(QueuedLine.of(command))
+                self._queued_for_next_link.append(QueuedLine(command, encode(command)))
         elif self._sock is not None:
             is_sample_request = isinstance(command, effects.RequestLoadSample)
-            if is_sample_request and len(self._commands) >= LOAD_SAMPLE_QUEUE_LIMIT:
+            if is_sample_request and len(self._commands.lines) >= LOAD_SAMPLE_QUEUE_LIMIT:
                 return  # a runtime that does not read now needs no more requests
             self._write(self._sock, command)
 
@@ -87,8 +87,8 @@
         self._loop.wake(self._task)
 
     def _write(self, sock: socket.socket, command: RuntimeCommand) -> None:
-        self._commands.append(QueuedLine.of(command))
-        if len(self._commands) == 1 and not self._commands.flush(sock):
+        self._commands.lines.append(QueuedLine(command, encode(command)))
+        if len(self._commands.lines) == 1 and not self._commands.flush(sock):
             self._loop.wake(self._task)
 
     # Links, one after another.
@@ -151,15 +151,15 @@
 
         A failure with REPLY_BEGUN means that the link had been ready.
         """
-        self._commands.append(QueuedLine(None, encode_sync(self._last_notice)))
-        self._commands.extend(self._queued_for_next_link)
+        self._commands.lines.append(QueuedLine(None, encode_sync(self._last_notice)))
+        self._commands.lines.extend(self._queued_for_next_link)
         self._queued_for_next_link = []
         clock = self._loop.clock
         link = RuntimeLink(clock.now())
         while True:
             self._commands.flush(sock)
             deadline_ms = link.deadline_ms(clock.now(), bool(self._migration_marker), self._was_ready)
-            mask = READABLE | WRITABLE if self._commands else READABLE
+            mask = READABLE | WRITABLE if self._commands.lines else READABLE
             ready = yield Wait(sock.fileno(), mask, deadline_ms)
             is_due = clock.now() >= deadline_ms
             if not ready & (READABLE | HANGUP) and not is_due:
--- a/snowthread/frontends/balancers/connection.py
+++ b/snowthread/frontends/balancers/connection.py
@@ -48,13 +48,13 @@
     """One balancer's connection: its open requests and the answers that the peer has not taken yet."""
 
     __slots__ = (
-        "_messages",
         "_owner",
         "abuse_budget",
         "clock",
         "closing_at_once",
         "closing_gracefully",
         "farewell_at_ms",
+        "messages",
         "number",
         "open_numbers",
         "post",
@@ -75,7 +75,7 @@
         self.closing_gracefully = False  # nothing more is read; what is unsent is sent first
         self.abuse_budget = AbuseBudget(self.clock.now())
         self.writer = BufferedSocketWriter(sock, self.clock)
-        self._messages = MessageStream(self.clock)
+        self.messages = MessageStream(self.clock)
         self.task = owner.loop.spawn(self._steps())
 
     @property
@@ -86,27 +86,13 @@
     @property
     def has_partial_message(self) -> bool:
         """Whether the beginning of a message was read but not its end."""
-        return bool(self._messages.partial_message)
-
-    @property
-    def messages_read(self) -> int:
-        """How many messages were read."""
-        return self._messages.messages_read
+        return bool(self.messages.partial_message)
 
     @property
     def unsent_bytes(self) -> int:
         """How many bytes of answers the peer has not taken."""
         return len(self.writer.unsent)
 
-    @property
-    def stalled_since_ms(self) -> float:
-        """Since when the peer takes none of its unsent bytes; infinity with nothing unsent."""
-        return self.writer.stalled_since_ms
-
-    def incomplete_since_ms(self) -> float:
-        """Return since when the rest of a message, or the first message, is missing; infinity: neither is."""
-        return self._messages.incomplete_since_ms()
-
     def mark_active(self) -> None:
         """Restart the idle time, or note that the connection is busy."""
         self._owner.mark_active(self)
@@ -165,11 +151,11 @@
             return True
         if not data:
             return False
-        invalid = self._messages.feed(data, self._handle)
+        invalid = self.messages.feed(data, self._handle)
         if invalid is not None:
             reject_invalid(self, invalid)
             self.closing_gracefully = True
-        elif self._messages.partial_message and not self.open_numbers:
+        elif self.messages.partial_message and not self.open_numbers:
             # A request is arriving in pieces: silent connections are evicted before this one.
             self.mark_active()
         return True
--- a/snowthread/frontends/balancers/sweeper.py
+++ b/snowthread/frontends/balancers/sweeper.py
@@ -51,8 +51,8 @@
         """Return whether the peer made the node wait too long, or stayed idle after its farewell."""
         if is_timed_out(
             now_ms,
-            connection.incomplete_since_ms(),
-            connection.stalled_since_ms,
+            connection.messages.incomplete_since_ms(),
+            connection.writer.stalled_since_ms,
             connection.has_partial_message,
         ):
             return True
@@ -69,7 +69,7 @@
         Many peers that read nothing would fill the memory, though none of them has much unsent.
         """
         with_unsent = sorted(
-            (connection for connection in self._connections.values() if connection.unsent_bytes),
+            (connection for connection in self._connections.values() if connection.writer.unsent),
             key=lambda connection: connection.unsent_bytes,
         )
         unsent_bytes = sum(connection.unsent_bytes for connection in with_unsent)
@@ -88,7 +88,7 @@
                 continue  # a request is arriving in pieces
             if (
                 idle_ms >= self.idle_timeout_ms
-                or (connection.messages_read == 1 and idle_ms >= SINGLE_USE_IDLE_MS)
+                or (connection.messages.messages_read == 1 and idle_ms >= SINGLE_USE_IDLE_MS)
                 or (excess > 0 and idle_ms >= FRESH_IDLE_MS)
             ):
                 excess -= 1
