--- a/snowthread/admission/actions.py
+++ b/snowthread/admission/actions.py
@@ -48,6 +48,7 @@
     """Answer that a request failed: it may have run."""
 
     request_id: int
+    reason: RejectReason | None = field(default=None, compare=False)  # for the log, of what was no rejection
 
 
 @dataclass(frozen=True, slots=True)
--- a/snowthread/admission/arrivals.py
+++ b/snowthread/admission/arrivals.py
@@ -9,7 +9,7 @@
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.retry_rule import attempt_weight_ratio
 from snowthread.admission.settings import Idempotency
-from snowthread.admission.settlement import reject
+from snowthread.admission.settlement import reject_or_fail
 from snowthread.admission.start_rule import priority
 from snowthread.admission.state import State
 
@@ -27,7 +27,7 @@
     is_keyed = request.request_class.idempotency is Idempotency.KEYED
     reason = reject_reason(state, now, request, state.settings.key_memory_kb if is_keyed else 0.0)
     if reason is not None:
-        return reject(state, now, request, reason)
+        return reject_or_fail(state, now, request, reason)
     start_by = latest_start_at(state.estimates, request)
     state.deadlines.watch(request, min(request.deadline_at, start_by))
     return [remember_key(state, now, request)] if is_keyed else []
--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -14,7 +14,7 @@
 from snowthread.admission.run_load import RunLoad
 from snowthread.admission.run_results import call_finished, call_needed, run_finished
 from snowthread.admission.settings import Settings, check_settings
-from snowthread.admission.settlement import reject, request_abandoned
+from snowthread.admission.settlement import reject_or_fail, request_abandoned
 from snowthread.admission.start_rule import start_queued
 from snowthread.admission.state import State
 from snowthread.admission.timer_queue import DEADLINE_TIMER, UPDATE_TIMER, TimerQueue
@@ -97,7 +97,7 @@
 def _tenants_changed(state: State, now: float, event: events.TenantsChanged) -> list[Action]:
     actions: list[Action] = []
     for request in state.quotas.change_tenants(event):
-        actions += reject(state, now, request, RejectReason.TENANT)
+        actions += reject_or_fail(state, now, request, RejectReason.TENANT)
     return actions
 
 
--- a/snowthread/admission/deadline_rule.py
+++ b/snowthread/admission/deadline_rule.py
@@ -4,7 +4,7 @@
 from snowthread.admission.estimators import TIME_TOLERANCE_S, Estimates
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.request import RequestRecord, RequestState
-from snowthread.admission.settlement import reject
+from snowthread.admission.settlement import reject_or_fail
 from snowthread.admission.state import State
 
 ANSWER_MARGIN_S = 0.03  # before the deadline: the answer has to reach the caller in time
@@ -33,7 +33,7 @@
         has_no_weight = not request.request_class.late_weight_factor
         is_due = is_due or (request.objective_at <= soon and has_no_weight)
     if is_due:
-        return reject(state, now, request, RejectReason.DUE)
+        return reject_or_fail(state, now, request, RejectReason.DUE)
     if request.state is RequestState.CALL_PENDING and request.retry_at > now + TIME_TOLERANCE_S:
         check_at = request.retry_at + ANSWER_MARGIN_S
     state.deadlines.watch(request, check_at)
--- a/snowthread/admission/graceful_shutdown.py
+++ b/snowthread/admission/graceful_shutdown.py
@@ -6,7 +6,7 @@
 from snowthread.admission.actions import Action, LogNotice, Notice, SetHealth
 from snowthread.admission.events import ShutdownNotice
 from snowthread.admission.reasons import RejectReason
-from snowthread.admission.settlement import reject
+from snowthread.admission.settlement import reject_or_fail
 from snowthread.admission.state import State
 
 
@@ -22,5 +22,5 @@
     actions: list[Action] = []
     if state.shutdown.must_answer_all(now):
         for request in [r for r in state.open_requests.by_id.values() if not r.is_answered]:
-            actions += reject(state, now, request, RejectReason.SHUTDOWN)
+            actions += reject_or_fail(state, now, request, RejectReason.SHUTDOWN)
     return actions
--- a/snowthread/admission/idempotency.py
+++ b/snowthread/admission/idempotency.py
@@ -5,7 +5,7 @@
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.settings import Idempotency
-from snowthread.admission.settlement import reject
+from snowthread.admission.settlement import reject_or_fail
 from snowthread.admission.state import State
 
 KEY_LIFETIME_MARGIN_S = 0.1  # beyond the idempotency window: for the clocks of callers
@@ -26,7 +26,7 @@
     is_given_up = original is not None and original.is_answered and original.is_indeterminate
     must_answer = is_given_up or state.shutdown.must_answer_all(now)
     if must_answer or exceeds_memory_limit(state.open_requests.memory):
-        return reject(state, now, request, RejectReason.ORIGINAL_UNAVAILABLE)
+        return reject_or_fail(state, now, request, RejectReason.ORIGINAL_UNAVAILABLE)
     state.open_requests.await_original(request)
     state.deadlines.watch(request, request.deadline_at)
     return [AwaitOriginal(request.id)]
--- a/snowthread/admission/reasons.py
+++ b/snowthread/admission/reasons.py
@@ -1,4 +1,4 @@
-"""Why a request was rejected, for the log. Types only."""
+"""Why a request was rejected, or failed in place of a rejection, for the log. Types only."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RejectReason(Enum):
-    """The rule that rejected a request; the value is what the debug log says."""
+    """The rule that gave up a request; the value is what the debug log says."""
 
     UNKNOWN_CLASS = "unknown class"  # arrivals.request_arrived: no such class in the settings
     SHUTDOWN = "shutting down"  # admission_rule.reject_reason, graceful_shutdown.answer_all_before_stop
--- a/snowthread/admission/run_results.py
+++ b/snowthread/admission/run_results.py
@@ -6,7 +6,7 @@
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.request import RequestRecord, RequestState
 from snowthread.admission.settings import Outcome, Preemption
-from snowthread.admission.settlement import fail, reject, remove
+from snowthread.admission.settlement import fail, reject_or_fail, remove
 from snowthread.admission.start_rule import may_start
 from snowthread.admission.state import State
 
@@ -20,7 +20,7 @@
         keeps_progress = state.settings.preemption is not Preemption.DROP
         state.open_requests.requeue(request, keeps_progress)
         may_resume = may_start(state, now, request)
-        return [] if may_resume else reject(state, now, request, RejectReason.PREEMPTED)
+        return [] if may_resume else reject_or_fail(state, now, request, RejectReason.PREEMPTED)
     was_running = request.state is RequestState.RUNNING
     actions = remove(state, now, request)
     if event.outcome is Outcome.SUCCESS and was_running:
--- a/snowthread/admission/settlement.py
+++ b/snowthread/admission/settlement.py
@@ -11,16 +11,18 @@
 WAITING_STATES = (RequestState.QUEUED, RequestState.PAUSED, RequestState.AWAITING_ORIGINAL)
 
 
-def reject(state: State, now: float, request: RequestRecord, reason: RejectReason) -> list[Action]:
+def reject_or_fail(state: State, now: float, request: RequestRecord, reason: RejectReason) -> list[Action]:
     """Reject a request; one that has started and is not idempotent may have run, and is failed."""
     if request.has_started and not request.is_idempotent:
-        return fail(state, now, request)
+        return fail(state, now, request, reason)
     return [rejection(state, now, request, reason), *settle(state, now, request)]
 
 
-def fail(state: State, now: float, request: RequestRecord) -> list[Action]:
+def fail(
+    state: State, now: float, request: RequestRecord, reason: RejectReason | None = None
+) -> list[Action]:
     """Fail a request: the answer that leaves open whether it ran."""
-    return [Fail(request.id), *settle(state, now, request)]
+    return [Fail(request.id, reason), *settle(state, now, request)]
 
 
 def request_abandoned(state: State, now: float, request: RequestRecord, _: RequestAbandoned) -> list[Action]:
--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -64,13 +64,13 @@
     request = state.requests.get(action.request_id)
     if request is None:
         return
+    reason = action.reason.value if action.reason is not None else ""
     if isinstance(action, actions.Reject):
         retry_after_ms = state.admission_clock.duration_ms(action.retry_after_s)
-        reason = action.reason.value if action.reason is not None else ""
         response = effects.Rejected(retry_after_ms, action.do_not_retry, request.attempt_id, reason)
         answer(transition, request, response)
     else:
-        answer(transition, request, effects.Failed(request.attempt_id))
+        answer(transition, request, effects.Failed(request.attempt_id, reason))
     cancel_call(transition, request)
     release_if_answered(transition, request)
 
--- a/snowthread/core/effects.py
+++ b/snowthread/core/effects.py
@@ -43,7 +43,8 @@
 class Failed:
     """The response that promises nothing: the request may have run."""
 
-    attempt_id: str = field(default="", compare=False)  # for the log
+    attempt_id: str = field(default="", compare=False)  # this and the reason are for the log
+    reason: str = field(default="", compare=False)  # "": it failed by itself, not by a rule
 
 
 @dataclass(frozen=True, slots=True)
--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -231,6 +231,6 @@
     """Log, as a detail, which request gets no result, and why."""
     request = response.attempt_id or "without an id"
     if isinstance(response, effects.Failed):
-        logger.debug("request {}: failed", request)
+        logger.debug("request {}: failed{}", request, f": {response.reason}" if response.reason else "")
     else:
         logger.debug("request {}: rejected: {}", request, response.reason or "no reason given")
--- a/tests/admission/test_reject_reasons.py
+++ b/tests/admission/test_reject_reasons.py
@@ -7,7 +7,7 @@
 import pytest
 from support.admission_controller import arrive, started_controller
 
-from snowthread.admission.actions import Action, Reject
+from snowthread.admission.actions import Action, Fail, Reject
 from snowthread.admission.controller import Controller
 from snowthread.admission.events import RunFinished, ShutdownNotice, TenantsChanged, TimerFired
 from snowthread.admission.reasons import RejectReason
@@ -84,6 +84,12 @@
     return controller_with_full_cores().handle(1.08, TimerFired(DEADLINE_TIMER))
 
 
+def due_while_running() -> list[Action]:
+    controller = started_controller()
+    arrive(controller, 0.1, 1, "keyed")
+    return controller.handle(3.08, TimerFired(DEADLINE_TIMER))
+
+
 def stopped_shortly_before_the_stop() -> list[Action]:
     controller = started_controller(preemption=Preemption.DROP)
     arrive(controller, 0.1, 1)
@@ -114,3 +120,8 @@
     rejections = [action for action in bring_about() if isinstance(action, Reject)]
     assert rejections
     assert {rejection.reason for rejection in rejections} == {reason}
+
+
+def test_failure_in_place_of_a_rejection_gives_the_same_reason() -> None:
+    failures = [action for action in due_while_running() if isinstance(action, Fail)]
+    assert [failure.reason for failure in failures] == [RejectReason.DUE]
--- a/tests/node/test_response_log.py
+++ b/tests/node/test_response_log.py
@@ -14,6 +14,7 @@
     ("response", "line"),
     [
         (effects.Failed("a1"), "request a1: failed"),
+        (effects.Failed("a1", "due time reached"), "request a1: failed: due time reached"),
         (effects.Failed(), "request without an id: failed"),
         (effects.Rejected(0.0, False, "a1", "memory short"), "request a1: rejected: memory short"),
         (effects.Rejected(), "request without an id: rejected: no reason given"),
