--- a/snowthread/admission/admission_rule.py
+++ b/snowthread/admission/admission_rule.py
@@ -25,13 +25,14 @@
     if exceeds_memory_limit(open_requests.memory, key_kb):
         return RejectReason.MEMORY
     are_cores_taken = open_requests.cores.occupied >= int(state.concurrency.limit)
-    others_wait = len(open_requests.queued) > 1  # the newcomer is among them
-    has_to_wait = are_cores_taken or others_wait
+    others_are_queued = len(open_requests.queued) > 1  # the newcomer is queued before it is judged
+    has_to_wait = are_cores_taken or others_are_queued
     if has_to_wait and state.blocking.is_blocked(newcomer):
         return RejectReason.BLOCKED
     if has_to_wait and wait_is_too_long(state, now, newcomer):
         return RejectReason.WAIT_TOO_LONG
-    return RejectReason.CANNOT_MEET_DEADLINE if cannot_meet_deadline(state, now, newcomer) else None
+    is_too_late = cannot_meet_deadline(state, now, newcomer) and not admits_probe(state, now, newcomer)
+    return RejectReason.CANNOT_MEET_DEADLINE if is_too_late else None
 
 
 def wait_is_too_long(state: State, now: float, newcomer: RequestRecord) -> bool:
@@ -43,7 +44,8 @@
         return len(queued) > MAX_QUEUED_PER_CORE * estimates.cores
     time_left_s = newcomer.objective_at - now - estimates.expected_run_s(newcomer)
     max_work = MAX_WAIT_RATIO * time_left_s * work_per_s
-    if sum([r.work for r in queued]) - newcomer.work <= max_work:  # noqa: C419  # a list is faster
+    others_work = sum([r.work for r in queued]) - newcomer.work  # noqa: C419  # a list is faster
+    if others_work <= max_work:
         return False
     refresh_priorities(state, now)
     work_ahead = [r.work for r in queued if r.priority >= newcomer.priority and r is not newcomer]
@@ -51,17 +53,19 @@
 
 
 def cannot_meet_deadline(state: State, now: float, newcomer: RequestRecord) -> bool:
-    """Return whether a run started now would probably end too late, and is no probe.
+    """Return whether a run started now would probably end too late."""
+    return now >= latest_start_at(state.estimates, newcomer)
 
-    A probe is admitted on idle cores where no run of its class ended lately: without it a run time that was
-    learned too long would reject the class for ever.
+
+def admits_probe(state: State, now: float, newcomer: RequestRecord) -> bool:
+    """Admit a probe, and note its time, on idle cores where no run of its class ended lately.
+
+    Without probes a run time that was learned too long would reject the class for ever.
     """
-    if now < latest_start_at(state.estimates, newcomer):
-        return False
     last_run_at = state.estimates.last_run_at_s
     index = newcomer.class_index
     are_cores_idle = not state.open_requests.cores.running
     if are_cores_idle and now < newcomer.objective_at and now - last_run_at[index] >= PROBE_INTERVAL_S:
-        last_run_at[index] = now
-        return False
-    return True
+        last_run_at[index] = now  # so that the next probe has to wait
+        return True
+    return False
--- a/snowthread/admission/arrivals.py
+++ b/snowthread/admission/arrivals.py
@@ -29,7 +29,7 @@
     if reason is not None:
         return reject_or_fail(state, now, request, reason)
     start_by = latest_start_at(state.estimates, request)
-    state.deadlines.watch(request, min(request.deadline_at, start_by))
+    state.deadlines.watch_deadline(request, min(request.deadline_at, start_by))
     return [remember_key(state, now, request)] if is_keyed else []
 
 
--- a/snowthread/admission/blocking.py
+++ b/snowthread/admission/blocking.py
@@ -5,7 +5,7 @@
 from snowthread.admission.node_state import NodeState
 from snowthread.admission.request import RequestRecord
 
-MAX_DEBT_REJECTIONS_PER_CORE = 4.0  # passed on to lighter requests, before a heavy one is rejected
+MAX_DEFERRED_PER_CORE = 4.0  # deferred rejections, from which on a heavy request is rejected itself
 
 
 class BlockingRule:
@@ -15,7 +15,9 @@
         self._state = state
         self.probability = 0.0  # the same for all callers, constant between updates
         self._mean_weight = 0.0
-        self._debt_work = 0.0  # of the rejections passed on, for which none was made up yet
+        self._deferred_work = (
+            0.0  # of rejections deferred from heavy requests, not yet charged to lighter ones
+        )
 
     def update(self, beta: float, headroom_ratio: float) -> None:
         """Set the probability; ``headroom_ratio``: possible over present throughput, by utilization."""
@@ -26,17 +28,18 @@
     def is_blocked(self, request: RequestRecord) -> bool:
         """Draw whether a newcomer is blocked: the probability says how many are, weights say which.
 
-        A request of more than the mean weight passes its rejection on, in bounds, to the next one of less.
+        The work of a rejection deferred from a heavy request, in bounds, is charged to the next lighter ones.
         """
         probability = self.probability
         change = request.weight - self._mean_weight
         self._mean_weight += change / AVERAGED_REQUESTS if self._mean_weight else change
         is_blocked = self._state.generator.random() < probability
+        is_light = request.weight < self._mean_weight
         if is_blocked and request.weight > self._mean_weight:
-            max_debt_work = MAX_DEBT_REJECTIONS_PER_CORE * self._state.settings.cores * request.work
-            is_blocked = self._debt_work >= max_debt_work
-            self._debt_work += 0.0 if is_blocked else request.work
-        elif probability and request.weight < self._mean_weight and self._debt_work > 0.0 and not is_blocked:
-            self._debt_work -= request.work
+            max_deferred_work = MAX_DEFERRED_PER_CORE * self._state.settings.cores * request.work
+            is_blocked = self._deferred_work >= max_deferred_work
+            self._deferred_work += 0.0 if is_blocked else request.work
+        elif probability and is_light and self._deferred_work > 0.0 and not is_blocked:
+            self._deferred_work -= request.work
             is_blocked = True
         return is_blocked
--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -106,7 +106,7 @@
     if event.label == UPDATE_TIMER:
         actions = update(state, now, event)
     elif not state.deadlines.fire(now):
-        return []  # an earlier timer has replaced it: arming again would make a second chain of timers
+        return []  # a stale timer, replaced by an earlier one: ignore it
     state.calls.next_dispatch_at = now
     for request_id in state.deadlines.pop_due(now):
         request = state.open_requests.by_id.get(request_id)
--- a/snowthread/admission/deadline_rule.py
+++ b/snowthread/admission/deadline_rule.py
@@ -35,6 +35,6 @@
     if is_due:
         return reject_or_fail(state, now, request, RejectReason.DUE)
     if request.state is RequestState.CALL_PENDING and request.retry_at > now + TIME_TOLERANCE_S:
-        check_at = request.retry_at + ANSWER_MARGIN_S
-    state.deadlines.watch(request, check_at)
+        check_at = request.retry_at + ANSWER_MARGIN_S  # at the retry itself: the margin is taken off again
+    state.deadlines.watch_deadline(request, check_at)
     return []
--- a/snowthread/admission/idempotency.py
+++ b/snowthread/admission/idempotency.py
@@ -28,7 +28,7 @@
     if must_answer or exceeds_memory_limit(state.open_requests.memory):
         return reject_or_fail(state, now, request, RejectReason.ORIGINAL_UNAVAILABLE)
     state.open_requests.await_original(request)
-    state.deadlines.watch(request, request.deadline_at)
+    state.deadlines.watch_deadline(request, request.deadline_at)
     return [AwaitOriginal(request.id)]
 
 
--- a/snowthread/admission/lost_runs.py
+++ b/snowthread/admission/lost_runs.py
@@ -32,7 +32,7 @@
 def _presume_lost_later(state: State, now: float, request: RequestRecord) -> None:
     run_s = max(UPDATE_PERIOD_S, state.estimates.expected_run_s(request))
     state.open_requests.cores.mark_indeterminate(request, now + LOST_RUN_TIME_FACTOR * run_s)
-    state.deadlines.watch(request, request.presumed_lost_at + ANSWER_MARGIN_S)
+    state.deadlines.watch_deadline(request, request.presumed_lost_at + ANSWER_MARGIN_S)  # it is taken off
 
 
 def check_lost_run(state: State, now: float, request: RequestRecord) -> list[Action]:
@@ -40,7 +40,7 @@
     if request.state is not RequestState.RUNNING or request.presumed_lost_at > now + TIME_TOLERANCE_S:
         return []
     if not request.is_answered:
-        actions = fail(state, now, request)
+        actions = fail(state, now, request, None)
         _presume_lost_later(state, now, request)
         return actions
     state.estimates.run_wasted(request)
--- a/snowthread/admission/run_results.py
+++ b/snowthread/admission/run_results.py
@@ -44,9 +44,9 @@
         return []
     decision = state.calls.finish(now, request, event.outcome)
     if decision is CallDecision.FAIL_RUN:
-        return fail(state, now, request)
+        return fail(state, now, request, None)
     if decision is CallDecision.SKIP:
         return [SkipCall(request.id)]
     if decision is CallDecision.RETRY:
-        state.deadlines.watch(request, request.retry_at)
+        state.deadlines.watch_deadline(request, request.retry_at)
     return []
--- a/snowthread/admission/settlement.py
+++ b/snowthread/admission/settlement.py
@@ -18,9 +18,7 @@
     return [rejection(state, now, request, reason), *settle(state, now, request)]
 
 
-def fail(
-    state: State, now: float, request: RequestRecord, reason: RejectReason | None = None
-) -> list[Action]:
+def fail(state: State, now: float, request: RequestRecord, reason: RejectReason | None) -> list[Action]:
     """Fail a request: the answer that leaves open whether it ran."""
     return [Fail(request.id, reason), *settle(state, now, request)]
 
--- a/snowthread/admission/start_rule.py
+++ b/snowthread/admission/start_rule.py
@@ -24,7 +24,7 @@
             state.quotas.count_run(now, request.tenant)
         state.open_requests.start(now, request)
         actions.append(StartRun(request.id))
-        state.deadlines.watch(request, min(request.deadline_at, request.objective_at))
+        state.deadlines.watch_deadline(request, min(request.deadline_at, request.objective_at))
     return actions
 
 
--- a/snowthread/admission/timer_queue.py
+++ b/snowthread/admission/timer_queue.py
@@ -23,14 +23,14 @@
 
     def __init__(self, label: int, margin_s: float, tolerance_s: float) -> None:
         self._label = label
-        self._margin_s = margin_s  # by which a request is looked at early
+        self._margin_s = margin_s  # by which a request is looked at before its deadline
         self._tolerance_s = tolerance_s
         self._heap: list[tuple[float, int]] = []
         self._fires_at = math.inf
 
-    def watch(self, request: RequestRecord, at: float) -> None:
-        """Add an entry for a request, a margin before the time given."""
-        heapq.heappush(self._heap, (at - self._margin_s, request.id))
+    def watch_deadline(self, request: RequestRecord, deadline_at: float) -> None:
+        """Look at a request the margin before a deadline, so that its answer arrives in time."""
+        heapq.heappush(self._heap, (deadline_at - self._margin_s, request.id))
 
     def add(self, at: float) -> None:
         """Add an entry that belongs to no request and is never skipped."""
--- a/tests/admission/test_blocking.py
+++ b/tests/admission/test_blocking.py
@@ -17,7 +17,7 @@
 
 from snowthread.admission.actions import StartRun
 from snowthread.admission.berger import blocking_probability, target_utilization
-from snowthread.admission.blocking import MAX_DEBT_REJECTIONS_PER_CORE
+from snowthread.admission.blocking import MAX_DEFERRED_PER_CORE
 from snowthread.admission.concurrency import UPDATE_PERIOD_S
 from snowthread.admission.events import RunFinished, TimerFired
 from snowthread.admission.settings import Dependency, Idempotency, LoadReportKind, Outcome, Tenant
@@ -53,17 +53,17 @@
         assert most < 0.1 or rejected["keyed"] / count["keyed"] == pytest.approx(0.4, abs=0.08)
 
 
-def test_the_debt_of_rejections_passed_on_is_bounded() -> None:
+def test_work_of_deferred_rejections_is_bounded() -> None:
     controller = started_controller(memory_kb=1e6)
     controller.state.blocking.probability = 1.0
     controller.state.blocking._mean_weight = 1.0  # no light requests come any more
     some = [record(n, 10.0 + n) for n in range(50)]
-    assert sum(not is_blocked(controller, q) for q in some) == MAX_DEBT_REJECTIONS_PER_CORE * 2
+    assert sum(not is_blocked(controller, q) for q in some) == MAX_DEFERRED_PER_CORE * 2
 
 
-def test_nothing_is_rejected_for_a_debt_while_the_blocking_probability_is_zero() -> None:
+def test_nothing_is_rejected_for_deferred_work_while_the_blocking_probability_is_zero() -> None:
     controller = started_controller(memory_kb=1e6)
-    controller.state.blocking._mean_weight, controller.state.blocking._debt_work = 2.0, 3.0
+    controller.state.blocking._mean_weight, controller.state.blocking._deferred_work = 2.0, 3.0
     light = record(1, 1.0)
     assert not is_blocked(controller, light)
     controller.state.blocking.probability = 1e-9
