--- a/snowthread/admission/concurrency.py
+++ b/snowthread/admission/concurrency.py
@@ -18,7 +18,7 @@
 class ConcurrencyLimit:
     """The limit grows while cores idle, is cut by a factor, and stays between cores and ceiling.
 
-    With more runs than the server survives it collapses: it works on all of them and ends hardly any.
+    A server collapses where more runs are on its cores, averaged over a while, than it survives.
     """
 
     def __init__(self, state: NodeState) -> None:
--- a/snowthread/admission/events.py
+++ b/snowthread/admission/events.py
@@ -22,6 +22,8 @@
 
     ``time_left_s`` is the caller's deadline and ``work_hint_s`` its estimate of the core time, where it sends
     them; ``unread_s`` is how long the request lay unread; ``original_id`` is the attempt that it repeats.
+    ``partition_key``, ``rank`` and ``caller_id``: not used by a rule; part of the host's interface.
+    ``is_retry`` is set by the simulator only.
     """
 
     request_id: int
@@ -57,7 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFinished(RequestEvent):
-    """A downstream call has ended."""
+    """A downstream call has ended.
+
+    ``duration_s``: not used by a rule; part of the host's interface.
+    """
 
     outcome: Outcome
     duration_s: float = 0.0
@@ -65,7 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunFinished(RequestEvent):
-    """A run has ended, or a retry that awaited its original was answered."""
+    """A run has ended, or a retry that awaited its original was answered.
+
+    ``duration_s``: not used by a rule; part of the host's interface.
+    """
 
     outcome: Outcome
     duration_s: float = 0.0
@@ -73,7 +81,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer fired; with it come the load figures that the host has (None: not measured)."""
+    """A timer fired; with it come the load figures that the host has (None: not measured).
+
+    ``memory_utilization``: not used by a rule; part of the host's interface.
+    """
 
     label: int
     core_utilization: float | None = None
--- a/snowthread/admission/settings.py
+++ b/snowthread/admission/settings.py
@@ -106,7 +106,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of a node. Defaults mean that the site does not have this."""
+    """The settings of a node. Defaults mean that the site does not have this.
+
+    ``collapse_after_s``: not used by a rule; part of the host's interface.
+    """
 
     classes: tuple[RequestClass, ...]
     cores: int
