--- a/snowthread/admission/blocking.py
+++ b/snowthread/admission/blocking.py
@@ -1,8 +1,8 @@
 """Blocking: the share of requests that is rejected on arrival, and which requests those are."""
 
 from snowthread.admission.berger import blocking_probability
+from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.estimators import AVERAGED_REQUESTS
-from snowthread.admission.node_state import NodeState
 from snowthread.admission.request import RequestRecord
 
 MAX_DEFERRED_PER_CORE = 4.0  # deferred rejections, from which on a heavy request is rejected itself
@@ -11,7 +11,7 @@
 class BlockingRule:
     """Sets the probability once an update, and draws for each newcomer whether it is blocked."""
 
-    def __init__(self, state: NodeState) -> None:
+    def __init__(self, state: ControllerContext) -> None:
         self._state = state
         self.probability = 0.0  # the same for all callers, constant between updates
         self._mean_weight = 0.0
--- a/snowthread/admission/concurrency.py
+++ b/snowthread/admission/concurrency.py
@@ -2,7 +2,7 @@
 
 import math
 
-from snowthread.admission.node_state import NodeState
+from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.request import RequestRecord
 
 UPDATE_PERIOD_S = 0.25  # between periodic updates of what is learned, the limits and the load report
@@ -21,7 +21,7 @@
     A server collapses where more runs are on its cores, averaged over a while, than it survives.
     """
 
-    def __init__(self, state: NodeState) -> None:
+    def __init__(self, state: ControllerContext) -> None:
         self._state = state
         self.limit = float(state.settings.cores)
         self._cut_at = -math.inf
--- a/snowthread/admission/node_state.py
+++ b/snowthread/admission/controller_context.py
@@ -1,4 +1,4 @@
-"""The state of a node that every rule shares: settings, open requests, estimates, deadlines, draws."""
+"""What every rule of a controller shares: settings, open requests, estimates, deadlines, draws."""
 
 import random
 
@@ -8,8 +8,8 @@
 from snowthread.admission.timer_queue import TimerQueue
 
 
-class NodeState:
-    """What the parts of ``State`` take, so that they need not import it. Times are seconds."""
+class ControllerContext:
+    """What the parts of a controller's ``State`` take, so that they need not import it. Times are seconds."""
 
     def __init__(self, settings: Settings, seed: int, deadlines: TimerQueue) -> None:
         self.started_at = 0.0
--- a/snowthread/admission/downstream_calls.py
+++ b/snowthread/admission/downstream_calls.py
@@ -6,8 +6,8 @@
 from enum import Enum
 
 from snowthread.admission.actions import Action, SkipCall, StartCall
+from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.estimators import TIME_TOLERANCE_S
-from snowthread.admission.node_state import NodeState
 from snowthread.admission.request import RequestRecord, RequestState
 from snowthread.admission.settings import Dependency, Outcome, Settings
 
@@ -46,7 +46,7 @@
 class DownstreamCalls:
     """Runs that wait for a call, and the budget (call-seconds) and the limit that their calls share."""
 
-    def __init__(self, state: NodeState) -> None:
+    def __init__(self, state: ControllerContext) -> None:
         self._estimates = state.estimates
         self._table = state.open_requests.call_table
         self._budget = self._table.budget
--- a/snowthread/admission/idle_connections.py
+++ b/snowthread/admission/idle_connections.py
@@ -2,7 +2,7 @@
 
 from snowthread.admission.actions import Action, SetIdleTimeout
 from snowthread.admission.concurrency import FULL_UTILIZATION_RATIO, UPDATE_PERIOD_S
-from snowthread.admission.node_state import NodeState
+from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.statistics import SteadyPeak
 
 CLOSE_EARLY_REQUESTS = 0.7  # of one caller, expected in the idle timeout: with fewer, connections close early
@@ -20,7 +20,7 @@
 class IdleTimeout:
     """Shortens the timeout where connections are hardly reused, or where their full table costs time."""
 
-    def __init__(self, state: NodeState) -> None:
+    def __init__(self, state: ControllerContext) -> None:
         self._state = state
         self._timeout_s = state.settings.idle_timeout_s  # as last set
         self._closes_early = False
--- a/snowthread/admission/load_report.py
+++ b/snowthread/admission/load_report.py
@@ -4,7 +4,7 @@
 
 from snowthread.admission.actions import Action, PublishLoad
 from snowthread.admission.berger import target_utilization
-from snowthread.admission.node_state import NodeState
+from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.settings import LoadReportKind
 from snowthread.admission.statistics import approach
 
@@ -18,7 +18,7 @@
 class LoadReport:
     """Publishes a share once an update. All shares are ratios, 0 to 1, of what callers have to send."""
 
-    def __init__(self, state: NodeState) -> None:
+    def __init__(self, state: ControllerContext) -> None:
         self._state = state
         self.published_share = 0.0
         self.effective_share = 0.0  # that callers have heard and applied to the present arrivals
--- a/snowthread/admission/quotas.py
+++ b/snowthread/admission/quotas.py
@@ -1,8 +1,8 @@
 """Tenants: which classes they may send, and the weight of requests beyond their quota."""
 
+from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.estimators import AVERAGED_REQUESTS
 from snowthread.admission.events import TenantsChanged
-from snowthread.admission.node_state import NodeState
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.tenant_table import TenantTable
 
@@ -16,7 +16,7 @@
     The node's part of a quota is that over the number of nodes.
     """
 
-    def __init__(self, state: NodeState) -> None:
+    def __init__(self, state: ControllerContext) -> None:
         self._state = state
         self.table = TenantTable(state.settings)
 
--- a/snowthread/admission/shutdown_times.py
+++ b/snowthread/admission/shutdown_times.py
@@ -2,8 +2,8 @@
 
 import math
 
+from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.events import ShutdownNotice
-from snowthread.admission.node_state import NodeState
 from snowthread.admission.request import RequestRecord
 
 ANSWER_ALL_MARGIN_S = 0.3  # before the stop: the last answers have to reach their callers
@@ -12,7 +12,7 @@
 class ShutdownTimes:
     """Says what may still start, and when whatever is open has to be answered."""
 
-    def __init__(self, state: NodeState) -> None:
+    def __init__(self, state: ControllerContext) -> None:
         self._state = state
         self._noticed_at = math.inf
         self._stop_at = math.inf
--- a/snowthread/admission/state.py
+++ b/snowthread/admission/state.py
@@ -1,22 +1,25 @@
-"""The state of a controller: that of its node, and the parts that remember what they decided."""
+"""The state of a controller: its context, and the parts that remember what they decided."""
 
 import math
 
 from snowthread.admission.blocking import BlockingRule
 from snowthread.admission.concurrency import ConcurrencyLimit
+from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.downstream_calls import DownstreamCalls
 from snowthread.admission.health import OutlierDetector
 from snowthread.admission.idle_connections import IdleTimeout
 from snowthread.admission.load_report import LoadReport
-from snowthread.admission.node_state import NodeState
 from snowthread.admission.quotas import TenantQuotas
 from snowthread.admission.settings import Settings
 from snowthread.admission.shutdown_times import ShutdownTimes
 from snowthread.admission.timer_queue import TimerQueue
 
 
-class State(NodeState):
-    """What the rules, which are functions, read and change. Times are seconds of the controller's clock."""
+class State(ControllerContext):
+    """What the rules, which are functions, read and change; not the ``State`` of ``snowthread.core``.
+
+    Times are seconds of the controller's clock.
+    """
 
     def __init__(self, settings: Settings, seed: int, deadlines: TimerQueue) -> None:
         super().__init__(settings, seed, deadlines)
--- a/tests/admission/test_policy_bounds.py
+++ b/tests/admission/test_policy_bounds.py
@@ -31,7 +31,7 @@
     )
 ]
 STATE = [  # the state that rules share: it decides nothing, and holds parts of the policy
-    ROOT / "snowthread/admission" / name for name in ("node_state.py", "state.py")
+    ROOT / "snowthread/admission" / name for name in ("controller_context.py", "state.py")
 ]
 OTHER = {  # of the package, but no part of the decision module
     "__init__.py",
