--- a/snowthread/admission/__init__.py
+++ b/snowthread/admission/__init__.py
@@ -13,9 +13,9 @@
 - ``graceful_shutdown`` answers all before the stop, by ``shutdown_times``.
 
 Beside them are the state (``controller_context``, ``state``) and types (``settings``, ``events``,
-``actions``, ``reasons``, ``request``, ``run_load``); accounting and arithmetic that decide nothing (``open_requests``,
-``call_table``, ``tenant_table``, ``class_times``, ``cores``, ``memory``, ``timer_queue``, ``statistics``,
-``berger``); the recovery of a cold node (``recovery_pacer``, ``slow_start``, ``call_budget``, ``backoff``,
+``actions``, ``reasons``, ``request``, ``run_load``); accounting and arithmetic that decide nothing
+(``open_requests``, ``call_table``, ``tenant_table``, ``class_times``, ``cores``, ``memory``,
+``timer_queue``, ``statistics``, ``berger``); the recovery of a cold node (``recovery_pacer``, ``slow_start``, ``call_budget``, ``backoff``,
 ``learned_state``); and translation (``settings_parser``, ``simulator_adapter``).
 """
 
--- a/snowthread/admission/blocking.py
+++ b/snowthread/admission/blocking.py
@@ -5,7 +5,7 @@
 from snowthread.admission.estimators import AVERAGED_REQUESTS
 from snowthread.admission.request import RequestRecord
 
-MAX_DEFERRED_PER_CORE = 4.0  # deferred rejections, from which on a heavy request is rejected itself
+MAX_DEFERRED_REJECTIONS_PER_CORE = 4.0  # from which on a heavy request is rejected itself
 
 
 class BlockingRule:
@@ -36,7 +36,7 @@
         is_blocked = self._state.generator.random() < probability
         is_light = request.weight < self._mean_weight
         if is_blocked and request.weight > self._mean_weight:
-            max_deferred_work = MAX_DEFERRED_PER_CORE * self._state.settings.cores * request.work
+            max_deferred_work = MAX_DEFERRED_REJECTIONS_PER_CORE * self._state.settings.cores * request.work
             is_blocked = self._deferred_work >= max_deferred_work
             self._deferred_work += 0.0 if is_blocked else request.work
         elif probability and is_light and self._deferred_work > 0.0 and not is_blocked:
--- a/tests/admission/test_blocking.py
+++ b/tests/admission/test_blocking.py
@@ -17,7 +17,7 @@
 
 from snowthread.admission.actions import StartRun
 from snowthread.admission.berger import blocking_probability, target_utilization
-from snowthread.admission.blocking import MAX_DEFERRED_PER_CORE
+from snowthread.admission.blocking import MAX_DEFERRED_REJECTIONS_PER_CORE
 from snowthread.admission.concurrency import UPDATE_PERIOD_S
 from snowthread.admission.events import RunFinished, TimerFired
 from snowthread.admission.settings import Dependency, Idempotency, LoadReportKind, Outcome, Tenant
@@ -58,7 +58,7 @@
     controller.state.blocking.probability = 1.0
     controller.state.blocking._mean_weight = 1.0  # no light requests come any more
     some = [record(n, 10.0 + n) for n in range(50)]
-    assert sum(not is_blocked(controller, q) for q in some) == MAX_DEFERRED_PER_CORE * 2
+    assert sum(not is_blocked(controller, q) for q in some) == MAX_DEFERRED_REJECTIONS_PER_CORE * 2
 
 
 def test_nothing_is_rejected_for_deferred_work_while_the_blocking_probability_is_zero() -> None:
