--- a/snowthread/admission/__init__.py
+++ b/snowthread/admission/__init__.py
@@ -15,8 +15,9 @@
 Beside them are the state (``controller_context``, ``state``) and types (``settings``, ``events``,
 ``actions``, ``reasons``, ``request``, ``run_load``); accounting and arithmetic that decide nothing
 (``open_requests``, ``call_table``, ``tenant_table``, ``class_times``, ``cores``, ``memory``,
-``timer_queue``, ``statistics``, ``berger``); the recovery of a cold node (``recovery_pacer``, ``slow_start``, ``call_budget``, ``backoff``,
-``learned_state``); and translation (``settings_parser``, ``simulator_adapter``).
+``timer_queue``, ``statistics``, ``berger``); the recovery of a cold node (``recovery_pacer``, ``slow_start``,
+``call_budget``, ``backoff``, ``learned_state``); and translation (``settings_parser``,
+``simulator_adapter``).
 """
 
 from snowthread.admission.controller import Controller
