--- a/snowthread/admission/concurrency.py
+++ b/snowthread/admission/concurrency.py
@@ -1,8 +1,8 @@
-"""The run limit: how many runs may be on the cores at once."""
+"""The run limit, which adapts to the load, and the ceiling, the most runs that it may ever allow."""
 
 import math
 
-from snowthread.admission.node_state import NodeState
+from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.request import RequestRecord
 
 UPDATE_PERIOD_S = 0.25  # between periodic updates of what is learned, the limits and the load report
@@ -16,9 +16,12 @@
 
 
 class ConcurrencyLimit:
-    """The limit grows while cores idle, is cut by a factor, and stays between cores and ceiling."""
+    """The limit grows while cores idle, is cut by a factor, and stays between cores and ceiling.
 
-    def __init__(self, state: NodeState) -> None:
+    A server collapses where more runs are on its cores, averaged over a while, than it survives.
+    """
+
+    def __init__(self, state: ControllerContext) -> None:
         self._state = state
         self.limit = float(state.settings.cores)
         self._cut_at = -math.inf
--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -14,7 +14,7 @@
 from snowthread.admission.run_load import RunLoad
 from snowthread.admission.run_results import call_finished, call_needed, run_finished
 from snowthread.admission.settings import Settings, check_settings
-from snowthread.admission.settlement import reject, request_abandoned
+from snowthread.admission.settlement import reject_or_fail, request_cancelled
 from snowthread.admission.start_rule import start_queued
 from snowthread.admission.state import State
 from snowthread.admission.timer_queue import DEADLINE_TIMER, UPDATE_TIMER, TimerQueue
@@ -97,7 +97,7 @@
 def _tenants_changed(state: State, now: float, event: events.TenantsChanged) -> list[Action]:
     actions: list[Action] = []
     for request in state.quotas.change_tenants(event):
-        actions += reject(state, now, request, RejectReason.TENANT)
+        actions += reject_or_fail(state, now, request, RejectReason.TENANT)
     return actions
 
 
@@ -106,13 +106,13 @@
     if event.label == UPDATE_TIMER:
         actions = update(state, now, event)
     elif not state.deadlines.fire(now):
-        return []  # an earlier timer has replaced it: arming again would make a second chain of timers
+        return []  # a stale timer, replaced by an earlier one: ignore it
     state.calls.next_dispatch_at = now
     for request_id in state.deadlines.pop_due(now):
         request = state.open_requests.by_id.get(request_id)
         if request is None:
             continue
-        if not request.is_answered:
+        if not request.is_settled:
             actions += check_deadline(state, now, request)
         actions += check_lost_run(state, now, request)
     actions += answer_all_before_stop(state, now)
@@ -126,7 +126,7 @@
     events.ShutdownNotice: shutdown_noticed,
     events.SettingsChanged: _settings_changed,
     events.TenantsChanged: _tenants_changed,
-    events.RequestAbandoned: request_abandoned,
+    events.RequestCancelled: request_cancelled,
     events.RunFinished: run_finished,
     events.RunIndeterminate: run_indeterminate,
     events.RunCountUncertain: run_count_uncertain,
--- a/snowthread/admission/idempotency.py
+++ b/snowthread/admission/idempotency.py
@@ -5,7 +5,7 @@
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.settings import Idempotency
-from snowthread.admission.settlement import reject
+from snowthread.admission.settlement import reject_or_fail
 from snowthread.admission.state import State
 
 KEY_LIFETIME_MARGIN_S = 0.1  # beyond the idempotency window: for the clocks of callers
@@ -22,13 +22,14 @@
     """Let a retry wait for the result of its original attempt, or reject it (fail it, if that ran)."""
     original = state.open_requests.by_id.get(original_id)
     # An original that is over has run, so that a rejection, which denies it, would be wrong.
-    request.has_started = original.has_started if original else True
-    is_given_up = original is not None and original.is_answered and original.is_indeterminate
+    request.may_have_run = original.may_have_run if original else True
+    # Its caller needs no answer any more and its run may be lost: a result may never come.
+    is_given_up = original is not None and original.is_settled and original.is_indeterminate
     must_answer = is_given_up or state.shutdown.must_answer_all(now)
     if must_answer or exceeds_memory_limit(state.open_requests.memory):
-        return reject(state, now, request, RejectReason.ORIGINAL_UNAVAILABLE)
+        return reject_or_fail(state, now, request, RejectReason.ORIGINAL_UNAVAILABLE)
     state.open_requests.await_original(request)
-    state.deadlines.watch(request, request.deadline_at)
+    state.deadlines.watch_deadline(request, request.deadline_at)
     return [AwaitOriginal(request.id)]
 
 
--- a/snowthread/admission/run_results.py
+++ b/snowthread/admission/run_results.py
@@ -6,7 +6,7 @@
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.request import RequestRecord, RequestState
 from snowthread.admission.settings import Outcome, Preemption
-from snowthread.admission.settlement import fail, reject, remove
+from snowthread.admission.settlement import fail, reject_or_fail, remove
 from snowthread.admission.start_rule import may_start
 from snowthread.admission.state import State
 
@@ -16,11 +16,11 @@
     never_ran = event.outcome is Outcome.NOT_STARTED
     if never_ran or request.state is RequestState.AWAITING_ORIGINAL:
         return remove(state, now, request, forget_key=never_ran)
-    if event.outcome is Outcome.CANCELLED and not request.is_answered:
+    if event.outcome is Outcome.CANCELLED and not request.is_settled:
         keeps_progress = state.settings.preemption is not Preemption.DROP
         state.open_requests.requeue(request, keeps_progress)
         may_resume = may_start(state, now, request)
-        return [] if may_resume else reject(state, now, request, RejectReason.PREEMPTED)
+        return [] if may_resume else reject_or_fail(state, now, request, RejectReason.PREEMPTED)
     was_running = request.state is RequestState.RUNNING
     actions = remove(state, now, request)
     if event.outcome is Outcome.SUCCESS and was_running:
@@ -44,9 +44,9 @@
         return []
     decision = state.calls.finish(now, request, event.outcome)
     if decision is CallDecision.FAIL_RUN:
-        return fail(state, now, request)
+        return fail(state, now, request, None)
     if decision is CallDecision.SKIP:
         return [SkipCall(request.id)]
     if decision is CallDecision.RETRY:
-        state.deadlines.watch(request, request.retry_at)
+        state.deadlines.watch_deadline(request, request.retry_at)
     return []
--- a/snowthread/core/runtime_resync.py
+++ b/snowthread/core/runtime_resync.py
@@ -8,7 +8,7 @@
 
 A run whose start or last reply may be lost and must not be sent again is reported to the controller as
 indeterminate. It counts as running until the runtime reports something of it, or until it is presumed lost
-(:mod:`snowthread.admission.lost_runs`).
+and forgotten (:mod:`snowthread.admission.lost_runs`).
 
 Limits:
 
--- a/tests/node/test_runtime_link.py
+++ b/tests/node/test_runtime_link.py
@@ -128,7 +128,7 @@
 ) -> None:
     link = harness.peers["runtime"]
     sent = 0
-    while len(harness.node.runtime._commands) < LOAD_SAMPLE_QUEUE_LIMIT:
+    while len(harness.node.runtime._commands.lines) < LOAD_SAMPLE_QUEUE_LIMIT:
         harness.node.runtime.send(effects.DeliverReply(attempt_id(sent), b"r" * 4000))
         sent += 1
         assert sent < 5000
