--- a/snowthread/admission/deadline_rule.py
+++ b/snowthread/admission/deadline_rule.py
@@ -33,7 +33,7 @@
         has_no_weight = not request.request_class.late_weight_factor
         is_due = is_due or (request.objective_at <= soon and has_no_weight)
     if is_due:
-        return reject_or_fail(state, now, request, RejectReason.DUE)
+        return reject_or_fail(state, now, request, RejectReason.DEADLINE_REACHED)
     if request.state is RequestState.CALL_PENDING and request.retry_at > now + TIME_TOLERANCE_S:
         check_at = request.retry_at + ANSWER_MARGIN_S  # at the retry itself: the margin is taken off again
     state.deadlines.watch_deadline(request, check_at)
--- a/snowthread/admission/learned_state.py
+++ b/snowthread/admission/learned_state.py
@@ -53,13 +53,13 @@
     return LearnedState(times, estimates.request_rate)
 
 
-def restore_learned_state(controller: Controller, recalled: LearnedState, speed: float) -> None:
+def restore_learned_state(controller: Controller, restored: LearnedState, speed: float) -> None:
     """Begin with what an earlier process learned, on a machine that works at this share of its speed.
 
     What the controller has measured itself stays.
     """
     estimates = controller.estimates
-    known = list(_known_classes(controller, recalled))
+    known = list(_known_classes(controller, restored))
     for index, times in known:
         if estimates.base_core_time_s[index] <= 0.0:
             estimates.base_core_time_s[index] = times.core_time_s
@@ -71,13 +71,13 @@
             core_time_s = times.core_time_s / speed
             estimates.core_time_s[index] = core_time_s / work
             estimates.run_time_s[index] = (times.run_time_s - times.core_time_s + core_time_s) / work
-    estimates.request_rate = estimates.request_rate or recalled.request_rate
+    estimates.request_rate = estimates.request_rate or restored.request_rate
 
 
-def _known_classes(controller: Controller, recalled: LearnedState) -> Iterator[tuple[int, LearnedClassTimes]]:
-    """Yield index and times of the classes in the settings of which something is recalled."""
+def _known_classes(controller: Controller, restored: LearnedState) -> Iterator[tuple[int, LearnedClassTimes]]:
+    """Yield index and times of the classes in the settings of which something is restored."""
     for index, request_class in enumerate(controller.settings.classes):
-        times = recalled.times.get(request_class.name)
+        times = restored.times.get(request_class.name)
         if times is not None:
             yield index, times
 
@@ -87,15 +87,15 @@
     return controller.settings.speed_at_age(controller.state.age_s(now_s))
 
 
-def runs_within_factor(controller: Controller, recalled: LearnedState, factor: float) -> bool | None:
-    """Return whether runs of every recalled class take at most so many times as long as recalled.
+def runs_within_factor(controller: Controller, restored: LearnedState, factor: float) -> bool | None:
+    """Return whether runs of every restored class take at most so many times as long as restored.
 
     None where there is nothing to compare.
     """
     estimates = controller.estimates
     ratios = [
         estimates.core_time_s[index] * estimates.work_of(index, None) / times.core_time_s
-        for index, times in _known_classes(controller, recalled)
+        for index, times in _known_classes(controller, restored)
         if times.core_time_s > 0.0 and estimates.core_time_s[index] > 0.0
     ]
     return max(ratios) <= factor if ratios else None
@@ -109,7 +109,7 @@
     moves towards the restored time, update by update, and past its maximum age it is that, or not known.
     """
 
-    recalled: LearnedState
+    restored: LearnedState
     unaged_objectives: float = 0.5  # latency objectives of a class, for which its times stay as learned
     max_age_objectives: float = 2.0  # latency objectives of a class, after which its times are given up
     max_rate_age_s: float = 1.0  # after which a service rate not confirmed may be given up
@@ -150,7 +150,7 @@
         max_age_s = self.max_age_objectives * request_class.latency_objective_s
         if estimates.run_time_s[index] <= 0.0 or not confirmed_at_s or age_s <= unaged_s:
             return
-        times = self.recalled.times.get(request_class.name, LearnedClassTimes())
+        times = self.restored.times.get(request_class.name, LearnedClassTimes())
         work = estimates.work_of(index, None)
         core_time_s = times.core_time_s / work
         run_time_s = times.run_time_s / work
--- a/snowthread/admission/reasons.py
+++ b/snowthread/admission/reasons.py
@@ -11,10 +11,10 @@
     UNKNOWN_CLASS = "unknown class"  # arrivals.request_arrived: no such class in the settings
     SHUTDOWN = "shutting down"  # admission_rule.reject_reason, graceful_shutdown.answer_all_before_stop
     TENANT = "tenant not allowed"  # admission_rule.reject_reason, and controller when tenants change
-    MEMORY = "memory short"  # admission_rule.reject_reason, by memory_limit.exceeds_memory_limit
-    BLOCKED = "blocking probability"  # admission_rule.reject_reason, by blocking.BlockingRule.is_blocked
+    MEMORY = "memory limit reached"  # admission_rule.reject_reason, by memory_limit.exceeds_memory_limit
+    BLOCKED = "blocked under overload"  # admission_rule.reject_reason, by blocking.BlockingRule.is_blocked
     WAIT_TOO_LONG = "wait too long"  # admission_rule.wait_is_too_long
-    CANNOT_MEET_DEADLINE = "cannot end in time"  # admission_rule.cannot_meet_deadline
-    ORIGINAL_UNAVAILABLE = "original attempt can't be awaited"  # idempotency.await_original
-    DUE = "due time reached"  # deadline_rule.check_deadline
-    PREEMPTED = "run stopped"  # run_results.run_finished: a stopped run that may not start again
+    CANNOT_MEET_DEADLINE = "cannot meet the deadline"  # admission_rule.cannot_meet_deadline
+    ORIGINAL_UNAVAILABLE = "original attempt unavailable"  # idempotency.await_original
+    DEADLINE_REACHED = "deadline reached"  # deadline_rule.check_deadline
+    PREEMPTED = "run preempted"  # run_results.run_finished: a stopped run that may not start again
--- a/snowthread/recovery/learned_snapshots.py
+++ b/snowthread/recovery/learned_snapshots.py
@@ -39,7 +39,7 @@
     @property
     def restored(self) -> LearnedState:
         """What was restored and is not forgotten yet."""
-        return self._aging.recalled
+        return self._aging.restored
 
     def restore(self, generation: int, now_ms: float, is_cold: bool) -> None:
         """Assess the snapshot by the fleet's generation and restore what was learned, where it is fresh.
--- a/tests/admission/test_decisions_page.py
+++ b/tests/admission/test_decisions_page.py
@@ -191,7 +191,7 @@
         ("`snowthread.core.key_claims`", "`snowthread.core.key_claim`"),
         ("`EJECTION_S` 10.0", "`EJECTION_S` 11.0"),
         ("`EJECTION_S`", "`EJECTED_S`"),
-        ("| `DUE`:", "| `OVERDUE`:"),
+        ("| `DEADLINE_REACHED`:", "| `DEADLINE_PASSED`:"),
     ],
 )
 def test_a_wrong_name_or_value_is_found(right: str, wrong: str) -> None:
--- a/tests/admission/test_reject_reasons.py
+++ b/tests/admission/test_reject_reasons.py
@@ -110,7 +110,7 @@
         (too_much_queued, RejectReason.WAIT_TOO_LONG),
         (late_on_idle_cores, RejectReason.CANNOT_MEET_DEADLINE),
         (original_without_memory, RejectReason.ORIGINAL_UNAVAILABLE),
-        (due_in_the_queue, RejectReason.DUE),
+        (due_in_the_queue, RejectReason.DEADLINE_REACHED),
         (stopped_shortly_before_the_stop, RejectReason.PREEMPTED),
     ],
 )
@@ -124,4 +124,4 @@
 
 def test_failure_in_place_of_a_rejection_gives_the_same_reason() -> None:
     failures = [action for action in due_while_running() if isinstance(action, Fail)]
-    assert [failure.reason for failure in failures] == [RejectReason.DUE]
+    assert [failure.reason for failure in failures] == [RejectReason.DEADLINE_REACHED]
--- a/tests/node/test_response_log.py
+++ b/tests/node/test_response_log.py
@@ -14,9 +14,12 @@
     ("response", "line"),
     [
         (effects.Failed("a1"), "request a1: failed"),
-        (effects.Failed("a1", "due time reached"), "request a1: failed: due time reached"),
+        (effects.Failed("a1", "deadline reached"), "request a1: failed: deadline reached"),
         (effects.Failed(), "request without an id: failed"),
-        (effects.Rejected(0.0, False, "a1", "memory short"), "request a1: rejected: memory short"),
+        (
+            effects.Rejected(0.0, False, "a1", "memory limit reached"),
+            "request a1: rejected: memory limit reached",
+        ),
         (effects.Rejected(), "request without an id: rejected: no reason given"),
     ],
 )
