--- a/snowthread/admission/admission_rule.py
+++ b/snowthread/admission/admission_rule.py
@@ -12,60 +12,62 @@
 PROBE_INTERVAL_S = 1.0  # without an ended run of a class, after which a probe of it is admitted
 
 
-def reject_reason(state: State, now: float, newcomer: RequestRecord, key_kb: float) -> RejectReason | None:
+def reject_reason(
+    state: State, now: float, request: RequestRecord, key_memory_kb: float
+) -> RejectReason | None:
     """Return why a newcomer is rejected, or None where it stays queued.
 
-    It is in the queue already; ``key_kb`` is the memory that its idempotency key would take.
+    It is in the queue already; ``key_memory_kb`` is the memory that its idempotency key would take.
     """
     open_requests = state.open_requests
-    if state.shutdown.forbids_start(now, newcomer):
+    if state.shutdown.forbids_start(now, request):
         return RejectReason.SHUTDOWN
-    if not state.quotas.table.allows(newcomer):
+    if not state.quotas.table.allows(request):
         return RejectReason.TENANT
-    if exceeds_memory_limit(open_requests.memory, key_kb):
+    if exceeds_memory_limit(open_requests.memory, key_memory_kb):
         return RejectReason.MEMORY
-    are_cores_taken = open_requests.cores.occupied >= int(state.concurrency.limit)
-    others_are_queued = len(open_requests.queued) > 1  # the newcomer is queued before it is judged
-    has_to_wait = are_cores_taken or others_are_queued
-    if has_to_wait and state.blocking.is_blocked(newcomer):
+    are_cores_busy = open_requests.cores.occupied >= int(state.concurrency.limit)
+    are_others_queued = len(open_requests.queued) > 1  # the newcomer is queued before it is judged
+    must_wait = are_cores_busy or are_others_queued
+    if must_wait and state.blocking.is_blocked(request):
         return RejectReason.BLOCKED
-    if has_to_wait and wait_is_too_long(state, now, newcomer):
+    if must_wait and wait_is_too_long(state, now, request):
         return RejectReason.WAIT_TOO_LONG
-    is_too_late = cannot_meet_deadline(state, now, newcomer) and not admits_probe(state, now, newcomer)
+    is_too_late = cannot_meet_deadline(state, now, request) and not admits_probe(state, now, request)
     return RejectReason.CANNOT_MEET_DEADLINE if is_too_late else None
 
 
-def wait_is_too_long(state: State, now: float, newcomer: RequestRecord) -> bool:
+def wait_is_too_long(state: State, now: float, request: RequestRecord) -> bool:
     """Return whether the queued work of higher priority leaves a newcomer too little time."""
     estimates = state.estimates
     queued = state.open_requests.queued.values()
-    work_per_s = estimates.service_rate or estimates.full_rate(estimates.core_time_s)
+    work_per_s = estimates.service_rate or estimates.saturated_rate(estimates.core_time_s)
     if work_per_s <= 0.0:
         return len(queued) > MAX_QUEUED_PER_CORE * estimates.cores
-    time_left_s = newcomer.objective_at - now - estimates.expected_run_s(newcomer)
+    time_left_s = request.objective_at - now - estimates.expected_run_s(request)
     max_work = MAX_WAIT_RATIO * time_left_s * work_per_s
-    others_work = sum([r.work for r in queued]) - newcomer.work  # noqa: C419  # a list is faster
-    if others_work <= max_work:
+    other_work = sum([r.work for r in queued]) - request.work  # noqa: C419  # a list is faster
+    if other_work <= max_work:
         return False
     refresh_priorities(state, now)
-    work_ahead = [r.work for r in queued if r.priority >= newcomer.priority and r is not newcomer]
+    work_ahead = [r.work for r in queued if r.priority >= request.priority and r is not request]
     return sum(work_ahead) > max_work
 
 
-def cannot_meet_deadline(state: State, now: float, newcomer: RequestRecord) -> bool:
+def cannot_meet_deadline(state: State, now: float, request: RequestRecord) -> bool:
     """Return whether a run started now would probably end too late."""
-    return now >= latest_start_at(state.estimates, newcomer)
+    return now >= latest_start_at(state.estimates, request)
 
 
-def admits_probe(state: State, now: float, newcomer: RequestRecord) -> bool:
+def admits_probe(state: State, now: float, request: RequestRecord) -> bool:
     """Admit a probe, and note its time, on idle cores where no run of its class ended lately.
 
     Without probes a run time that was learned too long would reject the class for ever.
     """
     last_run_at = state.estimates.last_run_at_s
-    index = newcomer.class_index
+    index = request.class_index
     are_cores_idle = not state.open_requests.cores.running
-    if are_cores_idle and now < newcomer.objective_at and now - last_run_at[index] >= PROBE_INTERVAL_S:
+    if are_cores_idle and now < request.objective_at and now - last_run_at[index] >= PROBE_INTERVAL_S:
         last_run_at[index] = now  # so that the next probe has to wait
         return True
     return False
--- a/snowthread/admission/arrivals.py
+++ b/snowthread/admission/arrivals.py
@@ -23,27 +23,29 @@
     state.open_requests.add(request)
     if event.original_id is not None and shares_result(state, request):
         return await_original(state, now, request, event.original_id)
-    state.estimates.request_read(request.work, event.is_retry, event.unread_s)
+    state.estimates.record_arrival(request.work, event.is_retry, event.unread_s)
     is_keyed = request.request_class.idempotency is Idempotency.KEYED
     reason = reject_reason(state, now, request, state.settings.key_memory_kb if is_keyed else 0.0)
     if reason is not None:
         return reject_or_fail(state, now, request, reason)
-    start_by = latest_start_at(state.estimates, request)
-    state.deadlines.watch_deadline(request, min(request.deadline_at, start_by))
+    latest_start = latest_start_at(state.estimates, request)
+    state.deadlines.watch_deadline(request, min(request.deadline_at, latest_start))
     return [remember_key(state, now, request)] if is_keyed else []
 
 
 def _record(state: State, now: float, event: RequestArrived, class_index: int) -> RequestRecord:
     settings = state.settings
-    kind = settings.classes[class_index]
+    request_class = settings.classes[class_index]
     arrived_at = now - event.unread_s
     time_left_s = event.time_left_s if settings.propagates_deadline else None
-    deadline_at = now + time_left_s if time_left_s else max(now, arrived_at + kind.deadline_s)
-    work = state.estimates.work_of(class_index, event.work_hint_s)
-    stretch_s = kind.objective_stretch * (state.estimates.run_time_s[class_index] * work)
-    objective_at = min(deadline_at, arrived_at + kind.latency_objective_s + stretch_s)
-    request = RequestRecord.of_arrival(event, class_index, kind, work, arrived_at, deadline_at, objective_at)
-    weight = kind.priority_weight * state.quotas.weight_ratio(now, event.tenant)
+    deadline_at = now + time_left_s if time_left_s else max(now, arrived_at + request_class.deadline_s)
+    work = state.estimates.work_units(class_index, event.work_hint_s)
+    stretch_s = request_class.objective_stretch * (state.estimates.run_time_s[class_index] * work)
+    objective_at = min(deadline_at, arrived_at + request_class.latency_objective_s + stretch_s)
+    request = RequestRecord.of_arrival(
+        event, class_index, request_class, work, arrived_at, deadline_at, objective_at
+    )
+    weight = request_class.priority_weight * state.quotas.weight_ratio(now, event.tenant)
     weight *= attempt_weight_ratio(event.is_retry)
     request.weight = weight if settings.weighs_by_work else weight / work
     request.priority = priority(state, now, request)
--- a/snowthread/admission/berger.py
+++ b/snowthread/admission/berger.py
@@ -11,7 +11,10 @@
 
 def target_utilization(arrival_rate: float, service_rate: float, beta: float) -> float:
     """Return the best utilization: rho = min(lambda / mu, 1 + beta - sqrt(beta (1 + beta)))."""
-    return min(arrival_rate / service_rate, 1.0 + beta - math.sqrt(beta * (1.0 + beta)))
+    return min(
+        arrival_rate / service_rate,
+        1.0 + beta - math.sqrt(beta * (1.0 + beta)),
+    )
 
 
 def blocking_probability(arrival_rate: float, service_rate: float, beta: float) -> float:
--- a/snowthread/admission/blocking.py
+++ b/snowthread/admission/blocking.py
@@ -19,10 +19,10 @@
             0.0  # of rejections deferred from heavy requests, not yet charged to lighter ones
         )
 
-    def update(self, beta: float, headroom_ratio: float) -> None:
+    def update(self, abandonment_ratio: float, headroom_ratio: float) -> None:
         """Set the probability; ``headroom_ratio``: possible over present throughput, by utilization."""
         estimates = self._state.estimates
-        probability = blocking_probability(estimates.arrival_rate, estimates.service_rate, beta)
+        probability = blocking_probability(estimates.arrival_rate, estimates.service_rate, abandonment_ratio)
         self.probability = probability if headroom_ratio < 1.0 else 0.0
 
     def is_blocked(self, request: RequestRecord) -> bool:
--- a/snowthread/admission/call_budget.py
+++ b/snowthread/admission/call_budget.py
@@ -24,11 +24,11 @@
     """Calls to the database that this node may make."""
 
     fleet_per_s: float  # calls a second that the database sustains from the whole fleet
-    prior_ms: float  # its latency in good times
-    slow_factor: float = 3.0  # times that latency, over which a call is slow
+    base_latency_ms: float  # its latency in good times
+    slow_call_factor: float = 3.0  # times that latency, over which a call is slow
     sharing_nodes: int = 1  # nodes that share the budget, this one included
     burst_s: float = 1.0  # seconds of its rate that the bucket holds
-    share: float = 1.0  # of the fair rate
+    rate_ratio: float = 1.0  # of the fair rate
     tokens: float = 0.0
     refilled_at_ms: float | None = None  # when tokens were added last
     denied_count: int = 0
@@ -36,7 +36,7 @@
 
     def rate(self) -> float:
         """Return the calls a second that are allowed now."""
-        return self.fleet_per_s * self.share / max(1, self.sharing_nodes)
+        return self.fleet_per_s * self.rate_ratio / max(1, self.sharing_nodes)
 
     def capacity(self) -> float:
         """Return how many calls may be saved up."""
@@ -54,32 +54,32 @@
             return
         elapsed_s = max(0.0, now_ms - self.refilled_at_ms) / MS_PER_S
         self.refilled_at_ms = now_ms
-        self.share = min(1.0, self.share + GROWTH_RATIO_PER_S * elapsed_s)
+        self.rate_ratio = min(1.0, self.rate_ratio + GROWTH_RATIO_PER_S * elapsed_s)
         self.tokens = min(self.capacity(), self.tokens + self.rate() * elapsed_s)
 
     def next_token_at_ms(self, now_ms: float) -> float:
         """Return when the token of the next call is available, at the present rate."""
         return now_ms + max(0.0, 1.0 - self.tokens) * MS_PER_S / self.rate()
 
-    def try_acquire(self, now_ms: float, leave: float = 0.0) -> bool:
-        """Take the token of a call if as many as ``leave`` remain; count a denial if not."""
+    def try_acquire(self, now_ms: float, min_remaining: float = 0.0) -> bool:
+        """Take the token of a call if as many as ``min_remaining`` remain; count a denial if not."""
         self.refill(now_ms)
-        if self.tokens >= 1.0 + leave:
+        if self.tokens >= 1.0 + min_remaining:
             self.tokens -= 1.0
             return True
         self.denied_count += 1
         return False
 
-    def record_latency(self, now_ms: float, took_ms: float) -> None:
-        """Adapt the rate to the duration of a call, ``took_ms``.
+    def record_latency(self, now_ms: float, duration_ms: float) -> None:
+        """Adapt the rate to the duration of a call, ``duration_ms``.
 
         A slow one cuts it, unless it was made before the last cut; a quick one lets it grow, so that it has
         its full value some calls after a fault is over.
         """
         self.refill(now_ms)
-        if took_ms <= self.slow_factor * self.prior_ms:
-            self.share = min(1.0, self.share * QUICK_CALL_GROWTH_FACTOR)
-        elif now_ms - took_ms >= self.cut_at_ms:
+        if duration_ms <= self.slow_call_factor * self.base_latency_ms:
+            self.rate_ratio = min(1.0, self.rate_ratio * QUICK_CALL_GROWTH_FACTOR)
+        elif now_ms - duration_ms >= self.cut_at_ms:
             self.cut_at_ms = now_ms
-            self.share = max(MIN_RATE_RATIO, self.share * SLOW_CALL_CUT_FACTOR)
+            self.rate_ratio = max(MIN_RATE_RATIO, self.rate_ratio * SLOW_CALL_CUT_FACTOR)
             self.tokens = min(self.tokens, max(1.0, self.rate()))
--- a/snowthread/admission/class_times.py
+++ b/snowthread/admission/class_times.py
@@ -10,13 +10,13 @@
 
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.settings import Settings
-from snowthread.admission.statistics import PowerLaw
+from snowthread.admission.statistics import PowerLawFit
 
 
 class ClassTimeTable:
     """Times in seconds, in lists by the index of the class in the settings."""
 
-    def __init__(self, hints: PowerLaw) -> None:
+    def __init__(self, hint_fit: PowerLawFit) -> None:
         self.core_time_s: list[float] = []  # s on a core, per unit of work
         self.run_time_s: list[float] = []  # s from start to end, calls included, per unit of work
         self.base_core_time_s: list[float] = []  # s on a core of one run, in good times
@@ -24,7 +24,7 @@
         self.call_time_s: list[float] = []  # s
         self.base_call_time_s: list[float] = []  # s, in good times
         self.last_call_at_s: list[float] = []  # when a call ended last
-        self.hints = hints  # core time by work hint
+        self.hint_fit = hint_fit  # core time by work hint
         self.cores = 0
         self.mean_objective_s = 0.0
         self.caller_count = 0
@@ -40,9 +40,9 @@
         for index in new_classes:
             for times in (*run_times, *call_times):
                 times[index : index + 1] = [0.0]
-            self.hints.forget_class(index)
+            self.hint_fit.reset_class(index)
 
-    def full_rate(self, times_s: list[float]) -> float:
+    def saturated_rate(self, times_s: list[float]) -> float:
         """Return how many of what takes these times (s) full cores complete a second (0: not known)."""
         known = [time_s for time_s in times_s if time_s > 0.0]
         return self.cores * len(known) / sum(known) if known else 0.0
--- a/snowthread/admission/concurrency.py
+++ b/snowthread/admission/concurrency.py
@@ -29,26 +29,28 @@
 
     def ceiling(self, age_s: float) -> float:
         """Return the runs that the server survives at its speed at this age, less a margin."""
-        return max(float(self._state.settings.cores), CAPACITY_MARGIN_RATIO * self._survived_runs(age_s))
+        return max(
+            float(self._state.settings.cores), CAPACITY_MARGIN_RATIO * self._max_survivable_runs(age_s)
+        )
 
     def allows_another_run(self, runs: float, age_s: float) -> bool:
         """Return whether the server survives one run more than these, with a margin.
 
         The run that reaches the ceiling crosses it by a part of a run, which on few cores is one too many.
         """
-        is_survived = runs < self._state.settings.cores or runs + 1.0 < self._survived_runs(age_s)
+        is_survived = runs < self._state.settings.cores or runs + 1.0 < self._max_survivable_runs(age_s)
         return is_survived and runs < self.ceiling(age_s)
 
-    def _survived_runs(self, age_s: float) -> float:
+    def _max_survivable_runs(self, age_s: float) -> float:
         settings = self._state.settings
         per_core = 1.0 + (settings.collapse_multiple - 1.0) * settings.speed_at_age(age_s)
         return settings.cores * per_core
 
-    def update(self, utilization: float, is_saturated: bool, demand: float | None, age_s: float) -> None:
+    def update(self, utilization: float, is_saturated: bool, core_demand: float | None, age_s: float) -> None:
         """Adapt the limit, once an update.
 
         ``utilization`` of the cores, 0 to 1; ``is_saturated``: there was a run for each core throughout the
-        period; ``demand``: the runs that want a core (None: not measured).
+        period; ``core_demand``: the runs that want a core (None: not measured).
         """
         cores = self._state.settings.cores
         # The host measures utilization over two periods: both must have been saturated, or a lull that is
@@ -56,9 +58,9 @@
         stayed_saturated = self._was_saturated and is_saturated
         self._was_saturated = is_saturated
         is_full = utilization >= FULL_UTILIZATION_RATIO
-        if demand is None:
-            demand = cores if is_full else 0.0
-        if demand >= cores:  # with more runs all of them would be late
+        if core_demand is None:
+            core_demand = cores if is_full else 0.0
+        if core_demand >= cores:  # with more runs all of them would be late
             self.limit -= LIMIT_DECREASE_RUNS
         elif not is_full and self._state.open_requests.queued and stayed_saturated:
             self.limit = max(self.limit + MIN_LIMIT_GROWTH_RUNS, self.limit * LIMIT_GROWTH_FACTOR)
--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -96,7 +96,7 @@
 
 def _tenants_changed(state: State, now: float, event: events.TenantsChanged) -> list[Action]:
     actions: list[Action] = []
-    for request in state.quotas.change_tenants(event):
+    for request in state.quotas.apply_tenant_changes(event):
         actions += reject_or_fail(state, now, request, RejectReason.TENANT)
     return actions
 
--- a/snowthread/admission/cores.py
+++ b/snowthread/admission/cores.py
@@ -23,44 +23,44 @@
         self.running = 0
         self.indeterminate = 0  # of those running
         self.excess_runs = 0.0  # measured on the cores, beyond those running
-        self._absent = 0.0  # of those indeterminate: not on the cores, by the last measurement
+        self._absent_runs = 0.0  # of those indeterminate: not on the cores, by the last measurement
         self.saturated_s = 0.0  # time with at least one run for each core, since it was last set to zero
         self._unfinished_work = 0.0  # units of work, that unfinished runs had done at the last update
-        self._clock = 0.0  # s of core time that a run has had which was on the cores throughout
+        self._core_clock_s = 0.0  # s of core time that a run has had which was on the cores throughout
 
     def advance(self, elapsed_s: float) -> None:
         """Count the time that has passed, in seconds."""
         occupied = self.occupied
-        self._clock += elapsed_s * min(1.0, self.settings.cores / max(1.0, occupied))
+        self._core_clock_s += elapsed_s * min(1.0, self.settings.cores / max(1.0, occupied))
         if occupied >= self.settings.cores:
             self.saturated_s += elapsed_s
 
     @property
     def occupied(self) -> float:
         """The runs on the cores, as far as measurements show."""
-        return self.running - min(self._absent, self.indeterminate)
+        return self.running - min(self._absent_runs, self.indeterminate)
 
-    def reconcile(self, measured: float | None) -> None:
+    def reconcile(self, measured_runs: float | None) -> None:
         """Compare the count with the runs that were measured on the cores (None: not measured)."""
-        if measured is None:
-            self._absent = 0.0
+        if measured_runs is None:
+            self._absent_runs = 0.0
             self.excess_runs = 0.0
             return
-        present = max(0.0, measured - (self.running - self.indeterminate))
-        self._absent = max(0.0, self.indeterminate - present)
-        self.excess_runs = max(0.0, measured - self.running)
+        present = max(0.0, measured_runs - (self.running - self.indeterminate))
+        self._absent_runs = max(0.0, self.indeterminate - present)
+        self.excess_runs = max(0.0, measured_runs - self.running)
 
     def enter(self, request: RequestRecord) -> None:
         """Put a run on the cores."""
         request.state = RequestState.RUNNING
-        request.core_clock_mark = self._clock
+        request.core_clock_at_entry = self._core_clock_s
         self.running += 1
 
     def leave(self, request: RequestRecord) -> None:
         """Take a run off the cores, if it is on them; the caller sets its next state."""
         if request.state is not RequestState.RUNNING:
             return
-        request.core_time_s += self._clock - request.core_clock_mark
+        request.core_time_s += self._core_clock_s - request.core_clock_at_entry
         self.running -= 1
         self.mark_determinate(request)
 
@@ -85,7 +85,8 @@
         unfinished = sum(
             min(
                 r.work,
-                (r.core_time_s + self._clock - r.core_clock_mark) / (core_time_s[r.class_index] or math.inf),
+                (r.core_time_s + self._core_clock_s - r.core_clock_at_entry)
+                / (core_time_s[r.class_index] or math.inf),
             )
             for r in requests
             if r.state is RequestState.RUNNING
--- a/snowthread/admission/deadline_rule.py
+++ b/snowthread/admission/deadline_rule.py
@@ -21,17 +21,17 @@
 
 def check_deadline(state: State, now: float, request: RequestRecord) -> list[Action]:
     """Reject an unanswered request whose time is over, or plan its next check."""
-    soon = now + ANSWER_MARGIN_S + TIME_TOLERANCE_S
+    horizon = now + ANSWER_MARGIN_S + TIME_TOLERANCE_S
     check_at = request.deadline_at
-    is_due = request.deadline_at <= soon
+    is_due = request.deadline_at <= horizon
     if request.state is RequestState.QUEUED:
-        start_by = latest_start_at(state.estimates, request)
-        is_due = is_due or start_by <= soon
-        check_at = min(check_at, max(start_by, soon + MIN_CHECK_INTERVAL_S))
+        latest_start = latest_start_at(state.estimates, request)
+        is_due = is_due or latest_start <= horizon
+        check_at = min(check_at, max(latest_start, horizon + MIN_CHECK_INTERVAL_S))
     elif request.state is RequestState.RUNNING and state.open_requests.queued:
         # A run whose answer would have no weight gives its core to those that wait for it.
         has_no_weight = not request.request_class.late_weight_factor
-        is_due = is_due or (request.objective_at <= soon and has_no_weight)
+        is_due = is_due or (request.objective_at <= horizon and has_no_weight)
     if is_due:
         return reject_or_fail(state, now, request, RejectReason.DEADLINE_REACHED)
     if request.state is RequestState.CALL_PENDING and request.retry_at > now + TIME_TOLERANCE_S:
--- a/snowthread/admission/downstream_calls.py
+++ b/snowthread/admission/downstream_calls.py
@@ -53,29 +53,29 @@
         self.apply_settings(state.settings)
         self._budget.available = self._budget.capacity
         self._limit = self._min_limit  # calls in flight
-        self._limit_reached = False  # since the last update
+        self._is_limit_reached = False  # since the last update
         self.next_dispatch_at = 0.0
 
     def apply_settings(self, settings: Settings) -> None:
         """Use these settings from now on; calls in flight stay as they are."""
         self._settings = settings
-        self._is_shared = settings.dependency is Dependency.SHARED
+        self._is_dependency_shared = settings.dependency is Dependency.SHARED
         self._budget.capacity = BUDGET_CAPACITY_RATIO * settings.call_quota * settings.call_quota_window_s
         self._min_limit = max(1.0, settings.call_quota / QUOTA_PER_SLOT)  # this node's part of the slots
 
     def advance(self, elapsed_s: float) -> None:
         """Refill the budget for the time that has passed."""
-        if self._is_shared:
+        if self._is_dependency_shared:
             self._budget.refill(BUDGET_RATE_RATIO * self._settings.call_quota * elapsed_s)
 
     def update_limit(self) -> None:
         """Allow fewer calls while they are slow: an overloaded dependency completes less. Once an update."""
         if self._estimates.slow_call_share > OVERLOAD_SLOW_CALL_RATIO:
             self._limit *= LIMIT_CUT_FACTOR
-        elif self._limit_reached:
+        elif self._is_limit_reached:
             self._limit *= LIMIT_GROWTH_FACTOR
         self._limit = max(self._min_limit, min(self._limit, self._settings.call_quota))
-        self._limit_reached = False
+        self._is_limit_reached = False
 
     def add(self, now: float, request: RequestRecord) -> None:
         """Take a run off the cores until its call is made or skipped."""
@@ -89,15 +89,15 @@
             return []
         self.next_dispatch_at = now + DISPATCH_INTERVAL_S
         actions: list[Action] = []
-        in_flight = self._working_calls(now)
-        waiting = 0
+        in_flight = self._active_calls(now)
+        waiting_calls = 0
         for request in sorted(pending.values(), key=lambda r: (r.can_skip_call, r.objective_at)):
             if request.is_settled or request.retry_at > now + TIME_TOLERANCE_S:
                 continue
-            if self._is_shared and in_flight >= self._limit:
-                self._limit_reached = True
-                waiting += 1
-                is_skipped = self._waits_too_long(now, request, waiting)
+            if self._is_dependency_shared and in_flight >= self._limit:
+                self._is_limit_reached = True
+                waiting_calls += 1
+                is_skipped = self._waits_too_long(now, request, waiting_calls)
             else:
                 start = self._start(now, request)
                 is_skipped = start is None
@@ -108,7 +108,7 @@
                 actions.append(self._skip(request))
         return actions
 
-    def _working_calls(self, now: float) -> int:
+    def _active_calls(self, now: float) -> int:
         """Return the calls in flight that the dependency works on; those that hang need nothing of it."""
         usual_s = self._estimates.call_time_s
         return sum(
@@ -116,22 +116,24 @@
             for r in self._table.in_flight.values()
         )
 
-    def _waits_too_long(self, now: float, request: RequestRecord, waiting: int) -> bool:
+    def _waits_too_long(self, now: float, request: RequestRecord, waiting_calls: int) -> bool:
         """Return whether the call with this place among those that wait leaves the run too little time."""
         usual_s = self._estimates.call_time_s[request.class_index]
-        wait_s = max(now - request.retry_at, waiting * usual_s / self._limit)
+        wait_s = max(now - request.retry_at, waiting_calls * usual_s / self._limit)
         return wait_s > SKIPPABLE_WAIT_RATIO * (request.objective_at - request.retry_at)
 
     def _start(self, now: float, request: RequestRecord) -> StartCall | None:
         """Make a call if the budget has its longest duration, time after it is given up included."""
         timeout_s = self.timeout_s(now, request)
-        if self._is_shared:
+        if self._is_dependency_shared:
             capacity_s = self._budget.capacity
-            longest_s = min(timeout_s + self._settings.given_up_call_s, capacity_s)
-            reserve_s = REQUIRED_RESERVE_RATIO * capacity_s
-            if not self._budget.reserve(longest_s, leave=reserve_s if request.can_skip_call else 0.0):
+            max_use_s = min(timeout_s + self._settings.given_up_call_s, capacity_s)
+            min_remaining_s = REQUIRED_RESERVE_RATIO * capacity_s
+            if not self._budget.reserve(
+                max_use_s, min_remaining=min_remaining_s if request.can_skip_call else 0.0
+            ):
                 return None
-            request.reserved_call_s = longest_s
+            request.reserved_call_s = max_use_s
         self._table.start(now, request)
         return StartCall(request.id, timeout_s)
 
@@ -142,10 +144,10 @@
         time_ratio = SKIPPABLE_TIME_RATIO if is_skippable else REQUIRED_TIME_RATIO
         timeout_s = (request.expires_at - now) * time_ratio
         if usual_s > 0.0:
-            least_s = SKIPPABLE_MIN_TIMEOUT_S if is_skippable else REQUIRED_MIN_TIMEOUT_S
+            min_timeout_s = SKIPPABLE_MIN_TIMEOUT_S if is_skippable else REQUIRED_MIN_TIMEOUT_S
             factor = SKIPPABLE_TIMEOUT_FACTOR if is_skippable else REQUIRED_TIMEOUT_FACTOR
-            timeout_s = min(timeout_s, max(least_s, factor * usual_s))
-        if self._is_shared:
+            timeout_s = min(timeout_s, max(min_timeout_s, factor * usual_s))
+        if self._is_dependency_shared:
             budget_ratio = SKIPPABLE_BUDGET_RATIO if is_skippable else REQUIRED_BUDGET_RATIO
             timeout_s = min(timeout_s, self._budget.capacity * budget_ratio)
         return max(SKIPPABLE_MIN_TIMEOUT_S, timeout_s)
@@ -169,7 +171,7 @@
         """Take the outcome of a call; return what follows for its run, whose retry or skip is prepared."""
         self._end(now, request, is_given_up=outcome in (Outcome.TIMED_OUT, Outcome.DISCONNECTED))
         if outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
-            self._estimates.call_ended(request.class_index, now, now - request.called_at)
+            self._estimates.record_call(request.class_index, now, now - request.called_at)
         if outcome is Outcome.SUCCESS:
             self._table.resume(request)
         if outcome is Outcome.SUCCESS or request.is_settled:
--- a/snowthread/admission/estimators.py
+++ b/snowthread/admission/estimators.py
@@ -9,7 +9,7 @@
 from snowthread.admission.class_times import ClassTimeTable
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.settings import Settings
-from snowthread.admission.statistics import FadingSums, PowerLaw, average_rate, follow
+from snowthread.admission.statistics import DecayingSums, PowerLawFit, average_rate, update_moving_average
 
 TIME_TOLERANCE_S = 1e-6  # times nearer than this are the same, or rounding would arm a timer for ever
 AVERAGED_REQUESTS = 16.0  # that an average of arrivals spans, whatever the size of the server
@@ -41,7 +41,7 @@
     """Learns rates of arrival and of service, the server's speed, and the times of each class."""
 
     def __init__(self, settings: Settings) -> None:
-        super().__init__(PowerLaw(HINT_EXPONENT, HINT_WEIGHT_RUNS, HINT_MEMORY_RUNS, BASE_WINDOW_RUNS))
+        super().__init__(PowerLawFit(HINT_EXPONENT, HINT_WEIGHT_RUNS, HINT_MEMORY_RUNS, BASE_WINDOW_RUNS))
         # Counted since the last update:
         self.requests_read = 0
         self.work_arrived = 0.0  # units
@@ -56,22 +56,25 @@
         self.service_rate = 0.0  # units a second; 0: not known
         self.work_speed = 0.0  # the same, with the work of reading
         self.best_work_speed = 0.0
-        self._full_cores = FadingSums(2, SERVICE_RATE_WINDOW_S)  # work done (units), requests read
+        self._saturated_sums = DecayingSums(2, SERVICE_RATE_WINDOW_S)  # work done (units), requests read
         # Learned of calls:
         self.slow_call_share = 0.0  # of calls, 0 to 1
         self.apply_settings(settings, range(len(settings.classes)))
 
-    def work_of(self, class_index: int, work_hint_s: float | None) -> float:
+    def work_units(self, class_index: int, work_hint_s: float | None) -> float:
         """Return the units of work of a request: by its hint, else by the base time of its class."""
         if work_hint_s:
-            return self.hints.scale(class_index, work_hint_s)
-        return self.base_core_time_s[class_index] * self.full_rate(self.base_core_time_s) / self.cores or 1.0
+            return self.hint_fit.scale(class_index, work_hint_s)
+        return (
+            self.base_core_time_s[class_index] * self.saturated_rate(self.base_core_time_s) / self.cores
+            or 1.0
+        )
 
     def abandonment_ratio(self) -> float:
         """Return Berger's beta: the rate at which waiting requests become useless, over the service rate."""
         if self.service_rate <= 0.0:
             return INITIAL_ABANDONMENT_RATIO
-        run_rate = self.full_rate(self.base_core_time_s) or 1.0
+        run_rate = self.saturated_rate(self.base_core_time_s) or 1.0
         ratio = -math.log(OBJECTIVE_SUCCESS_RATIO) / (run_rate * self.mean_objective_s)
         return min(INITIAL_ABANDONMENT_RATIO, ratio)
 
@@ -84,37 +87,37 @@
         """Return the seconds between two requests of one caller, if callers share the arrivals evenly."""
         return max(1, self.caller_count) / max(self.request_rate, MIN_REQUEST_RATE_PER_S)
 
-    def request_read(self, work: float, is_retry: bool, unread_s: float) -> None:
+    def record_arrival(self, work: float, is_retry: bool, unread_s: float) -> None:
         """Count a request of so many units of work that waited unread for so many seconds."""
         self.requests_read += 1
         self.retry_share += (is_retry - self.retry_share) / AVERAGED_REQUESTS
         self.unread_s += (unread_s - self.unread_s) / AVERAGED_REQUESTS
         self.work_arrived += work * (1.0 + unread_s / UNREAD_BACKLOG_S)
 
-    def run_succeeded(self, now: float, request: RequestRecord) -> None:
+    def record_successful_run(self, now: float, request: RequestRecord) -> None:
         """Learn from a run its core time and, calls included, its duration."""
         index = request.class_index
         work = request.work
         core_s = request.core_time_s
         self.last_run_at_s[index] = now
         self.work_done += work
-        follow(self.core_time_s, index, core_s / work, RUN_WINDOW_RUNS, RUN_FALL_WINDOW_RUNS)
+        update_moving_average(self.core_time_s, index, core_s / work, RUN_WINDOW_RUNS, RUN_FALL_WINDOW_RUNS)
         run_time_s = (now - request.started_at) / work
-        follow(self.run_time_s, index, run_time_s, RUN_WINDOW_RUNS, RUN_FALL_WINDOW_RUNS)
+        update_moving_average(self.run_time_s, index, run_time_s, RUN_WINDOW_RUNS, RUN_FALL_WINDOW_RUNS)
         if request.work_hint_s:
-            self.hints.learn(index, request.work_hint_s, max(core_s, TIME_TOLERANCE_S))
+            self.hint_fit.add_point(index, request.work_hint_s, max(core_s, TIME_TOLERANCE_S))
         base_s = self.base_core_time_s[index]
         window = BASE_FALL_WINDOW_RUNS if core_s < base_s * BASE_FALL_RATIO else BASE_WINDOW_RUNS
         moved_s = base_s + (min(core_s, MAX_BASE_SAMPLE_FACTOR * base_s) - base_s) / window
         self.base_core_time_s[index] = moved_s if base_s > 0.0 else core_s
 
-    def run_wasted(self, request: RequestRecord) -> None:
+    def record_unsuccessful_run(self, request: RequestRecord) -> None:
         """Count the work of a run that was stopped or failed: it took its part of the cores too."""
         core_time_s = self.core_time_s[request.class_index]
         if core_time_s > 0.0:
             self.work_done += min(request.work, request.core_time_s / core_time_s)
 
-    def call_ended(self, index: int, now: float, duration_s: float) -> None:
+    def record_call(self, index: int, now: float, duration_s: float) -> None:
         """Learn from a call of a class; a few that hang among quick ones don't make the dependency slow."""
         base_s = self.base_call_time_s[index]
         last_at = self.last_call_at_s[index]
@@ -133,7 +136,7 @@
 
     def reset_speed(self) -> None:
         """Measure the speed anew, from the best one: what slowed this server down may be over."""
-        self._full_cores = FadingSums(2, SERVICE_RATE_WINDOW_S)
+        self._saturated_sums = DecayingSums(2, SERVICE_RATE_WINDOW_S)
         self.work_speed = self.best_work_speed
 
     def update(self, elapsed_s: float, is_full: bool) -> None:
@@ -143,15 +146,15 @@
         self.arrival_rate = average_rate(self.arrival_rate, self.work_arrived, elapsed_s, self._observed_s)
         self.request_rate = average_rate(self.request_rate, self.requests_read, elapsed_s, self._observed_s)
         if is_full:
-            self._full_cores.add(elapsed_s, self.work_done, self.requests_read)
+            self._saturated_sums.add(elapsed_s, self.work_done, self.requests_read)
             self._update_speed(elapsed_s)
         self.requests_read = 0
         self.work_arrived = 0.0
         self.work_done = 0.0
 
     def _update_speed(self, elapsed_s: float) -> None:
-        work_done, requests_read = self._full_cores.sums
-        full_s = self._full_cores.seconds
+        work_done, requests_read = self._saturated_sums.sums
+        full_s = self._saturated_sums.observed_s
         if full_s >= MIN_SERVICE_RATE_TIME_S:
             self.service_rate = work_done / full_s
             self.work_speed = self.service_rate + READ_WORK_RATIO * requests_read / full_s
--- a/snowthread/admission/graceful_shutdown.py
+++ b/snowthread/admission/graceful_shutdown.py
@@ -12,7 +12,7 @@
 
 def shutdown_noticed(state: State, now: float, event: ShutdownNotice) -> list[Action]:
     """Leave the registry and ask callers to send nothing; what is queued and runs goes on."""
-    state.shutdown.set(now, event)
+    state.shutdown.begin(now, event)
     message = LogMessage(OperatorMessage.GRACEFUL_SHUTDOWN_BEGUN)
     return [message, SetHealth(False), *state.load_report.shut_down()]
 
--- a/snowthread/admission/idle_connections.py
+++ b/snowthread/admission/idle_connections.py
@@ -3,7 +3,7 @@
 from snowthread.admission.actions import Action, SetIdleTimeout
 from snowthread.admission.concurrency import FULL_UTILIZATION_RATIO, UPDATE_PERIOD_S
 from snowthread.admission.controller_context import ControllerContext
-from snowthread.admission.statistics import SteadyPeak
+from snowthread.admission.statistics import PeakPlateau
 
 CLOSE_EARLY_REQUESTS = 0.7  # of one caller, expected in the idle timeout: with fewer, connections close early
 KEEP_OPEN_REQUESTS = 3.0  # with as many they do so no more
@@ -24,7 +24,7 @@
         self._state = state
         self._timeout_s = state.settings.idle_timeout_s  # as last set
         self._closes_early = False
-        self._peak = SteadyPeak(PEAK_RATIO)
+        self._peak = PeakPlateau(PEAK_RATIO)
 
     def update(self, connections: float, utilization: float) -> list[Action]:
         """Return the timeout to set, if it changes; ``utilization`` of the cores, 0 to 1."""
@@ -32,22 +32,24 @@
         max_timeout_s = self._state.settings.idle_timeout_s
         requests = max_timeout_s / estimates.caller_interval_s()
         self._peak.add(connections)
-        is_wasteful = requests < CLOSE_EARLY_REQUESTS or self._peak.times >= FULL_TABLE_UPDATES
+        is_wasteful = requests < CLOSE_EARLY_REQUESTS or self._peak.count >= FULL_TABLE_UPDATES
         self._closes_early = requests < KEEP_OPEN_REQUESTS and (self._closes_early or is_wasteful)
-        timeout_s = self._timeout_s * self._factor(utilization >= FULL_UTILIZATION_RATIO)
+        timeout_s = self._timeout_s * self._change_factor(utilization >= FULL_UTILIZATION_RATIO)
         timeout_s = min(max_timeout_s, max(UPDATE_PERIOD_S, timeout_s))
         if not estimates.request_rate or timeout_s == self._timeout_s:
             return []
         self._timeout_s = timeout_s
         return [SetIdleTimeout(round(timeout_s, 3))]
 
-    def _factor(self, is_full: bool) -> float:
+    def _change_factor(self, are_cores_full: bool) -> float:
         estimates = self._state.estimates
-        retries = estimates.retry_share if self._state.settings.marks_retries else ASSUMED_RETRY_RATIO
-        storm_s = STORM_UNREAD_RATIO * estimates.mean_objective_s
-        is_storm = is_full and estimates.unread_s * max(MIN_RETRY_RATIO, retries) > storm_s
-        if not self._closes_early or is_storm:
+        retry_ratio = estimates.retry_share if self._state.settings.marks_retries else ASSUMED_RETRY_RATIO
+        storm_threshold_s = STORM_UNREAD_RATIO * estimates.mean_objective_s
+        is_retry_storm = (
+            are_cores_full and estimates.unread_s * max(MIN_RETRY_RATIO, retry_ratio) > storm_threshold_s
+        )
+        if not self._closes_early or is_retry_storm:
             return STORM_FACTOR
-        if is_full:
+        if are_cores_full:
             return FULL_CORES_FACTOR
-        return IDLE_CORES_FACTOR + (FULL_CORES_FACTOR - IDLE_CORES_FACTOR) * retries
+        return IDLE_CORES_FACTOR + (FULL_CORES_FACTOR - IDLE_CORES_FACTOR) * retry_ratio
--- a/snowthread/admission/learned_state.py
+++ b/snowthread/admission/learned_state.py
@@ -46,7 +46,7 @@
     for index, request_class in enumerate(controller.settings.classes):
         core_time_s = estimates.base_core_time_s[index]
         if core_time_s > 0.0:
-            run_time_s = estimates.run_time_s[index] * estimates.work_of(index, None)
+            run_time_s = estimates.run_time_s[index] * estimates.work_units(index, None)
             times[request_class.name] = LearnedClassTimes(
                 core_time_s, max(core_time_s, run_time_s), estimates.base_call_time_s[index]
             )
@@ -59,15 +59,15 @@
     What the controller has measured itself stays.
     """
     estimates = controller.estimates
-    known = list(_known_classes(controller, restored))
-    for index, times in known:
+    known_classes = list(_known_classes(controller, restored))
+    for index, times in known_classes:
         if estimates.base_core_time_s[index] <= 0.0:
             estimates.base_core_time_s[index] = times.core_time_s
             estimates.base_call_time_s[index] = times.call_time_s
             estimates.call_time_s[index] = times.call_time_s
-    for index, times in known:  # the work of a class depends on the base times of all
+    for index, times in known_classes:  # the work of a class depends on the base times of all
         if estimates.core_time_s[index] <= 0.0 and times.core_time_s > 0.0:
-            work = estimates.work_of(index, None)
+            work = estimates.work_units(index, None)
             core_time_s = times.core_time_s / speed
             estimates.core_time_s[index] = core_time_s / work
             estimates.run_time_s[index] = (times.run_time_s - times.core_time_s + core_time_s) / work
@@ -94,7 +94,7 @@
     """
     estimates = controller.estimates
     ratios = [
-        estimates.core_time_s[index] * estimates.work_of(index, None) / times.core_time_s
+        estimates.core_time_s[index] * estimates.work_units(index, None) / times.core_time_s
         for index, times in _known_classes(controller, restored)
         if times.core_time_s > 0.0 and estimates.core_time_s[index] > 0.0
     ]
@@ -110,10 +110,10 @@
     """
 
     restored: LearnedState
-    unaged_objectives: float = 0.5  # latency objectives of a class, for which its times stay as learned
+    fresh_age_objectives: float = 0.5  # latency objectives of a class, for which its times stay as learned
     max_age_objectives: float = 2.0  # latency objectives of a class, after which its times are given up
     max_rate_age_s: float = 1.0  # after which a service rate not confirmed may be given up
-    given_up_count: int = 0  # estimates that were given up
+    discarded_count: int = 0  # estimates that were given up
     _service_rate: float = 0.0  # as it was last seen to change
     _service_rate_at_s: float = 0.0  # when that was
 
@@ -133,12 +133,12 @@
             return
         # The rate is learned at full cores only. With one learned while the machine warmed up, so much is
         # rejected that its cores are never full again. What runs take now allows more.
-        rate_by_runs = estimates.full_rate(estimates.core_time_s)
+        rate_by_runs = estimates.saturated_rate(estimates.core_time_s)
         if rate_by_runs > estimates.service_rate:
             estimates.service_rate = rate_by_runs
             self._service_rate = rate_by_runs
             self._service_rate_at_s = now_s
-            self.given_up_count += 1
+            self.discarded_count += 1
 
     def _age_class(
         self, controller: Controller, now_s: float, index: int, request_class: RequestClass
@@ -146,21 +146,21 @@
         estimates = controller.estimates
         confirmed_at_s = estimates.last_run_at_s[index]
         age_s = now_s - confirmed_at_s
-        unaged_s = self.unaged_objectives * request_class.latency_objective_s
+        fresh_age_s = self.fresh_age_objectives * request_class.latency_objective_s
         max_age_s = self.max_age_objectives * request_class.latency_objective_s
-        if estimates.run_time_s[index] <= 0.0 or not confirmed_at_s or age_s <= unaged_s:
+        if estimates.run_time_s[index] <= 0.0 or not confirmed_at_s or age_s <= fresh_age_s:
             return
         times = self.restored.times.get(request_class.name, LearnedClassTimes())
-        work = estimates.work_of(index, None)
+        work = estimates.work_units(index, None)
         core_time_s = times.core_time_s / work
         run_time_s = times.run_time_s / work
         if age_s >= max_age_s:
             estimates.core_time_s[index] = core_time_s
             estimates.run_time_s[index] = run_time_s
             estimates.last_run_at_s[index] = now_s if run_time_s else 0.0
-            self.given_up_count += 1
+            self.discarded_count += 1
         elif run_time_s:
-            share = min(1.0, (age_s - unaged_s) / (max_age_s - unaged_s)) * AGING_RATIO
+            share = min(1.0, (age_s - fresh_age_s) / (max_age_s - fresh_age_s)) * AGING_RATIO
             estimates.core_time_s[index] += (core_time_s - estimates.core_time_s[index]) * share
             estimates.run_time_s[index] += (run_time_s - estimates.run_time_s[index]) * share
 
--- a/snowthread/admission/load_report.py
+++ b/snowthread/admission/load_report.py
@@ -6,7 +6,7 @@
 from snowthread.admission.berger import target_utilization
 from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.settings import LoadReportKind
-from snowthread.admission.statistics import approach
+from snowthread.admission.statistics import smooth_towards
 
 SHARE_RISE_TIME_CONSTANT_S = 0.7
 SHARE_FALL_TIME_CONSTANT_S = 1.5  # slower than the rise: callers that were sent elsewhere return at once
@@ -28,25 +28,26 @@
         kind = self._state.settings.load_report_kind
         return [] if kind is LoadReportKind.NONE else [PublishLoad(kind.encode(1.0, credit=0.0))]
 
-    def update(self, elapsed_s: float, beta: float, headroom_ratio: float, run_limit: float) -> list[Action]:
-        """Return what to publish: of all that callers have, (1 - effective share) mu rho / lambda may come.
-
-        ``beta`` is the abandonment ratio, ``headroom_ratio`` possible over present throughput by utilization.
-        """
+    def update(
+        self, elapsed_s: float, abandonment_ratio: float, headroom_ratio: float, run_limit: float
+    ) -> list[Action]:
+        """Return the load report to publish, or nothing if it hardly changed."""
         settings = self._state.settings
         estimates = self._state.estimates
         if settings.load_report_kind is LoadReportKind.NONE:
             return []
-        mu = estimates.service_rate
-        arrivals = estimates.arrival_rate
+        service_rate = estimates.service_rate
+        arrival_rate = estimates.arrival_rate
         servable_ratio = 1.0
-        if min(mu, arrivals) > 0:
-            servable_ratio = mu * target_utilization(math.inf, mu, beta) / arrivals
+        if min(service_rate, arrival_rate) > 0:
+            servable_ratio = (
+                service_rate * target_utilization(math.inf, service_rate, abandonment_ratio) / arrival_rate
+            )
         self._update_effective_share(elapsed_s)
         target_share = 1.0 - (1.0 - self.effective_share) * max(servable_ratio, headroom_ratio)
         is_rising = target_share > self.published_share
         time_constant_s = SHARE_RISE_TIME_CONSTANT_S if is_rising else SHARE_FALL_TIME_CONSTANT_S
-        share = approach(self.published_share, target_share, elapsed_s, time_constant_s)
+        share = smooth_towards(self.published_share, target_share, elapsed_s, time_constant_s)
         share = min(MAX_SHARE_RATIO, max(0.0, share))
         if abs(share - self.published_share) <= MIN_SHARE_CHANGE_RATIO:
             return []
@@ -61,4 +62,4 @@
         ttl_s = self._state.settings.load_report_ttl_s or math.inf
         delivered_share = self.published_share * (1.0 - math.exp(-ttl_s / interval_s))
         lag_s = estimates.averaging_span_s() + min(interval_s, ttl_s)
-        self.effective_share = approach(self.effective_share, delivered_share, elapsed_s, lag_s)
+        self.effective_share = smooth_towards(self.effective_share, delivered_share, elapsed_s, lag_s)
--- a/snowthread/admission/lost_runs.py
+++ b/snowthread/admission/lost_runs.py
@@ -25,11 +25,11 @@
         return []
     if event.at_call and request.can_skip_call and not request.is_settled:
         return [SkipCall(request.id)]
-    _presume_lost_later(state, now, request)
+    _schedule_presumed_loss(state, now, request)
     return []
 
 
-def _presume_lost_later(state: State, now: float, request: RequestRecord) -> None:
+def _schedule_presumed_loss(state: State, now: float, request: RequestRecord) -> None:
     run_s = max(UPDATE_PERIOD_S, state.estimates.expected_run_s(request))
     state.open_requests.cores.mark_indeterminate(request, now + LOST_RUN_TIME_FACTOR * run_s)
     state.deadlines.watch_deadline(request, request.presumed_lost_at + ANSWER_MARGIN_S)  # it is taken off
@@ -41,9 +41,9 @@
         return []
     if not request.is_settled:
         actions = fail(state, now, request, None)
-        _presume_lost_later(state, now, request)
+        _schedule_presumed_loss(state, now, request)
         return actions
-    state.estimates.run_wasted(request)
+    state.estimates.record_unsuccessful_run(request)
     return [ForgetLostRun(request.id), *remove(state, now, request)]
 
 
--- a/snowthread/admission/periodic_update.py
+++ b/snowthread/admission/periodic_update.py
@@ -16,7 +16,7 @@
 
 def begin_period(state: State, now: float) -> SetTimer:
     """Begin a period."""
-    state.updated_at = now
+    state.period_started_at = now
     state.open_requests.cores.saturated_s = 0.0
     return SetTimer(UPDATE_PERIOD_S, UPDATE_TIMER)
 
@@ -24,7 +24,7 @@
 def update(state: State, now: float, event: TimerFired) -> list[Action]:
     """Close a period and begin the next one."""
     state.open_requests.memory.expire_keys(now)
-    elapsed_s = now - state.updated_at
+    elapsed_s = now - state.period_started_at
     actions = _close_period(state, now, elapsed_s, event) if elapsed_s > 0.0 else []
     actions.append(begin_period(state, now))
     return actions
@@ -37,7 +37,7 @@
         utilization = cores.saturated_s / elapsed_s
     actions = _learn(state, elapsed_s, utilization)
     actions += state.idle_timeout.update(event.connections or 0.0, utilization)
-    if not state.shutdown.is_set:
+    if not state.shutdown.has_begun:
         actions += state.outlier_detector.update(now)
     state.calls.update_limit()
     reconcile_run_count(state, now, event.core_demand)
@@ -54,19 +54,19 @@
     # would be blocked meanwhile.
     estimates.work_done = state.open_requests.add_progress(estimates.work_done, estimates.core_time_s)
     estimates.update(elapsed_s, is_full)
-    beta = estimates.abandonment_ratio()
-    headroom = headroom_ratio(utilization, beta)
-    state.blocking.update(beta, headroom)
-    if state.shutdown.is_set:
+    abandonment_ratio = estimates.abandonment_ratio()
+    headroom = headroom_ratio(utilization, abandonment_ratio)
+    state.blocking.update(abandonment_ratio, headroom)
+    if state.shutdown.has_begun:
         return []
-    return state.load_report.update(elapsed_s, beta, headroom, state.concurrency.limit)
+    return state.load_report.update(elapsed_s, abandonment_ratio, headroom, state.concurrency.limit)
 
 
-def headroom_ratio(utilization: float, beta: float) -> float:
+def headroom_ratio(utilization: float, abandonment_ratio: float) -> float:
     """Return possible over present throughput: cores that are not full prove it, whatever was learned.
 
     0 at full cores, whose utilization says nothing of it.
     """
     if utilization >= FULL_UTILIZATION_RATIO:
         return 0.0
-    return target_utilization(math.inf, 1.0, beta) / max(utilization, MIN_UTILIZATION_RATIO)
+    return target_utilization(math.inf, 1.0, abandonment_ratio) / max(utilization, MIN_UTILIZATION_RATIO)
--- a/snowthread/admission/quotas.py
+++ b/snowthread/admission/quotas.py
@@ -20,9 +20,9 @@
         self._state = state
         self.table = TenantTable(state.settings)
 
-    def change_tenants(self, event: TenantsChanged) -> list[RequestRecord]:
+    def apply_tenant_changes(self, event: TenantsChanged) -> list[RequestRecord]:
         """Use changed tenants; return the queued requests that have not run and are not allowed any more."""
-        self.table.change(event)
+        self.table.apply_changes(event)
         return [
             request
             for request in self._state.open_requests.queued.values()
@@ -32,14 +32,16 @@
 
     def weight_ratio(self, now: float, tenant: str) -> float:
         """Return the weight of a tenant's next request: 1 under its quota, falling to that beyond it."""
-        used_ratio = self._count(now, tenant, 0.0) / QUOTA_WINDOW_RUNS
-        within = min(1.0, max(0.0, (MAX_QUOTA_USE_RATIO - used_ratio) / (MAX_QUOTA_USE_RATIO - 1.0)))
-        return within + (1.0 - within) * self.table.over_quota_weight
+        used_ratio = self._add_runs(now, tenant, 0.0) / QUOTA_WINDOW_RUNS
+        quota_headroom_ratio = min(
+            1.0, max(0.0, (MAX_QUOTA_USE_RATIO - used_ratio) / (MAX_QUOTA_USE_RATIO - 1.0))
+        )
+        return quota_headroom_ratio + (1.0 - quota_headroom_ratio) * self.table.over_quota_weight
 
     def count_run(self, now: float, tenant: str) -> None:
         """Count a run that starts."""
-        self._count(now, tenant, 1.0)
+        self._add_runs(now, tenant, 1.0)
 
-    def _count(self, now: float, tenant: str, new_runs: float) -> float:
+    def _add_runs(self, now: float, tenant: str, new_runs: float) -> float:
         span_runs = QUOTA_WINDOW_RUNS * max(1, self._state.settings.node_count)
         return self.table.count_runs(now, tenant, new_runs, span_runs)
--- a/snowthread/admission/recovery_pacer.py
+++ b/snowthread/admission/recovery_pacer.py
@@ -102,7 +102,7 @@
         return in_use < limit and now_ms >= self.unreachable_until_ms
 
     def _drop_finished_given_up(self, now_ms: float) -> None:
-        self.given_up_until_ms = [until for until in self.given_up_until_ms if until > now_ms]
+        self.given_up_until_ms = [ends_at_ms for ends_at_ms in self.given_up_until_ms if ends_at_ms > now_ms]
 
     def has_idle_budget(self, now_ms: float) -> bool:
         """Return whether this node is cold and its budget unused: then what warms it up goes first."""
@@ -118,8 +118,8 @@
             return CallPermission.GRANTED
         # Calls that warm up a cold machine go before those that a warm one can skip.
         is_next = not self.queued_calls and (self.cold or not skippable)
-        leave = SKIPPABLE_RESERVE_TOKENS if skippable else 0.0
-        if is_next and self._has_free_slot(now_ms) and self.budget.try_acquire(now_ms, leave):
+        min_remaining = SKIPPABLE_RESERVE_TOKENS if skippable else 0.0
+        if is_next and self._has_free_slot(now_ms) and self.budget.try_acquire(now_ms, min_remaining):
             self.calls_in_flight[attempt_id] = now_ms
             return CallPermission.GRANTED
         if skippable or len(self.queued_calls) >= MAX_QUEUED_CALLS:
@@ -135,13 +135,13 @@
         self.denied_calls += len(expired)
         granted: list[str] = []
         self.queued_calls.sort(key=lambda call: (-call.calls_made, call.expires_at_ms))
-        while self.queued_calls and (not self.is_pacing or self._takes_call(now_ms)):
+        while self.queued_calls and (not self.is_pacing or self._try_acquire_call(now_ms)):
             attempt_id = self.queued_calls.pop(0).attempt_id
             self.calls_in_flight[attempt_id] = now_ms
             granted.append(attempt_id)
         return ReleasedCalls(granted, expired)
 
-    def _takes_call(self, now_ms: float) -> bool:
+    def _try_acquire_call(self, now_ms: float) -> bool:
         return self._has_free_slot(now_ms) and self.budget.try_acquire(now_ms)
 
     def next_release_at_ms(self, now_ms: float) -> float:
@@ -157,7 +157,7 @@
             return
         # A warm node looks for no free slot, so that nothing else would remove the old ones.
         self._drop_finished_given_up(now_ms)
-        duration_ms = self.usual_call_ms or self.budget.prior_ms
+        duration_ms = self.usual_call_ms or self.budget.base_latency_ms
         self.given_up_until_ms.append(max(now_ms, called_at_ms + duration_ms))
 
     def call_ended(self, now_ms: float, attempt_id: str, reached: bool, answered: bool) -> None:
@@ -173,10 +173,12 @@
             return
         self.backoff.reset()
         if answered:
-            took_ms = now_ms - called_at_ms
-            change_ms = (took_ms - self.usual_call_ms) / AVERAGED_CALLS if self.usual_call_ms else took_ms
+            duration_ms = now_ms - called_at_ms
+            change_ms = (
+                (duration_ms - self.usual_call_ms) / AVERAGED_CALLS if self.usual_call_ms else duration_ms
+            )
             self.usual_call_ms += change_ms
-            self.budget.record_latency(now_ms, took_ms)
+            self.budget.record_latency(now_ms, duration_ms)
 
     def run_ended(self, now_ms: float, in_time: bool, objective_ms: float) -> None:
         """Take the end of a run, within its latency objective or not.
--- a/snowthread/admission/request.py
+++ b/snowthread/admission/request.py
@@ -45,7 +45,7 @@
     may_have_run: bool = False  # it has started, or the attempt whose result it awaits has
     is_settled: bool = False  # answered, or cancelled by its caller: no answer is owed any more
     original_id: int | None = None  # of the attempt that it repeats
-    core_clock_mark: float = 0.0  # the core clock when it last got a core
+    core_clock_at_entry: float = 0.0  # the core clock when it last got a core
     core_time_s: float = 0.0  # used up to then
     started_at: float = 0.0
     call_attempts: int = 0  # of the call that its run waits for
--- a/snowthread/admission/retry_rule.py
+++ b/snowthread/admission/retry_rule.py
@@ -42,8 +42,8 @@
     blocked_elsewhere = 1.0
     service_rate = estimates.best_work_speed - READ_WORK_RATIO * estimates.request_rate
     if service_rate > 0.0:
-        beta = estimates.abandonment_ratio()
-        blocked_elsewhere = blocking_probability(estimates.arrival_rate, service_rate, beta)
+        abandonment_ratio = estimates.abandonment_ratio()
+        blocked_elsewhere = blocking_probability(estimates.arrival_rate, service_rate, abandonment_ratio)
     return 1.0 - (1.0 - blocked_elsewhere) * (1.0 - state.load_report.effective_share)
 
 
@@ -53,8 +53,8 @@
     Where no load report is published, it is so much longer that a caller sends what is not blocked.
     """
     settings = state.settings
-    blocked = state.blocking.probability
-    if not settings.supports_retry_after or not blocked * state.estimates.request_rate:
+    blocked_ratio = state.blocking.probability
+    if not settings.supports_retry_after or not blocked_ratio * state.estimates.request_rate:
         return 0.0
-    admitted = 1.0 - blocked if settings.load_report_kind is LoadReportKind.NONE else 1.0
-    return round(min(settings.max_retry_after_s, state.estimates.caller_interval_s() / admitted), 3)
+    admitted_ratio = 1.0 - blocked_ratio if settings.load_report_kind is LoadReportKind.NONE else 1.0
+    return round(min(settings.max_retry_after_s, state.estimates.caller_interval_s() / admitted_ratio), 3)
--- a/snowthread/admission/run_results.py
+++ b/snowthread/admission/run_results.py
@@ -24,11 +24,11 @@
     was_running = request.state is RequestState.RUNNING
     actions = remove(state, now, request)
     if event.outcome is Outcome.SUCCESS and was_running:
-        state.estimates.run_succeeded(now, request)
+        state.estimates.record_successful_run(now, request)
         base_s = state.estimates.base_core_time_s[request.class_index]
         state.concurrency.cut_if_slow(now, request, base_s)
     else:
-        state.estimates.run_wasted(request)
+        state.estimates.record_unsuccessful_run(request)
     return actions
 
 
--- a/snowthread/admission/settings_parser.py
+++ b/snowthread/admission/settings_parser.py
@@ -34,12 +34,12 @@
 _DEPENDENCY = {"silent": Dependency.NONE, "shared": Dependency.SHARED, "tier": Dependency.TIER}
 
 
-def parse_settings(facts: Fields) -> Settings:
+def parse_settings(document: Fields) -> Settings:
     """Return the settings; a field without a default that is absent is a ``KeyError``."""
-    domain, rules, limits = (_without_nulls(facts.get(part)) for part in ("domain", "rules", "limits"))
+    domain, rules, limits = (_without_nulls(document.get(part)) for part in ("domain", "rules", "limits"))
     return Settings(
-        classes=_parse_classes(facts.get("classes") or [], domain),
-        tenants=_parse_tenants(facts.get("projects") or []),
+        classes=_parse_classes(document.get("classes") or [], domain),
+        tenants=_parse_tenants(document.get("projects") or []),
         cores=domain.get("cores", 0),
         memory_kb=domain.get("memory_kb", 0.0),
         running_memory_factor=domain.get("run_factor", 1.0),
@@ -52,11 +52,11 @@
         drain_grace_s=rules.get("drain_grace_s", 1.0),
         preemption=_PREEMPTION.get(domain.get("preemption", "silent"), Preemption.NONE),
         propagates_deadline=bool(domain.get("passes_deadline")),
-        marks_retries=bool((facts.get("callers") or {}).get("marks_retry")),
+        marks_retries=bool((document.get("callers") or {}).get("marks_retry")),
         load_report_kind=_LOAD_REPORT_KIND.get(domain.get("say", "silent"), LoadReportKind.NONE),
         load_report_ttl_s=domain.get("heard_for_s", 0.0),
         caller_count=domain.get("upstreams", 1),
-        node_count=facts.get("peers_total", 1),
+        node_count=document.get("peers_total", 1),
         dependency=_DEPENDENCY.get(domain.get("below", "silent"), Dependency.NONE),
         call_quota=domain.get("calls_out", 0.0),
         call_quota_window_s=domain.get("calls_over_s", 0.0),
@@ -65,8 +65,8 @@
         max_retry_after_s=limits.get("max_retry_after_s", 0.0),
         shared_result_ttl_s=domain.get("fresh_s", 0.0),
         idle_timeout_s=domain.get("idle_s", 0.0),
-        weighs_by_work=facts.get("value_by") == "work",
-        over_quota_weight=facts.get("over_share_worth", 1.0),
+        weighs_by_work=document.get("value_by") == "work",
+        over_quota_weight=document.get("over_share_worth", 1.0),
         deep_health_checks=bool(domain.get("deep_checks")),
     )
 
--- a/snowthread/admission/shutdown_times.py
+++ b/snowthread/admission/shutdown_times.py
@@ -18,11 +18,11 @@
         self._stop_at = math.inf
 
     @property
-    def is_set(self) -> bool:
+    def has_begun(self) -> bool:
         """True from the notice on."""
         return self._stop_at < math.inf
 
-    def set(self, now: float, event: ShutdownNotice) -> None:
+    def begin(self, now: float, event: ShutdownNotice) -> None:
         """Take the notice, and plan the time at which all is answered."""
         self._noticed_at = min(self._noticed_at, now - event.received_ago_s)
         self._stop_at = now + event.time_left_s
--- a/snowthread/admission/simulator_adapter.py
+++ b/snowthread/admission/simulator_adapter.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger("snowthread.admission.simulator_adapter")
 
-NOTICE_WORDS = {  # the simulator's report pins them
+OPERATOR_MESSAGE_TEXTS = {  # the simulator's report pins them
     actions.OperatorMessage.GRACEFUL_SHUTDOWN_BEGUN: (
         "leaving: answering what is held, taking nothing new after the grace"
     ),
@@ -154,7 +154,7 @@
 
 
 def _log_message(instance: str, action: actions.LogMessage) -> Fields:
-    return {"remark": {"i": instance, "words": NOTICE_WORDS[action.message]}}
+    return {"remark": {"i": instance, "words": OPERATOR_MESSAGE_TEXTS[action.message]}}
 
 
 ACTION_ENCODERS: dict[type, Callable[[str, Any], Fields]] = {
@@ -182,7 +182,7 @@
     def __init__(self) -> None:
         self.controllers: dict[str, Controller] = {}
 
-    def answer(self, line: bytes) -> bytes:
+    def process_batch(self, line: bytes) -> bytes:
         """Return the reply to one batch of events; a fault in it becomes the wire's own message for that."""
         instance = ""
         try:
@@ -203,17 +203,17 @@
         if kind == "boot":
             controller = Controller(parse_settings(fields["facts"]), fields.get("prng", 0))
             self.controllers[instance] = controller
-            taken = controller.handle(now, events.Started())
+            returned = controller.handle(now, events.Started())
         elif kind == "down":
             self.controllers.pop(instance, None)
             return []
         else:
             decode = EVENT_DECODERS.get(kind)
-            known = self.controllers.get(instance)
-            if decode is None or known is None:
+            known_controller = self.controllers.get(instance)
+            if decode is None or known_controller is None:
                 return []
-            taken = known.handle(now, decode(fields))
-        return [ACTION_ENCODERS[type(action)](instance, action) for action in taken]
+            returned = known_controller.handle(now, decode(fields))
+        return [ACTION_ENCODERS[type(action)](instance, action) for action in returned]
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
@@ -221,7 +221,7 @@
     adapter = SimulatorAdapter()
     for line in source:
         if line.strip():
-            sink.write(adapter.answer(line) + b"\n")
+            sink.write(adapter.process_batch(line) + b"\n")
             sink.flush()
 
 
--- a/snowthread/admission/start_rule.py
+++ b/snowthread/admission/start_rule.py
@@ -7,7 +7,9 @@
 from snowthread.admission.request import RequestRecord, RequestState
 from snowthread.admission.state import State
 
-REORDER_INTERVAL_S = 0.02  # between two computations of all priorities, which cost more than most events
+PRIORITY_REFRESH_INTERVAL_S = (
+    0.02  # between two computations of all priorities, which cost more than most events
+)
 MIN_PRIORITY_TIME_S = 0.05  # added to the time left: bounds the priority of what is due now
 
 
@@ -69,7 +71,7 @@
 
 def refresh_priorities(state: State, now: float) -> None:
     """Compute all priorities anew, unless that was done a moment ago."""
-    if now >= state.reordered_at + REORDER_INTERVAL_S:
-        state.reordered_at = now
+    if now >= state.priorities_refreshed_at + PRIORITY_REFRESH_INTERVAL_S:
+        state.priorities_refreshed_at = now
         for request in state.open_requests.queued.values():
             request.priority = priority(state, now, request)
--- a/snowthread/admission/state.py
+++ b/snowthread/admission/state.py
@@ -32,5 +32,5 @@
         self.outlier_detector = OutlierDetector(self.estimates)
         self.shutdown = ShutdownTimes(self)
         self.run_count_uncertain_until = -math.inf
-        self.updated_at = 0.0  # end of the last period
-        self.reordered_at = 0.0  # when the priorities of queued requests were computed last
+        self.period_started_at = 0.0  # end of the last period
+        self.priorities_refreshed_at = 0.0  # when the priorities of queued requests were computed last
--- a/snowthread/admission/tenant_table.py
+++ b/snowthread/admission/tenant_table.py
@@ -18,7 +18,7 @@
         self.over_quota_weight = settings.over_quota_weight  # of requests beyond their tenant's quota
         self._runs: defaultdict[str, DecayingCount] = defaultdict(DecayingCount)
 
-    def change(self, event: TenantsChanged) -> None:
+    def apply_changes(self, event: TenantsChanged) -> None:
         """Use changed tenants from now on."""
         self.tenants.update((tenant.name, tenant) for tenant in event.changed)
         for name in event.removed:
--- a/tests/admission/test_admission_rule.py
+++ b/tests/admission/test_admission_rule.py
@@ -37,7 +37,7 @@
     for n in range(1, 12):
         assert request_ids(arrive(controller, 1.5 * n, n), StartRun) == [n]
         controller.handle(1.5 * n + 0.2, RunFinished(n, Outcome.SUCCESS, 0.2))
-    assert estimates.run_time_s[0] * estimates.work_of(0, None) < 5.0
+    assert estimates.run_time_s[0] * estimates.work_units(0, None) < 5.0
 
 
 def test_a_large_request_on_a_slow_server_is_rejected_early_for_a_retry_elsewhere() -> None:
--- a/tests/admission/test_estimators.py
+++ b/tests/admission/test_estimators.py
@@ -56,7 +56,7 @@
         arrive(controller, n * 1.0, n, work_hint_s=hint)
         took = 0.2 * (hint / 0.2) ** true
         controller.handle(n * 1.0 + took, RunFinished(n, Outcome.SUCCESS, took))
-    ratio = controller.estimates.work_of(0, 0.4) / controller.estimates.work_of(0, 0.1)
+    ratio = controller.estimates.work_units(0, 0.4) / controller.estimates.work_units(0, 0.1)
     assert low <= ratio <= high
 
 
@@ -65,4 +65,4 @@
     for n in range(1, 4):
         arrive(controller, 1.0, n, work_hint_s=0.2)
         controller.handle(1.0, RunFinished(n, Outcome.SUCCESS, 0.0))
-    assert controller.estimates.work_of(0, 0.2) > 0.0
+    assert controller.estimates.work_units(0, 0.2) > 0.0
--- a/tests/admission/test_learned_state.py
+++ b/tests/admission/test_learned_state.py
@@ -42,7 +42,7 @@
     fresh = controller(cold=True)
     learned_state.restore_learned_state(fresh, known, 0.25)
     estimates = fresh.estimates
-    assert estimates.core_time_s[0] * estimates.work_of(0, None) == pytest.approx(
+    assert estimates.core_time_s[0] * estimates.work_units(0, None) == pytest.approx(
         4 * known.times["match"].core_time_s
     )
     # Those of a warm machine would be stale here.
@@ -71,7 +71,7 @@
     assert made.estimates.run_time_s[0] > 0.0
     assert learned_state.confirmation_ages_s(made, end + 0.4)["recalc"] == pytest.approx(0.4)
     ages.update(made, end + 6.1)
-    assert made.estimates.run_time_s == [0.0, 0.0] and ages.given_up_count == 2
+    assert made.estimates.run_time_s == [0.0, 0.0] and ages.discarded_count == 2
     assert learned_state.confirmation_ages_s(made, end + 9.0) == {}
 
 
@@ -83,7 +83,7 @@
     )
     for tick in range(40):
         ages.update(made, end + tick * 0.25)
-    work = made.estimates.work_of(0, None)
+    work = made.estimates.work_units(0, None)
     assert made.estimates.core_time_s[0] * work == pytest.approx(0.3)
     assert made.estimates.run_time_s[0] * work == pytest.approx(0.5)
 
@@ -96,7 +96,9 @@
     ages.update(made, end)
     assert made.estimates.service_rate == 0.5
     ages.update(made, end + 1.1)
-    assert made.estimates.service_rate == pytest.approx(made.estimates.full_rate(made.estimates.core_time_s))
+    assert made.estimates.service_rate == pytest.approx(
+        made.estimates.saturated_rate(made.estimates.core_time_s)
+    )
 
 
 def test_the_speed_of_a_cold_machine_grows_with_its_age() -> None:
--- a/tests/admission/test_simulator_adapter.py
+++ b/tests/admission/test_simulator_adapter.py
@@ -27,7 +27,7 @@
 def play(*batches: list[dict[str, Any]]) -> list[list[dict[str, Any]]]:
     adapter = SimulatorAdapter()
     return [
-        json.loads(adapter.answer(json.dumps({"now_s": 1.0 + n, "events": b}).encode()))["out"]
+        json.loads(adapter.process_batch(json.dumps({"now_s": 1.0 + n, "events": b}).encode()))["out"]
         for n, b in enumerate(batches)
     ]
 
@@ -48,7 +48,7 @@
 
 
 def test_malformed_line_and_bad_settings_become_the_fault_message() -> None:
-    assert "bug" in json.loads(SimulatorAdapter().answer(b"{"))["out"][0]
+    assert "bug" in json.loads(SimulatorAdapter().process_batch(b"{"))["out"][0]
     bad = {"boot": {"i": "worker/1", "prng": 1, "facts": {**FACTS, "classes": []}}}
     (out,) = play([bad])
     assert "classes" in out[0]["bug"]["words"]
--- a/tests/core/test_reconfiguration.py
+++ b/tests/core/test_reconfiguration.py
@@ -82,7 +82,8 @@
     assert learned > 0.0
     controller.handle(6.0, SettingsChanged(with_classes(A, B, C)))
     assert (
-        controller.estimates.core_time_s == [learned, 0.0, 0.0] and len(controller.estimates.hints.means) == 3
+        controller.estimates.core_time_s == [learned, 0.0, 0.0]
+        and len(controller.estimates.hint_fit.means) == 3
     )
     assert StartRun(9) in controller.handle(6.1, RequestArrived(9, "c"))
     controller.handle(6.3, RunFinished(9, Outcome.SUCCESS, 0.2))
