--- a/snowthread/admission/admission_rule.py
+++ b/snowthread/admission/admission_rule.py
@@ -1,4 +1,4 @@
-"""The admission rule: whether a newcomer, once read, is queued, or why it is rejected at once."""
+"""The admission rule: whether an arriving request stays queued, or why it is rejected at once."""
 
 from snowthread.admission.deadline_rule import latest_start_at
 from snowthread.admission.memory_limit import exceeds_memory_limit
@@ -7,17 +7,20 @@
 from snowthread.admission.start_rule import refresh_priorities
 from snowthread.admission.state import State
 
-MAX_WAIT_RATIO = 0.7  # of the time left beside its run, that a newcomer may wait
-MAX_QUEUED_PER_CORE = 4  # requests, while the service rate is not known
-PROBE_INTERVAL_S = 1.0  # without an ended run of a class, after which a probe of it is admitted
+# A request may wait at most for this part of the time that its expected run leaves until the objective.
+MAX_WAIT_RATIO = 0.7
+MAX_QUEUED_PER_CORE = 4  # Queued requests per core that are allowed as long as the service rate is unknown.
+# A class may send a probe when none of its runs succeeded, and no probe started, for this long.
+PROBE_INTERVAL_S = 1.0
 
 
 def reject_reason(
     state: State, now: float, request: RequestRecord, key_memory_kb: float
 ) -> RejectReason | None:
-    """Return why a newcomer is rejected, or None where it stays queued.
+    """Return why an arriving request is rejected, or None if it stays queued.
 
-    It is in the queue already; ``key_memory_kb`` is the memory that its idempotency key would take.
+    The request must be in the queue already. ``key_memory_kb`` is the memory, in kilobytes, that its
+    idempotency key would use.
     """
     open_requests = state.open_requests
     if state.shutdown.forbids_start(now, request):
@@ -27,7 +30,7 @@
     if exceeds_memory_limit(open_requests.memory, key_memory_kb):
         return RejectReason.MEMORY
     are_cores_busy = open_requests.cores.occupied >= int(state.concurrency.limit)
-    are_others_queued = len(open_requests.queued) > 1  # the newcomer is queued before it is judged
+    are_others_queued = len(open_requests.queued) > 1  # the arriving request itself is in the queue already
     must_wait = are_cores_busy or are_others_queued
     if must_wait and state.blocking.is_blocked(request):
         return RejectReason.BLOCKED
@@ -38,7 +41,7 @@
 
 
 def wait_is_too_long(state: State, now: float, request: RequestRecord) -> bool:
-    """Return whether the queued work of higher priority leaves a newcomer too little time."""
+    """Return whether queued work of the same or higher priority leaves the request too little time."""
     estimates = state.estimates
     queued = state.open_requests.queued.values()
     work_per_s = estimates.service_rate or estimates.saturated_rate(estimates.core_time_s)
@@ -46,7 +49,7 @@
         return len(queued) > MAX_QUEUED_PER_CORE * estimates.cores
     time_left_s = request.objective_at - now - estimates.expected_run_s(request)
     max_work = MAX_WAIT_RATIO * time_left_s * work_per_s
-    other_work = sum([r.work for r in queued]) - request.work  # noqa: C419  # a list is faster
+    other_work = sum([r.work for r in queued]) - request.work  # noqa: C419  # summing a list is faster
     if other_work <= max_work:
         return False
     refresh_priorities(state, now)
@@ -55,19 +58,21 @@
 
 
 def cannot_meet_deadline(state: State, now: float, request: RequestRecord) -> bool:
-    """Return whether a run started now would probably end too late."""
+    """Return whether a run that starts now would probably end too late."""
     return now >= latest_start_at(state.estimates, request)
 
 
 def admits_probe(state: State, now: float, request: RequestRecord) -> bool:
-    """Admit a probe, and note its time, on idle cores where no run of its class ended lately.
+    """Return whether to admit a late request as a probe of its class, and record the time of the probe.
 
-    Without probes a run time that was learned too long would reject the class for ever.
+    A probe is admitted if no run is on the cores and no run of the class succeeded lately. Without
+    probes, a run time that was learned too long would never be corrected, and the class would be rejected
+    forever.
     """
     last_run_at = state.estimates.last_run_at_s
     index = request.class_index
     are_cores_idle = not state.open_requests.cores.running
     if are_cores_idle and now < request.objective_at and now - last_run_at[index] >= PROBE_INTERVAL_S:
-        last_run_at[index] = now  # so that the next probe has to wait
+        last_run_at[index] = now  # delays the next probe by a full interval
         return True
     return False
--- a/snowthread/admission/arrivals.py
+++ b/snowthread/admission/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals: the record of a newcomer, with its deadline, work and weight, and its way into the queue."""
+"""Arrivals: creates the record of an arriving request and queues, rejects or attaches it to its original."""
 
 from snowthread.admission.actions import Action, Reject
 from snowthread.admission.admission_rule import reject_reason
@@ -15,7 +15,7 @@
 
 
 def request_arrived(state: State, now: float, event: RequestArrived) -> list[Action]:
-    """Queue a newcomer, reject it, or let it wait for its original attempt."""
+    """Queue an arriving request, reject it, or make it wait for the result of its original attempt."""
     class_index = state.class_index.get(event.class_name)
     if class_index is None:
         return [Reject(event.request_id, reason=RejectReason.UNKNOWN_CLASS)]
@@ -34,6 +34,7 @@
 
 
 def _record(state: State, now: float, event: RequestArrived, class_index: int) -> RequestRecord:
+    """Return the record of an arriving request, with its deadline, work, weight and priority."""
     settings = state.settings
     request_class = settings.classes[class_index]
     arrived_at = now - event.unread_s
--- a/snowthread/admission/blocking.py
+++ b/snowthread/admission/blocking.py
@@ -1,34 +1,42 @@
-"""Blocking: the share of requests that is rejected on arrival, and which requests those are."""
+"""Blocking: rejects a share of the arriving requests under overload, preferring those of low weight."""
 
 from snowthread.admission.berger import blocking_probability
 from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.estimators import AVERAGED_REQUESTS
 from snowthread.admission.request import RequestRecord
 
-MAX_DEFERRED_REJECTIONS_PER_CORE = 4.0  # from which on a heavy request is rejected itself
+# Rejections of heavy requests that may be deferred, per core, in multiples of the work of the request at
+# hand. Once as many are deferred, the request itself is rejected.
+MAX_DEFERRED_REJECTIONS_PER_CORE = 4.0
 
 
 class BlockingRule:
-    """Sets the probability once an update, and draws for each newcomer whether it is blocked."""
+    """Sets the blocking probability once per update and draws which arriving requests are blocked."""
 
     def __init__(self, state: ControllerContext) -> None:
         self._state = state
-        self.probability = 0.0  # the same for all callers, constant between updates
+        self.probability = 0.0  # blocking probability of every arriving request, constant between updates
         self._mean_weight = 0.0
-        self._deferred_work = (
-            0.0  # of rejections deferred from heavy requests, not yet charged to lighter ones
-        )
+        # Units of work of the requests above mean weight that were drawn for rejection but admitted, for
+        # which no lighter request has been rejected yet.
+        self._deferred_work = 0.0
 
     def update(self, abandonment_ratio: float, headroom_ratio: float) -> None:
-        """Set the probability; ``headroom_ratio``: possible over present throughput, by utilization."""
+        """Set the blocking probability for the next period.
+
+        ``abandonment_ratio`` is Berger's beta. ``headroom_ratio`` is the possible throughput divided
+        by the present one, judged by utilization; from 1 on nothing is blocked.
+        """
         estimates = self._state.estimates
         probability = blocking_probability(estimates.arrival_rate, estimates.service_rate, abandonment_ratio)
         self.probability = probability if headroom_ratio < 1.0 else 0.0
 
     def is_blocked(self, request: RequestRecord) -> bool:
-        """Draw whether a newcomer is blocked: the probability says how many are, weights say which.
+        """Draw whether an arriving request is blocked.
 
-        The work of a rejection deferred from a heavy request, in bounds, is charged to the next lighter ones.
+        The probability sets how many requests are blocked, and the weights decide which ones. A
+        rejection drawn for a request above the mean weight is deferred, up to a limit, and the same
+        amount of work is rejected from the next requests below the mean weight.
         """
         probability = self.probability
         change = request.weight - self._mean_weight
--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -1,4 +1,4 @@
-"""The admission controller: hands each event to the rule for it. Free of I/O and of clocks."""
+"""The admission controller: dispatches each event to its rule. Performs no I/O and reads no clock."""
 
 from collections.abc import Callable
 
@@ -21,7 +21,11 @@
 
 
 class Controller:
-    """Decides for one node. ``handle`` takes each event in order and returns the actions to carry out.
+    """Makes the admission decisions of one node.
+
+    The host passes every event to ``handle`` in order and carries out the actions that it returns.
+    ``settings`` configures the node, and ``seed`` seeds the generator of random draws, so that the same
+    events lead to the same actions.
 
     Raises:
         ValueError: the settings name no class, or a field of them is out of range.
@@ -42,16 +46,16 @@
 
     @property
     def blocking_probability(self) -> float:
-        """The share of newcomers that is rejected while requests wait, 0 to 1."""
+        """The share of arriving requests, 0 to 1, that is rejected while other requests wait."""
         return self.state.blocking.probability
 
     def run_load(self) -> RunLoad:
-        """Return the controller's count of runs and the limits that it is compared with."""
+        """Return the number of runs that the controller counts, with the limits on it."""
         ceiling = self.concurrency.ceiling(self.state.age_s(self._now))
         return RunLoad.of(self.state.open_requests, self.concurrency.limit, ceiling)
 
     def handle(self, now: float, event: events.Event) -> list[Action]:
-        """Take one event, at ``now`` seconds, and return what to do about it, in order."""
+        """Process one event at ``now`` seconds and return the actions to carry out, in order."""
         state = self.state
         elapsed_s = max(0.0, now - self._now) if self._now else 0.0
         self._now = now
@@ -83,7 +87,11 @@
 
 
 def _settings_changed(state: State, _: float, event: events.SettingsChanged) -> list[Action]:
-    """Use other settings; open requests keep their class, and a class in its place what was learned."""
+    """Apply new settings.
+
+    Open requests keep their class. A class that keeps its name and its position in the list also keeps
+    what was learned about it; any other class starts without estimates.
+    """
     old = state.settings.classes
     new = event.settings.classes
     new_classes = [n for n, c in enumerate(new) if n >= len(old) or old[n].name != c.name]
@@ -106,7 +114,7 @@
     if event.label == UPDATE_TIMER:
         actions = update(state, now, event)
     elif not state.deadlines.fire(now):
-        return []  # a stale timer, replaced by an earlier one: ignore it
+        return []  # an earlier timer has replaced this one, so its event is ignored
     state.calls.next_dispatch_at = now
     for request_id in state.deadlines.pop_due(now):
         request = state.open_requests.by_id.get(request_id)
@@ -133,4 +141,4 @@
     events.CallNeeded: call_needed,
     events.CallFinished: call_finished,
 }
-"""The handler of each event; that of a ``RequestEvent`` gets the request's record too."""
+"""The handler of each event type; the handler of a ``RequestEvent`` also takes the request's record."""
--- a/snowthread/admission/downstream_calls.py
+++ b/snowthread/admission/downstream_calls.py
@@ -1,6 +1,6 @@
-"""Calls to the dependency: which are made, put off, skipped or retried, and how long they may take.
+"""Calls to the dependency: which are made, delayed, skipped or retried, and how long they may take.
 
-A call is skippable where an answer without it has some weight, else it is required.
+A call is skippable if an answer without its result still has some weight; otherwise it is required.
 """
 
 from enum import Enum
@@ -11,40 +11,50 @@
 from snowthread.admission.request import RequestRecord, RequestState
 from snowthread.admission.settings import Dependency, Outcome, Settings
 
-DISPATCH_INTERVAL_S = 0.02  # between two looks at pending calls, unless something happens
-MAX_ATTEMPTS = 4  # of one call
-BACKOFF_S = 0.05  # before the first retry
-BACKOFF_FACTOR = 2.0  # for each further retry
-BUDGET_RATE_RATIO = 0.55  # of the quota, that calls use in the mean
-BUDGET_CAPACITY_RATIO = 0.35  # of the quota's window, that is saved up; with the mean use below 1
-REQUIRED_RESERVE_RATIO = 0.25  # of the budget's capacity, that skippable calls leave to required ones
-SKIPPABLE_BUDGET_RATIO = 0.25  # of the budget's capacity, that one call may take
-REQUIRED_BUDGET_RATIO = 0.5
-SKIPPABLE_TIME_RATIO = 0.6  # of the time left, that one call may take
-REQUIRED_TIME_RATIO = 1.0
-SKIPPABLE_WAIT_RATIO = 0.25  # of the time left, after which a pending call is skipped
-SKIPPABLE_TIMEOUT_FACTOR = 6.0  # times the usual duration
-REQUIRED_TIMEOUT_FACTOR = 20.0
-SKIPPABLE_MIN_TIMEOUT_S = 0.05
-REQUIRED_MIN_TIMEOUT_S = 0.25
-HUNG_CALL_FACTOR = 6.0  # times the usual duration, from which a call uses nothing of the dependency
-QUOTA_PER_SLOT = 5.0  # calls in flight that the dependency survives, for each that it works on at a time
-OVERLOAD_SLOW_CALL_RATIO = 0.3  # share of slow calls from which the dependency is overloaded
-LIMIT_GROWTH_FACTOR = 1.15  # an update
-LIMIT_CUT_FACTOR = 0.8  # an update
+DISPATCH_INTERVAL_S = 0.02  # seconds between two dispatches of pending calls, unless a call is added or ends
+MAX_ATTEMPTS = 4  # attempts of one call, the first one included
+BACKOFF_S = 0.05  # seconds before the first retry of a call
+BACKOFF_FACTOR = 2.0  # growth of the delay with each further retry of a call
+BUDGET_RATE_RATIO = 0.55  # part of the quota that calls may use on average
+# Part of the quota's window that the budget can save up. Together with ``BUDGET_RATE_RATIO`` it stays below
+# 1, so that a burst can't exceed the quota.
+BUDGET_CAPACITY_RATIO = 0.35
+REQUIRED_RESERVE_RATIO = 0.25  # part of the budget's capacity that skippable calls leave to required ones
+SKIPPABLE_BUDGET_RATIO = 0.25  # part of the budget's capacity that one skippable call may take
+REQUIRED_BUDGET_RATIO = 0.5  # part of the budget's capacity that one required call may take
+SKIPPABLE_TIME_RATIO = 0.6  # part of the time left to its request that one skippable call may take
+REQUIRED_TIME_RATIO = 1.0  # part of the time left to its request that one required call may take
+# Part of the time until the objective that a skippable call may wait; then it is skipped.
+SKIPPABLE_WAIT_RATIO = 0.25
+SKIPPABLE_TIMEOUT_FACTOR = 6.0  # timeout of a skippable call, in multiples of the usual call time
+REQUIRED_TIMEOUT_FACTOR = 20.0  # timeout of a required call, in multiples of the usual call time
+SKIPPABLE_MIN_TIMEOUT_S = 0.05  # shortest timeout of a skippable call; no call gets a shorter one
+REQUIRED_MIN_TIMEOUT_S = 0.25  # shortest timeout of a required call that follows from the usual call time
+# A call in flight for longer than this many times the usual call time is hung; the dependency no longer works
+# on it.
+HUNG_CALL_FACTOR = 6.0
+QUOTA_PER_SLOT = 5.0  # calls in flight that the dependency survives for each call that it works on at a time
+OVERLOAD_SLOW_CALL_RATIO = 0.3  # share of slow calls above which the dependency counts as overloaded
+LIMIT_GROWTH_FACTOR = 1.15  # growth of the limit on calls in flight, per update in which it was reached
+# Factor applied to the limit on calls in flight, per update with an overloaded dependency.
+LIMIT_CUT_FACTOR = 0.8
 
 
 class CallDecision(Enum):
-    """What follows for the run from the end of its call."""
+    """What happens to a run after its call has ended."""
 
-    NONE = 0  # the run goes on, or is owed no answer any more
-    SKIP = 1
-    RETRY = 2
-    FAIL_RUN = 3
+    NONE = 0  # the run continues with the result, or no answer is owed any more
+    SKIP = 1  # the run continues without the result
+    RETRY = 2  # the call is made again after a delay
+    FAIL_RUN = 3  # the request fails
 
 
 class DownstreamCalls:
-    """Runs that wait for a call, and the budget (call-seconds) and the limit that their calls share."""
+    """Decides on the downstream calls of runs, within a budget and a limit that all calls share.
+
+    The budget is a number of call-seconds that refills at a part of the quota; the limit bounds the calls
+    in flight. Both apply only to a dependency that is shared with other nodes.
+    """
 
     def __init__(self, state: ControllerContext) -> None:
         self._estimates = state.estimates
@@ -52,24 +62,28 @@
         self._budget = self._table.budget
         self.apply_settings(state.settings)
         self._budget.available = self._budget.capacity
-        self._limit = self._min_limit  # calls in flight
-        self._is_limit_reached = False  # since the last update
+        self._limit = self._min_limit  # limit on calls in flight
+        self._is_limit_reached = False  # a call had to wait for the limit since the last update
         self.next_dispatch_at = 0.0
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use these settings from now on; calls in flight stay as they are."""
+        """Apply new settings. Calls in flight are not affected."""
         self._settings = settings
         self._is_dependency_shared = settings.dependency is Dependency.SHARED
         self._budget.capacity = BUDGET_CAPACITY_RATIO * settings.call_quota * settings.call_quota_window_s
-        self._min_limit = max(1.0, settings.call_quota / QUOTA_PER_SLOT)  # this node's part of the slots
+        # This node's part of the calls that the dependency works on at a time.
+        self._min_limit = max(1.0, settings.call_quota / QUOTA_PER_SLOT)
 
     def advance(self, elapsed_s: float) -> None:
-        """Refill the budget for the time that has passed."""
+        """Refill the budget for the time that has passed, in seconds."""
         if self._is_dependency_shared:
             self._budget.refill(BUDGET_RATE_RATIO * self._settings.call_quota * elapsed_s)
 
     def update_limit(self) -> None:
-        """Allow fewer calls while they are slow: an overloaded dependency completes less. Once an update."""
+        """Adapt the limit on calls in flight, once per update.
+
+        An overloaded dependency completes fewer calls, so the limit falls while calls are slow.
+        """
         if self._estimates.slow_call_share > OVERLOAD_SLOW_CALL_RATIO:
             self._limit *= LIMIT_CUT_FACTOR
         elif self._is_limit_reached:
@@ -78,12 +92,12 @@
         self._is_limit_reached = False
 
     def add(self, now: float, request: RequestRecord) -> None:
-        """Take a run off the cores until its call is made or skipped."""
+        """Take a run off the cores until its call has ended or is skipped."""
         self._table.add(now, request)
         self.next_dispatch_at = now
 
     def dispatch(self, now: float) -> list[Action]:
-        """Make, skip or put off the pending calls: required ones first."""
+        """Start, skip or delay the pending calls, required ones first."""
         pending = self._table.pending
         if not pending or now < self.next_dispatch_at:
             return []
@@ -109,7 +123,7 @@
         return actions
 
     def _active_calls(self, now: float) -> int:
-        """Return the calls in flight that the dependency works on; those that hang need nothing of it."""
+        """Return the number of calls in flight that the dependency works on; hung calls do not count."""
         usual_s = self._estimates.call_time_s
         return sum(
             now - r.called_at <= HUNG_CALL_FACTOR * (usual_s[r.class_index] or r.expires_at)
@@ -117,13 +131,20 @@
         )
 
     def _waits_too_long(self, now: float, request: RequestRecord, waiting_calls: int) -> bool:
-        """Return whether the call with this place among those that wait leaves the run too little time."""
+        """Return whether a call at this position in the queue leaves its run too little time.
+
+        ``waiting_calls`` is the position: 1 for the call that is next.
+        """
         usual_s = self._estimates.call_time_s[request.class_index]
         wait_s = max(now - request.retry_at, waiting_calls * usual_s / self._limit)
         return wait_s > SKIPPABLE_WAIT_RATIO * (request.objective_at - request.retry_at)
 
     def _start(self, now: float, request: RequestRecord) -> StartCall | None:
-        """Make a call if the budget has its longest duration, time after it is given up included."""
+        """Start a call if the budget has enough call-seconds for it, or return None.
+
+        The reservation covers the timeout of the call and the time for which the dependency works on
+        it after it was given up.
+        """
         timeout_s = self.timeout_s(now, request)
         if self._is_dependency_shared:
             capacity_s = self._budget.capacity
@@ -138,7 +159,7 @@
         return StartCall(request.id, timeout_s)
 
     def timeout_s(self, now: float, request: RequestRecord) -> float:
-        """Return how many seconds a call that starts now may take."""
+        """Return the timeout, in seconds, of a call that starts now."""
         is_skippable = request.can_skip_call
         usual_s = self._estimates.call_time_s[request.class_index]
         time_ratio = SKIPPABLE_TIME_RATIO if is_skippable else REQUIRED_TIME_RATIO
@@ -157,7 +178,7 @@
         return SkipCall(request.id)
 
     def remove(self, now: float, request: RequestRecord) -> None:
-        """Forget a run that is over; a call in flight is given up."""
+        """Remove a run that has ended; a call in flight is given up."""
         if request.state is RequestState.CALLING:
             self._end(now, request, is_given_up=True)
         self._table.pending.pop(request.id, None)
@@ -168,7 +189,10 @@
         self._table.end(request, used_s)
 
     def finish(self, now: float, request: RequestRecord, outcome: Outcome) -> CallDecision:
-        """Take the outcome of a call; return what follows for its run, whose retry or skip is prepared."""
+        """Process the end of a call and return what happens to its run.
+
+        For a retry or a skip the run is prepared here already.
+        """
         self._end(now, request, is_given_up=outcome in (Outcome.TIMED_OUT, Outcome.DISCONNECTED))
         if outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
             self._estimates.record_call(request.class_index, now, now - request.called_at)
@@ -184,7 +208,11 @@
         return decision
 
     def decision_after_failure(self, request: RequestRecord, outcome: Outcome) -> CallDecision:
-        """Retry what may run twice or never ran; skip where a retry probably fails too."""
+        """Return what happens to a run whose call failed.
+
+        A call is retried only if it is idempotent or never ran. A skippable call is skipped where a
+        retry would probably fail as well.
+        """
         can_retry = (outcome.never_ran or request.is_idempotent) and request.call_attempts < MAX_ATTEMPTS
         is_overloaded = self._estimates.slow_call_share >= OVERLOAD_SLOW_CALL_RATIO
         was_hung = outcome is Outcome.TIMED_OUT and not is_overloaded
