--- a/snowthread/admission/graceful_shutdown.py
+++ b/snowthread/admission/graceful_shutdown.py
@@ -1,6 +1,6 @@
-"""The graceful shutdown: at the notice, in the grace period after it, and shortly before the stop.
+"""The graceful shutdown: what happens at the notice, and shortly before the process is stopped.
 
-What arrives after the grace period is rejected (``ShutdownTimes.forbids_start``).
+Requests that arrive after the grace period are rejected by ``ShutdownTimes.forbids_start``.
 """
 
 from snowthread.admission.actions import Action, LogMessage, OperatorMessage, SetHealth
@@ -11,14 +11,20 @@
 
 
 def shutdown_noticed(state: State, now: float, event: ShutdownNotice) -> list[Action]:
-    """Leave the registry and ask callers to send nothing; what is queued and runs goes on."""
+    """Begin the shutdown: leave the registry and ask callers to send nothing more.
+
+    Queued and running requests continue.
+    """
     state.shutdown.begin(now, event)
     message = LogMessage(OperatorMessage.GRACEFUL_SHUTDOWN_BEGUN)
     return [message, SetHealth(False), *state.load_report.shut_down()]
 
 
 def answer_all_before_stop(state: State, now: float) -> list[Action]:
-    """Reject, or fail where it may have run, every request that is not answered shortly before the stop."""
+    """Answer every open request once the stop is near.
+
+    A request is rejected, or failed if it may have run and is not idempotent.
+    """
     actions: list[Action] = []
     if state.shutdown.must_answer_all(now):
         for request in [r for r in state.open_requests.by_id.values() if not r.is_settled]:
--- a/snowthread/admission/idle_connections.py
+++ b/snowthread/admission/idle_connections.py
@@ -5,29 +5,48 @@
 from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.statistics import PeakPlateau
 
-CLOSE_EARLY_REQUESTS = 0.7  # of one caller, expected in the idle timeout: with fewer, connections close early
-KEEP_OPEN_REQUESTS = 3.0  # with as many they do so no more
-PEAK_RATIO = 0.98  # of the most connections so far, that counts as a full table
-FULL_TABLE_UPDATES = 12  # with a full table, after which connections close early
-STORM_UNREAD_RATIO = 0.016  # of the mean objective: time unread times share of retries, in a retry storm
-MIN_RETRY_RATIO = 0.1  # share of retries that a storm is computed with at least
-ASSUMED_RETRY_RATIO = 0.3  # share of retries where callers do not mark them
-STORM_FACTOR = 3.0  # an update, of the timeout: in a storm a full table keeps retries out at no cost
-FULL_CORES_FACTOR = 0.93  # an update, of the timeout
-IDLE_CORES_FACTOR = 0.5  # an update, of the timeout: without retries
+# Requests that one caller is expected to send within the longest idle timeout; with fewer, connections close
+# early.
+CLOSE_EARLY_REQUESTS = 0.7
+# Expected requests of one caller within the longest idle timeout, from which connections no longer close
+# early.
+KEEP_OPEN_REQUESTS = 3.0
+# Part of the highest number of connections so far, from which the connection table counts as full.
+PEAK_RATIO = 0.98
+FULL_TABLE_UPDATES = 12  # updates in a row with a full connection table after which connections close early
+# A retry storm is on if the time that requests wait unread, times the share of retries, exceeds this part of
+# the mean latency objective.
+STORM_UNREAD_RATIO = 0.016
+MIN_RETRY_RATIO = 0.1  # lowest share of retries that the test for a retry storm assumes
+ASSUMED_RETRY_RATIO = 0.3  # share of retries that is assumed where callers do not mark them
+# Factor on the idle timeout per update while connections are not to close early or a retry storm is on: then
+# a full connection table keeps retries out at no cost.
+STORM_FACTOR = 3.0
+# Factor on the idle timeout per update while the cores are full and connections close early.
+FULL_CORES_FACTOR = 0.93
+# Factor on the idle timeout per update while the cores are not full, connections close early and there are no
+# retries.
+IDLE_CORES_FACTOR = 0.5
 
 
 class IdleTimeout:
-    """Shortens the timeout where connections are hardly reused, or where their full table costs time."""
+    """Adapts the idle timeout of connections.
+
+    The timeout shrinks where connections are hardly reused, or where a full connection table costs time.
+    It grows again up to the configured timeout otherwise.
+    """
 
     def __init__(self, state: ControllerContext) -> None:
         self._state = state
-        self._timeout_s = state.settings.idle_timeout_s  # as last set
+        self._timeout_s = state.settings.idle_timeout_s  # the timeout that was set last
         self._closes_early = False
         self._peak = PeakPlateau(PEAK_RATIO)
 
     def update(self, connections: float, utilization: float) -> list[Action]:
-        """Return the timeout to set, if it changes; ``utilization`` of the cores, 0 to 1."""
+        """Return the new timeout if it changes; called once per update.
+
+        ``connections`` is the number of open connections, ``utilization`` that of the cores, 0 to 1.
+        """
         estimates = self._state.estimates
         max_timeout_s = self._state.settings.idle_timeout_s
         requests = max_timeout_s / estimates.caller_interval_s()
@@ -42,6 +61,7 @@
         return [SetIdleTimeout(round(timeout_s, 3))]
 
     def _change_factor(self, are_cores_full: bool) -> float:
+        """Return the factor by which the timeout changes in this update."""
         estimates = self._state.estimates
         retry_ratio = estimates.retry_share if self._state.settings.marks_retries else ASSUMED_RETRY_RATIO
         storm_threshold_s = STORM_UNREAD_RATIO * estimates.mean_objective_s
--- a/snowthread/admission/load_report.py
+++ b/snowthread/admission/load_report.py
@@ -8,30 +8,41 @@
 from snowthread.admission.settings import LoadReportKind
 from snowthread.admission.statistics import smooth_towards
 
-SHARE_RISE_TIME_CONSTANT_S = 0.7
-SHARE_FALL_TIME_CONSTANT_S = 1.5  # slower than the rise: callers that were sent elsewhere return at once
-MAX_SHARE_RATIO = 0.95  # a few requests must still come, or nothing more is learned of the load
-MIN_SHARE_CHANGE_RATIO = 1e-9  # that is published
-CREDIT_PER_RUN = 2.0  # requests that callers together may have open, for each run of the limit
+SHARE_RISE_TIME_CONSTANT_S = 0.7  # time constant with which the published share rises
+# The published share falls more slowly than it rises: callers that were sent elsewhere return at once.
+SHARE_FALL_TIME_CONSTANT_S = 1.5
+# Highest share that is published. A few requests must still arrive, or the load could not be learned.
+MAX_SHARE_RATIO = 0.95
+MIN_SHARE_CHANGE_RATIO = 1e-9  # smallest change of the share that is published
+CREDIT_PER_RUN = 2.0  # open requests that all callers together are granted for each run of the run limit
 
 
 class LoadReport:
-    """Publishes a share once an update. All shares are ratios, 0 to 1, of what callers have to send."""
+    """Publishes the share of their requests that callers are to send elsewhere, once per update.
+
+    All shares are ratios, 0 to 1, of the requests that callers have to send.
+    """
 
     def __init__(self, state: ControllerContext) -> None:
         self._state = state
         self.published_share = 0.0
-        self.effective_share = 0.0  # that callers have heard and applied to the present arrivals
+        self.effective_share = 0.0  # share that callers have received and applied to the present arrivals
 
     def shut_down(self) -> list[Action]:
-        """Return what to publish once no more requests are admitted."""
+        """Return the load report that asks callers for no more requests, at a shutdown."""
         kind = self._state.settings.load_report_kind
         return [] if kind is LoadReportKind.NONE else [PublishLoad(kind.encode(1.0, credit=0.0))]
 
     def update(
         self, elapsed_s: float, abandonment_ratio: float, headroom_ratio: float, run_limit: float
     ) -> list[Action]:
-        """Return the load report to publish, or nothing if it hardly changed."""
+        """Return the load report to publish, or nothing if the share hardly changed.
+
+        Of all that callers have to send, (1 - effective share) mu rho / lambda may arrive, in
+        Berger's symbols. ``elapsed_s`` is the time since the last update, ``abandonment_ratio`` is
+        Berger's beta, ``headroom_ratio`` the possible throughput divided by the present one, judged
+        by utilization, and ``run_limit`` the limit on runs.
+        """
         settings = self._state.settings
         estimates = self._state.estimates
         if settings.load_report_kind is LoadReportKind.NONE:
@@ -56,7 +67,10 @@
         return [PublishLoad(round(settings.load_report_kind.encode(share, credit), 4))]
 
     def _update_effective_share(self, elapsed_s: float) -> None:
-        """Follow the published share as callers hear of it: with answers, and only until it expires."""
+        """Let the effective share follow the published one as callers receive it.
+
+        They receive it only with answers, and it applies only until it expires.
+        """
         estimates = self._state.estimates
         interval_s = estimates.caller_interval_s()
         ttl_s = self._state.settings.load_report_ttl_s or math.inf
--- a/snowthread/admission/lost_runs.py
+++ b/snowthread/admission/lost_runs.py
@@ -1,6 +1,6 @@
-"""Lost runs: until when a run counts of which nothing is heard, and whether excess runs measured count.
+"""Lost runs: how long a run counts of which nothing is heard, and when measured excess runs count.
 
-Most runs of which the host lost sight do run. If they were not counted, every broken link would let others
+Most runs of which the host lost sight still run. If they were not counted, every broken link would let others
 start in their place, until the cores had more runs than the machine survives.
 """
 
@@ -13,14 +13,20 @@
 from snowthread.admission.settlement import fail, remove
 from snowthread.admission.state import State
 
-LOST_RUN_TIME_FACTOR = 4.0  # times its expected duration, after which a silent run counts as lost
-RUN_COUNT_UNCERTAIN_S = 10.0  # after a broken link: as long as runs beyond the count may go on
+# A run of which nothing is heard is presumed lost after this many times its expected duration.
+LOST_RUN_TIME_FACTOR = 4.0
+# Seconds for which excess runs count after a broken link: as long as runs beyond the count may go on.
+RUN_COUNT_UNCERTAIN_S = 10.0
 
 
 def run_indeterminate(
     state: State, now: float, request: RequestRecord, event: RunIndeterminate
 ) -> list[Action]:
-    """Count a run that may never have started, until something is heard of it or it counts as lost."""
+    """Process that the host lost sight of a run.
+
+    The run may never have started. It counts until something is heard of it or it is presumed lost; a
+    call at which it may wait is skipped, if it can be.
+    """
     if request.state is not RequestState.RUNNING or request.is_indeterminate:
         return []
     if event.at_call and request.can_skip_call and not request.is_settled:
@@ -30,13 +36,15 @@
 
 
 def _schedule_presumed_loss(state: State, now: float, request: RequestRecord) -> None:
+    """Set when the run counts as lost, and schedule the check for that time."""
     run_s = max(UPDATE_PERIOD_S, state.estimates.expected_run_s(request))
     state.open_requests.cores.mark_indeterminate(request, now + LOST_RUN_TIME_FACTOR * run_s)
-    state.deadlines.watch_deadline(request, request.presumed_lost_at + ANSWER_MARGIN_S)  # it is taken off
+    # ``watch_deadline`` subtracts the margin, so the check is due at ``presumed_lost_at`` itself.
+    state.deadlines.watch_deadline(request, request.presumed_lost_at + ANSWER_MARGIN_S)
 
 
 def check_lost_run(state: State, now: float, request: RequestRecord) -> list[Action]:
-    """Fail a run that counts as lost; after as long again, forget it: it counts no more."""
+    """Fail a run that is presumed lost, and stop counting it after the same time again."""
     if request.state is not RequestState.RUNNING or request.presumed_lost_at > now + TIME_TOLERANCE_S:
         return []
     if not request.is_settled:
@@ -48,7 +56,7 @@
 
 
 def run_count_uncertain(state: State, now: float, _: RunCountUncertain) -> list[Action]:
-    """Count the excess runs that are measured for a while."""
+    """Count measured excess runs for a while, since the host has lost its link to the machine."""
     state.run_count_uncertain_until = now + RUN_COUNT_UNCERTAIN_S
     return []
 
@@ -56,7 +64,8 @@
 def reconcile_run_count(state: State, now: float, measured_runs: float | None) -> None:
     """Compare the count with the runs measured on the cores (None: not measured).
 
-    Only after a broken link: at other times whatever else wants a core, reading above all, would count.
+    This is done only after a broken link. At other times everything else that wants a core, above all the
+    reading of requests, would count as a run.
     """
     is_uncertain = now < state.run_count_uncertain_until
     state.open_requests.cores.reconcile(measured_runs if is_uncertain else None)
--- a/snowthread/admission/periodic_update.py
+++ b/snowthread/admission/periodic_update.py
@@ -1,4 +1,4 @@
-"""The periodic update: what is learned from a period, and what is set from it for the next one."""
+"""The periodic update: learns from the period that ends and sets the limits for the next one."""
 
 import math
 
@@ -10,19 +10,21 @@
 from snowthread.admission.state import State
 from snowthread.admission.timer_queue import UPDATE_TIMER
 
-SATURATED_PERIOD_RATIO = 0.9  # of the period with a run for each core, that counts as all of it
-MIN_UTILIZATION_RATIO = 0.4  # a lower one says no more of the headroom
+# Part of a period with a run for each core, from which the whole period counts as saturated.
+SATURATED_PERIOD_RATIO = 0.9
+# Lowest utilization that the headroom is computed with: a lower one says nothing more about it.
+MIN_UTILIZATION_RATIO = 0.4
 
 
 def begin_period(state: State, now: float) -> SetTimer:
-    """Begin a period."""
+    """Begin a period and return the timer that ends it."""
     state.period_started_at = now
     state.open_requests.cores.saturated_s = 0.0
     return SetTimer(UPDATE_PERIOD_S, UPDATE_TIMER)
 
 
 def update(state: State, now: float, event: TimerFired) -> list[Action]:
-    """Close a period and begin the next one."""
+    """End a period, learn from it and begin the next one."""
     state.open_requests.memory.expire_keys(now)
     elapsed_s = now - state.period_started_at
     actions = _close_period(state, now, elapsed_s, event) if elapsed_s > 0.0 else []
@@ -31,6 +33,7 @@
 
 
 def _close_period(state: State, now: float, elapsed_s: float, event: TimerFired) -> list[Action]:
+    """Learn from the period and adapt all limits; return the changes for the host to carry out."""
     cores = state.open_requests.cores
     utilization = event.core_utilization
     if utilization is None:
@@ -50,8 +53,8 @@
     """Update the estimates, the blocking probability and the load report."""
     estimates = state.estimates
     is_full = utilization >= FULL_UTILIZATION_RATIO
-    # Work counts as it is done: counted at the end of runs it would lag by the length of a run, and too much
-    # would be blocked meanwhile.
+    # Work counts while it is done. If it counted only when runs end, the service rate would lag by the length
+    # of a run and too many requests would be blocked in the meantime.
     estimates.work_done = state.open_requests.add_progress(estimates.work_done, estimates.core_time_s)
     estimates.update(elapsed_s, is_full)
     abandonment_ratio = estimates.abandonment_ratio()
@@ -63,9 +66,10 @@
 
 
 def headroom_ratio(utilization: float, abandonment_ratio: float) -> float:
-    """Return possible over present throughput: cores that are not full prove it, whatever was learned.
+    """Return the possible throughput divided by the present one, judged by utilization.
 
-    0 at full cores, whose utilization says nothing of it.
+    Cores that are not full prove that more is possible, whatever was learned. The result is 0 if the
+    cores are full, since their utilization then says nothing about what is possible.
     """
     if utilization >= FULL_UTILIZATION_RATIO:
         return 0.0
--- a/snowthread/admission/quotas.py
+++ b/snowthread/admission/quotas.py
@@ -1,4 +1,4 @@
-"""Tenants: which classes they may send, and the weight of requests beyond their quota."""
+"""Tenants: which classes each may send, and the weight of requests beyond its quota."""
 
 from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.estimators import AVERAGED_REQUESTS
@@ -6,14 +6,16 @@
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.tenant_table import TenantTable
 
-MAX_QUOTA_USE_RATIO = 1.5  # of its quota, from which a tenant's next request has the full reduction
-QUOTA_WINDOW_RUNS = AVERAGED_REQUESTS / 2.0  # of a tenant at its quota: over which its runs are counted
+# Part of its quota that a tenant uses when its next request gets the full reduction of weight.
+MAX_QUOTA_USE_RATIO = 1.5
+# Runs of a tenant at its quota that span the window over which its runs are counted.
+QUOTA_WINDOW_RUNS = AVERAGED_REQUESTS / 2.0
 
 
 class TenantQuotas:
-    """How much of its quota each tenant has used at this node lately: runs count, rejections don't.
+    """Tracks how much of its quota each tenant has used at this node lately.
 
-    The node's part of a quota is that over the number of nodes.
+    Runs count, rejections do not. The node's part of a quota is the quota divided by the number of nodes.
     """
 
     def __init__(self, state: ControllerContext) -> None:
@@ -21,7 +23,10 @@
         self.table = TenantTable(state.settings)
 
     def apply_tenant_changes(self, event: TenantsChanged) -> list[RequestRecord]:
-        """Use changed tenants; return the queued requests that have not run and are not allowed any more."""
+        """Apply changed tenants and return the queued requests that are no longer allowed.
+
+        Requests that may have run already are left out.
+        """
         self.table.apply_changes(event)
         return [
             request
@@ -31,7 +36,10 @@
         ]
 
     def weight_ratio(self, now: float, tenant: str) -> float:
-        """Return the weight of a tenant's next request: 1 under its quota, falling to that beyond it."""
+        """Return the factor on the weight of a tenant's next request.
+
+        It is 1 up to the quota and falls beyond it to ``over_quota_weight``.
+        """
         used_ratio = self._add_runs(now, tenant, 0.0) / QUOTA_WINDOW_RUNS
         quota_headroom_ratio = min(
             1.0, max(0.0, (MAX_QUOTA_USE_RATIO - used_ratio) / (MAX_QUOTA_USE_RATIO - 1.0))
@@ -39,9 +47,10 @@
         return quota_headroom_ratio + (1.0 - quota_headroom_ratio) * self.table.over_quota_weight
 
     def count_run(self, now: float, tenant: str) -> None:
-        """Count a run that starts."""
+        """Count a run of a tenant that starts."""
         self._add_runs(now, tenant, 1.0)
 
     def _add_runs(self, now: float, tenant: str, new_runs: float) -> float:
+        """Add runs of a tenant and return their count, in which older runs count less."""
         span_runs = QUOTA_WINDOW_RUNS * max(1, self._state.settings.node_count)
         return self.table.count_runs(now, tenant, new_runs, span_runs)
--- a/snowthread/admission/retry_rule.py
+++ b/snowthread/admission/retry_rule.py
@@ -1,4 +1,4 @@
-"""Retries: what a retry weighs, and what a rejection says about retrying: whether elsewhere, and when."""
+"""Retries: the weight of a retry, and what a rejection says about retrying elsewhere and later."""
 
 from snowthread.admission.actions import Reject
 from snowthread.admission.berger import blocking_probability
@@ -8,17 +8,23 @@
 from snowthread.admission.settings import LoadReportKind
 from snowthread.admission.state import State
 
-RETRY_WEIGHT_RATIO = 0.25  # of a first attempt's: a retry does not say its age and may be late already
-MIN_RETRY_TIME_RATIO = 0.25  # of the expected run: in less time even a much faster server can't serve it
+# Weight of a retry relative to a first attempt. A retry does not say how old it is and may be late already.
+RETRY_WEIGHT_RATIO = 0.25
+# Part of the expected run time that a retry elsewhere needs at least: in less time even a much faster server
+# can't serve it.
+MIN_RETRY_TIME_RATIO = 0.25
 
 
 def attempt_weight_ratio(is_retry: bool) -> float:
-    """Return the weight of an attempt relative to a first one, so that cores do no work that is late."""
+    """Return the weight of an attempt relative to a first attempt.
+
+    A lower weight for retries keeps the cores from work that is too late already.
+    """
     return RETRY_WEIGHT_RATIO if is_retry else 1.0
 
 
 def rejection(state: State, now: float, request: RequestRecord, reason: RejectReason) -> Reject:
-    """Return the rejection of a request, with what it says about retries."""
+    """Return the rejection of a request, with the advice on retries that it carries."""
     do_not_retry = is_too_late_to_retry(state, now, request) or (
         state.generator.random() < elsewhere_rejection_probability(state, now)
     )
@@ -26,15 +32,16 @@
 
 
 def is_too_late_to_retry(state: State, now: float, request: RequestRecord) -> bool:
-    """Return whether no other server, however fast, could serve a retry within the objective."""
+    """Return whether no other server, however fast, could serve a retry within the latency objective."""
     run_s = state.estimates.expected_run_s(request)
     return now >= request.objective_at - MIN_RETRY_TIME_RATIO * run_s
 
 
 def elsewhere_rejection_probability(state: State, now: float) -> float:
-    """Return the probability that another server rejects a retry: how full the fleet seems.
+    """Return the probability that another server would reject a retry, estimated from this one.
 
-    It is what this server would block at its best speed, as others may not be slowed down; 0 at warm-up.
+    It is the probability with which this server would block requests at its best speed, since others may
+    not be slowed down. During warm-up, and while nothing is blocked here, it is 0.
     """
     estimates = state.estimates
     if not state.blocking.probability or state.settings.is_warming_up(state.age_s(now)):
@@ -48,9 +55,10 @@
 
 
 def retry_after_s(state: State) -> float:
-    """Return a caller's usual interval between requests, in seconds; 0: it may retry at once.
+    """Return a caller's usual interval between requests, in seconds, or 0 if it may retry at once.
 
-    Where no load report is published, it is so much longer that a caller sends what is not blocked.
+    If no load report is published, the interval is extended so that callers send only as much as is not
+    blocked.
     """
     settings = state.settings
     blocked_ratio = state.blocking.probability
--- a/snowthread/admission/run_results.py
+++ b/snowthread/admission/run_results.py
@@ -1,4 +1,4 @@
-"""The ends of runs and of their calls: what is learned from them, and what follows for the request."""
+"""Ends of runs and of their calls: what is learned from them, and what happens to the request."""
 
 from snowthread.admission.actions import Action, SkipCall
 from snowthread.admission.downstream_calls import CallDecision
@@ -12,7 +12,10 @@
 
 
 def run_finished(state: State, now: float, request: RequestRecord, event: RunFinished) -> list[Action]:
-    """Remove the request of a run that is over; queue it again, or reject it, if it was stopped."""
+    """Process the end of a run and remove its request.
+
+    A run that was stopped is queued again, or its request is rejected or failed if it may not run again.
+    """
     never_ran = event.outcome is Outcome.NOT_STARTED
     if never_ran or request.state is RequestState.AWAITING_ORIGINAL:
         return remove(state, now, request, forget_key=never_ran)
@@ -33,13 +36,13 @@
 
 
 def call_needed(state: State, now: float, request: RequestRecord, _: CallNeeded) -> list[Action]:
-    """Take a run off the cores until its call is made or skipped."""
+    """Take a run off the cores until its call has ended or is skipped."""
     state.calls.add(now, request)
     return []
 
 
 def call_finished(state: State, now: float, request: RequestRecord, event: CallFinished) -> list[Action]:
-    """Let the run go on, with its call's result or without it; retry its call, or fail the request."""
+    """Continue the run with or without the result of its call, retry the call, or fail the request."""
     if request.state is not RequestState.CALLING:
         return []
     decision = state.calls.finish(now, request, event.outcome)
--- a/snowthread/admission/settlement.py
+++ b/snowthread/admission/settlement.py
@@ -1,4 +1,4 @@
-"""Settlement: final answers that are no results, and the removal of requests that are over."""
+"""Settlement: final answers other than results, and the removal of requests that are over."""
 
 from snowthread.admission.actions import Action, Fail, StopRun
 from snowthread.admission.events import RequestCancelled
@@ -12,24 +12,24 @@
 
 
 def reject_or_fail(state: State, now: float, request: RequestRecord, reason: RejectReason) -> list[Action]:
-    """Reject a request; one that may have run, and is not idempotent, is failed."""
+    """Reject a request, or fail it if it may have run and is not idempotent."""
     if request.may_have_run and not request.is_idempotent:
         return fail(state, now, request, reason)
     return [rejection(state, now, request, reason), *settle(state, now, request)]
 
 
 def fail(state: State, now: float, request: RequestRecord, reason: RejectReason | None) -> list[Action]:
-    """Fail a request: the answer that leaves open whether it ran."""
+    """Fail a request: the answer leaves open whether it ran."""
     return [Fail(request.id, reason), *settle(state, now, request)]
 
 
 def request_cancelled(state: State, now: float, request: RequestRecord, _: RequestCancelled) -> list[Action]:
-    """Settle a request whose caller has gone."""
+    """Settle a request whose caller has cancelled it or disconnected."""
     return settle(state, now, request)
 
 
 def settle(state: State, now: float, request: RequestRecord) -> list[Action]:
-    """Remove a request that is owed no answer any more; stop it where it runs and can be stopped."""
+    """Mark that no answer is owed any more: remove the request, or stop its run if possible."""
     request.is_settled = True
     if request.state in WAITING_STATES:
         return remove(state, now, request, forget_key=not request.may_have_run)
@@ -39,7 +39,7 @@
 
 
 def remove(state: State, now: float, request: RequestRecord, forget_key: bool = False) -> list[Action]:
-    """Remove a request that is over; forget its key where it never ran."""
+    """Remove a request that is over, and forget its key if it never ran."""
     actions = state.open_requests.memory.forget_key(request) if forget_key else []
     state.calls.remove(now, request)
     state.open_requests.remove(request)
--- a/snowthread/admission/start_rule.py
+++ b/snowthread/admission/start_rule.py
@@ -1,4 +1,4 @@
-"""The start rule: which queued requests may start, in which order, and how many."""
+"""The start rule: which queued requests start, in which order, and how many of them."""
 
 import math
 
@@ -7,14 +7,16 @@
 from snowthread.admission.request import RequestRecord, RequestState
 from snowthread.admission.state import State
 
+# Seconds between two computations of all priorities, which cost more than most events.
 PRIORITY_REFRESH_INTERVAL_S = (
     0.02  # between two computations of all priorities, which cost more than most events
 )
-MIN_PRIORITY_TIME_S = 0.05  # added to the time left: bounds the priority of what is due now
+# Added to the time left, so that the priority of a request that is due now stays finite.
+MIN_PRIORITY_TIME_S = 0.05
 
 
 def start_queued(state: State, now: float) -> list[Action]:
-    """Start queued requests, the highest priority first, as long as one more is allowed."""
+    """Start queued requests, the highest priority first, as long as the limits allow one more."""
     queued = state.open_requests.queued
     cores = state.open_requests.cores
     actions: list[Action] = []
@@ -31,9 +33,10 @@
 
 
 def _next_request(state: State, now: float) -> RequestRecord | None:
-    """Return the request that starts next, or None where the ceiling or memory allows no other run."""
+    """Return the request that starts next, or None if the ceiling or the memory allows no other run."""
     open_requests = state.open_requests
-    # Whatever may come to be on the cores at once: runs at calls return to them without a decision here.
+    # All runs that may be on the cores at the same time. Runs that wait for calls return to the cores
+    # without another decision here.
     possible_runs = (
         open_requests.cores.running + open_requests.cores.excess_runs + len(open_requests.call_table)
     )
@@ -49,17 +52,20 @@
 
 
 def may_start(state: State, now: float, request: RequestRecord) -> bool:
-    """Return whether a request may start or resume: not once it is answered, not twice with effects."""
+    """Return whether a request may start or resume.
+
+    It may not once it is answered or the shutdown forbids it, nor may a request with effects run twice.
+    """
     if request.is_settled or state.shutdown.forbids_start(now, request):
         return False
     return not request.may_have_run or request.state is not RequestState.QUEUED or request.is_idempotent
 
 
 def priority(state: State, now: float, request: RequestRecord) -> float:
-    """Return the weight, times the chance to end in time if started now, over the time left.
+    """Return the priority: weight, times the chance to end in time if started now, over the time left.
 
-    So the most urgent goes first, unless it would probably be late: the chance is 1 - exp(-time left / run
-    time). The time left is that up to the latency objective, and after it that up to the deadline.
+    So the most urgent request goes first, unless it would probably be late. The chance is 1 - exp(-time
+    left / run time). The time left counts to the latency objective, and after that to the deadline.
     """
     is_late = now >= request.objective_at
     weight = request.weight * (request.request_class.late_weight_factor if is_late else 1.0)
@@ -70,7 +76,7 @@
 
 
 def refresh_priorities(state: State, now: float) -> None:
-    """Compute all priorities anew, unless that was done a moment ago."""
+    """Compute the priorities of all queued requests again, unless that was done a moment ago."""
     if now >= state.priorities_refreshed_at + PRIORITY_REFRESH_INTERVAL_S:
         state.priorities_refreshed_at = now
         for request in state.open_requests.queued.values():
