--- a/snowthread/admission/__init__.py
+++ b/snowthread/admission/__init__.py
@@ -1,20 +1,22 @@
-"""Admission control for one node: which requests run, wait or are rejected, and what callers are notified of.
+"""Admission control for one node: which requests run, wait or are rejected, and what callers are told.
 
 A host sends events (``events``) to a :class:`Controller` and carries out the actions (``actions``) that it
-returns; neither sees a socket or a clock. The modules under ``policy`` in ``deploy/balancer.toml`` decide;
-``docs/decisions.md`` lists each rule with its inputs and constants:
+returns; the controller has no access to sockets or clocks. The modules listed under ``policy`` in
+``deploy/balancer.toml`` make the decisions, and ``docs/decisions.md`` lists each rule with its inputs and
+constants:
 
-- ``controller`` hands each event to its rule, ``arrivals`` takes a newcomer through the rules for it;
-- ``admission_rule`` says why a newcomer is rejected, with ``blocking``, ``memory_limit`` and ``quotas``;
-- ``start_rule`` starts what is queued, within ``concurrency``; ``deadline_rule`` gives up what is late;
-- ``settlement`` rejects, fails and removes, ``retry_rule`` writes rejections, ``idempotency`` remembers keys;
-- ``run_results``, ``downstream_calls`` and ``lost_runs`` say what follows from the ends of runs and calls;
+- ``controller`` dispatches each event to its rule; ``arrivals`` applies the rules for an arriving request;
+- ``admission_rule`` decides whether it is rejected, with ``blocking``, ``memory_limit`` and ``quotas``;
+- ``start_rule`` starts queued requests within ``concurrency``; ``deadline_rule`` gives up late requests;
+- ``settlement`` rejects, fails and removes requests, ``retry_rule`` builds rejections, and ``idempotency``
+  remembers keys;
+- ``run_results``, ``downstream_calls`` and ``lost_runs`` process the ends of runs and of calls;
 - ``periodic_update`` updates ``estimators``, ``load_report``, ``idle_connections`` and ``health``;
-- ``graceful_shutdown`` answers all before the stop, by ``shutdown_times``.
+- ``graceful_shutdown`` answers all requests before the stop, at the times set by ``shutdown_times``.
 
-Beside them are the state (``controller_context``, ``state``) and types (``settings``, ``events``,
-``actions``, ``reasons``, ``request``, ``run_load``); accounting and arithmetic that decide nothing
-(``open_requests``, ``call_table``, ``tenant_table``, ``class_times``, ``cores``, ``memory``,
+The other modules make no admission decisions. They hold the state (``controller_context``, ``state``) and
+types (``settings``, ``events``, ``actions``, ``reasons``, ``request``, ``run_load``); accounting and
+arithmetic (``open_requests``, ``call_table``, ``tenant_table``, ``class_times``, ``cores``, ``memory``,
 ``timer_queue``, ``statistics``, ``berger``); the recovery of a cold node (``recovery_pacer``, ``slow_start``,
 ``call_budget``, ``backoff``, ``learned_state``); and translation (``settings_parser``,
 ``simulator_adapter``).
--- a/snowthread/admission/call_table.py
+++ b/snowthread/admission/call_table.py
@@ -8,7 +8,7 @@
 
 
 class CallTable:
-    """Runs whose call is pending or in flight."""
+    """The runs whose call is pending or in flight."""
 
     def __init__(self, cores: Cores) -> None:
         self.pending: dict[int, RequestRecord] = {}
@@ -20,7 +20,7 @@
         return len(self.pending) + len(self.in_flight)
 
     def add(self, now: float, request: RequestRecord) -> None:
-        """Take a run off the cores until its call is made or skipped."""
+        """Take a run off the cores until its call has ended or is skipped."""
         self._cores.leave(request)
         request.call_attempts = 0
         request.retry_at = now
@@ -31,7 +31,7 @@
         self.pending[request.id] = request
 
     def start(self, now: float, request: RequestRecord) -> None:
-        """Put a pending call in flight."""
+        """Record that a pending call is in flight."""
         request.state = RequestState.CALLING
         request.called_at = now
         request.call_attempts += 1
@@ -39,12 +39,15 @@
         self.in_flight[request.id] = request
 
     def resume(self, request: RequestRecord) -> None:
-        """Let a run go on: its call has succeeded, or is skipped."""
+        """Put a run back on the cores, because its call has succeeded or is skipped."""
         self.pending.pop(request.id, None)
         self._cores.enter(request)
 
     def end(self, request: RequestRecord, used_s: float) -> None:
-        """Take a call out of flight, settle its reservation and make its run pending again."""
+        """End a call in flight: settle its reservation and make its run pending again.
+
+        ``used_s`` is the number of call-seconds that the call used.
+        """
         del self.in_flight[request.id]
         self.budget.settle(request.reserved_call_s, used_s)
         request.reserved_call_s = 0.0
--- a/snowthread/admission/class_times.py
+++ b/snowthread/admission/class_times.py
@@ -1,7 +1,6 @@
-"""Run and call times of each request class, and the arithmetic on them.
+"""The run and call times of each request class, and the arithmetic on them.
 
-A table only: how times are learned is in :mod:`snowthread.admission.estimators`. A time of 0 is not
-known.
+A table only: :mod:`snowthread.admission.estimators` learns the times. A time of 0 is unknown.
 """
 
 from __future__ import annotations
@@ -14,23 +13,23 @@
 
 
 class ClassTimeTable:
-    """Times in seconds, in lists by the index of the class in the settings."""
+    """Times in seconds, in lists indexed by the position of the class in the settings."""
 
     def __init__(self, hint_fit: PowerLawFit) -> None:
-        self.core_time_s: list[float] = []  # s on a core, per unit of work
-        self.run_time_s: list[float] = []  # s from start to end, calls included, per unit of work
-        self.base_core_time_s: list[float] = []  # s on a core of one run, in good times
-        self.last_run_at_s: list[float] = []  # when a run succeeded last (0: never)
-        self.call_time_s: list[float] = []  # s
-        self.base_call_time_s: list[float] = []  # s, in good times
-        self.last_call_at_s: list[float] = []  # when a call ended last
-        self.hint_fit = hint_fit  # core time by work hint
+        self.core_time_s: list[float] = []  # recent time on a core per unit of work
+        self.run_time_s: list[float] = []  # recent time from start to end per unit of work, calls included
+        self.base_core_time_s: list[float] = []  # baseline time of one run on a core
+        self.last_run_at_s: list[float] = []  # when a run last succeeded or a probe started (0: never)
+        self.call_time_s: list[float] = []  # recent duration of a call
+        self.base_call_time_s: list[float] = []  # baseline duration of a call
+        self.last_call_at_s: list[float] = []  # when a call last ended (0: never)
+        self.hint_fit = hint_fit  # fit of core times to work hints
         self.cores = 0
         self.mean_objective_s = 0.0
         self.caller_count = 0
 
     def apply_settings(self, settings: Settings, new_classes: Iterable[int]) -> None:
-        """Use these settings from now on; nothing is known of the classes at the indices of new ones."""
+        """Use new settings; nothing is known of the classes at the indices in ``new_classes``."""
         self.cores = settings.cores
         self.caller_count = settings.caller_count
         objectives_s = [request_class.latency_objective_s for request_class in settings.classes]
@@ -43,10 +42,14 @@
             self.hint_fit.reset_class(index)
 
     def saturated_rate(self, times_s: list[float]) -> float:
-        """Return how many of what takes these times (s) full cores complete a second (0: not known)."""
+        """Return how many items per second full cores complete (0: unknown).
+
+        ``times_s`` holds the core seconds of one item by class, where an item is a run or a unit of
+        work; classes with an unknown time are left out.
+        """
         known = [time_s for time_s in times_s if time_s > 0.0]
         return self.cores * len(known) / sum(known) if known else 0.0
 
     def expected_run_s(self, request: RequestRecord) -> float:
-        """Return the seconds that a request's run takes from start to end, by recent runs (0: unknown)."""
+        """Return the expected seconds from start to end of the request's run (0: unknown)."""
         return self.run_time_s[request.class_index] * request.work
--- a/snowthread/admission/controller_context.py
+++ b/snowthread/admission/controller_context.py
@@ -1,4 +1,4 @@
-"""What every rule of a controller shares: settings, open requests, estimates, deadlines, draws."""
+"""The context of a controller: settings, open requests, estimates, deadlines and random draws."""
 
 import random
 
@@ -9,7 +9,11 @@
 
 
 class ControllerContext:
-    """What the parts of a controller's ``State`` take, so that they need not import it. Times are seconds."""
+    """The part of a controller's state that every rule uses.
+
+    The members of ``State`` take it as their argument, so that they need not import ``State``. Points in
+    time are seconds of the controller's clock.
+    """
 
     def __init__(self, settings: Settings, seed: int, deadlines: TimerQueue) -> None:
         self.started_at = 0.0
@@ -20,7 +24,7 @@
         self.use_settings(settings)
 
     def use_settings(self, settings: Settings) -> None:
-        """Use these settings for decisions from now on; what is open and learned is left as it is."""
+        """Use new settings for decisions from now on; open requests and estimates are not changed."""
         self.settings = settings
         self.class_index = {c.name: index for index, c in enumerate(settings.classes)}
 
--- a/snowthread/admission/cores.py
+++ b/snowthread/admission/cores.py
@@ -1,4 +1,4 @@
-"""Accounting of the cores: which runs are on them, and how much core time each has had. Arithmetic only."""
+"""Accounting of the cores: which runs are on them, and the core time of each run. Arithmetic only."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 class Cores:
-    """The runs on the cores, which they share evenly.
+    """The runs on the cores, which share the cores evenly.
 
-    An indeterminate run stays among those ``running``, for it may run. ``occupied`` leaves out those that
-    were not on the cores when these were last measured. The run limit is compared with ``occupied``, for a
-    run that is not there leaves its core to another; the ceiling with ``running``, for one more than the
-    server survives does more harm than an idle core.
+    An indeterminate run stays among those ``running``, since it may still run. ``occupied`` leaves out
+    the runs that were not on the cores at the last measurement. The run limit is compared with
+    ``occupied``, because a run that is not there leaves its core to another. The ceiling is compared with
+    ``running``, because one run more than the server survives does more harm than an idle core.
     """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.running = 0
-        self.indeterminate = 0  # of those running
-        self.excess_runs = 0.0  # measured on the cores, beyond those running
-        self._absent_runs = 0.0  # of those indeterminate: not on the cores, by the last measurement
-        self.saturated_s = 0.0  # time with at least one run for each core, since it was last set to zero
-        self._unfinished_work = 0.0  # units of work, that unfinished runs had done at the last update
-        self._core_clock_s = 0.0  # s of core time that a run has had which was on the cores throughout
+        self.running = 0  # runs that are counted as on the cores
+        self.indeterminate = 0  # counted runs that the host has lost sight of
+        self.excess_runs = 0.0  # runs measured on the cores beyond the counted ones
+        self._absent_runs = 0.0  # indeterminate runs that were not on the cores at the last measurement
+        self.saturated_s = 0.0  # seconds with at least one run per core in the present update period
+        self._unfinished_work = 0.0  # units of work that unfinished runs had done at the last update
+        self._core_clock_s = 0.0  # seconds of core time of a run that has been on the cores since the start
 
     def advance(self, elapsed_s: float) -> None:
-        """Count the time that has passed, in seconds."""
+        """Account for the time that has passed, in seconds."""
         occupied = self.occupied
         self._core_clock_s += elapsed_s * min(1.0, self.settings.cores / max(1.0, occupied))
         if occupied >= self.settings.cores:
@@ -57,7 +57,7 @@
         self.running += 1
 
     def leave(self, request: RequestRecord) -> None:
-        """Take a run off the cores, if it is on them; the caller sets its next state."""
+        """Take a run off the cores if it is on them; the caller sets its next state."""
         if request.state is not RequestState.RUNNING:
             return
         request.core_time_s += self._core_clock_s - request.core_clock_at_entry
@@ -65,22 +65,23 @@
         self.mark_determinate(request)
 
     def mark_indeterminate(self, request: RequestRecord, presumed_lost_at: float) -> None:
-        """Count a run as indeterminate; at ``presumed_lost_at`` it counts as lost."""
+        """Count a run as indeterminate until ``presumed_lost_at``, when it is presumed lost."""
         self.indeterminate += not request.is_indeterminate
         request.presumed_lost_at = presumed_lost_at
 
     def mark_determinate(self, request: RequestRecord) -> None:
-        """Count a run as determinate: something was heard of it."""
+        """Count a run as determinate again, because something was heard of it."""
         self.indeterminate -= request.is_indeterminate
         request.presumed_lost_at = math.inf
 
     def add_progress(
         self, work_done: float, requests: Iterable[RequestRecord], core_time_s: Sequence[float]
     ) -> float:
-        """Return the units of work done by runs that ended, corrected for what unfinished runs did of it.
+        """Return the work done, with the progress of unfinished runs taken into account.
 
-        What they have done since the last call is added; what was counted then of runs that have ended since
-        is taken off. ``core_time_s``: by class, of a unit of work.
+        What unfinished runs have done since the last call is added to ``work_done``, the units of
+        work of the runs that ended. What the last call counted of runs that have ended since is
+        subtracted. ``core_time_s`` holds the core seconds per unit of work of each class.
         """
         unfinished = sum(
             min(
--- a/snowthread/admission/deadline_rule.py
+++ b/snowthread/admission/deadline_rule.py
@@ -7,7 +7,7 @@
 from snowthread.admission.settlement import reject_or_fail
 from snowthread.admission.state import State
 
-# A request is answered this long before its deadline, so that the answer arrives in time.
+# Seconds before its deadline at which a request is answered, so that the answer arrives in time.
 ANSWER_MARGIN_S = 0.03
 MIN_CHECK_INTERVAL_S = 0.02  # seconds between two deadline checks of one queued request, at least
 # Ratio of median to mean of the skewed run times; a run that starts at the latest time it allows has an even
--- a/snowthread/admission/idempotency.py
+++ b/snowthread/admission/idempotency.py
@@ -8,8 +8,8 @@
 from snowthread.admission.settlement import reject_or_fail
 from snowthread.admission.state import State
 
-KEY_LIFETIME_MARGIN_S = 0.1  # added to the idempotency window, since the clocks of callers differ
-MIN_KEY_LIFETIME_S = 0.01  # shortest time for which a key is remembered
+KEY_LIFETIME_MARGIN_S = 0.1  # seconds added to the idempotency window, since the clocks of callers differ
+MIN_KEY_LIFETIME_S = 0.01  # shortest time in seconds for which a key is remembered
 
 
 def shares_result(state: State, request: RequestRecord) -> bool:
--- a/snowthread/admission/idle_connections.py
+++ b/snowthread/admission/idle_connections.py
@@ -5,11 +5,11 @@
 from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.statistics import PeakPlateau
 
-# Requests that one caller is expected to send within the longest idle timeout; with fewer, connections close
-# early.
+# Connections close early if one caller is expected to send fewer requests than this within the longest idle
+# timeout.
 CLOSE_EARLY_REQUESTS = 0.7
-# Expected requests of one caller within the longest idle timeout, from which connections no longer close
-# early.
+# Connections stay open again if one caller is expected to send at least as many requests as this within the
+# longest idle timeout.
 KEEP_OPEN_REQUESTS = 3.0
 # Part of the highest number of connections so far, from which the connection table counts as full.
 PEAK_RATIO = 0.98
--- a/snowthread/admission/load_report.py
+++ b/snowthread/admission/load_report.py
@@ -8,8 +8,9 @@
 from snowthread.admission.settings import LoadReportKind
 from snowthread.admission.statistics import smooth_towards
 
-SHARE_RISE_TIME_CONSTANT_S = 0.7  # time constant with which the published share rises
-# The published share falls more slowly than it rises: callers that were sent elsewhere return at once.
+SHARE_RISE_TIME_CONSTANT_S = 0.7  # time constant in seconds with which the published share rises
+# Time constant in seconds with which the published share falls. It is longer than that of the rise, because
+# callers that were sent elsewhere return at once.
 SHARE_FALL_TIME_CONSTANT_S = 1.5
 # Highest share that is published. A few requests must still arrive, or the load could not be learned.
 MAX_SHARE_RATIO = 0.95
--- a/snowthread/admission/request.py
+++ b/snowthread/admission/request.py
@@ -15,48 +15,50 @@
 
 
 class RequestState(Enum):
-    """Where a request stands."""
+    """The state of an open request."""
 
-    QUEUED = 0
-    RUNNING = 1  # on the cores
-    CALL_PENDING = 2  # its run waits for a call that is not being made
-    CALLING = 3  # its run waits for a call in flight
-    PAUSED = 4  # stopped with its progress, and queued to go on
-    AWAITING_ORIGINAL = 5  # a retry that takes the result of the attempt it repeats
+    QUEUED = 0  # the request waits for its run to start
+    RUNNING = 1  # the run is on the cores
+    CALL_PENDING = 2  # the run waits for a call that has not been started
+    CALLING = 3  # the run waits for a call in flight
+    PAUSED = 4  # the run was stopped with its progress and is queued to resume
+    AWAITING_ORIGINAL = 5  # a retry that gets the result of its original attempt
 
 
 @dataclass(slots=True, eq=False)
 class RequestRecord:
-    """All that is known of one request that is not over."""
+    """What the controller knows about one open request."""
 
     id: int
-    class_index: int  # of its class in the settings
+    class_index: int  # index of its class in the settings
     request_class: RequestClass
-    arrived_at: float
-    deadline_at: float  # when an answer is owed at the latest
-    objective_at: float  # after it an answer is late
-    expires_at: float  # after it an answer has no weight
-    memory_kb: float
-    work: float
-    weight: float = 0.0  # for each unit of its work, or for the request where the site weighs by work
-    work_hint_s: float | None = None
+    arrived_at: float  # when it reached the machine, before it was read
+    deadline_at: float  # latest time for an answer
+    objective_at: float  # end of its latency objective; a later answer is late
+    expires_at: float  # time from which an answer has no weight
+    memory_kb: float  # memory of the request while it is queued
+    work: float  # units of work
+    weight: float = 0.0  # weight of its answer, per unit of work
+    work_hint_s: float | None = None  # the caller's estimate of the core time in seconds, if it sent one
     tenant: str = ""
     state: RequestState = RequestState.QUEUED
-    may_have_run: bool = False  # it has started, or the attempt whose result it awaits has
+    may_have_run: bool = False  # its run has started, or the run of the attempt whose result it awaits
     is_settled: bool = False  # answered, or cancelled by its caller: no answer is owed any more
-    original_id: int | None = None  # of the attempt that it repeats
-    core_clock_at_entry: float = 0.0  # the core clock when it last got a core
-    core_time_s: float = 0.0  # used up to then
-    started_at: float = 0.0
-    call_attempts: int = 0  # of the call that its run waits for
-    retry_at: float = 0.0  # not before: its next call
-    presumed_lost_at: float = math.inf  # of a run that is indeterminate: when it has had more than its time
-    called_at: float = 0.0
+    original_id: int | None = None  # id of the attempt that it repeats, if it is a retry
+    # Reading of the core clock, in seconds, when the run last entered the cores.
+    core_clock_at_entry: float = 0.0
+    core_time_s: float = 0.0  # seconds of core time used before the run last entered the cores
+    started_at: float = 0.0  # when its run started
+    call_attempts: int = 0  # attempts so far of the call that its run waits for
+    retry_at: float = 0.0  # earliest time of the next attempt of its call
+    # When an indeterminate run is presumed lost; infinite for any other run.
+    presumed_lost_at: float = math.inf
+    called_at: float = 0.0  # when its call in flight was started
     reserved_call_s: float = 0.0  # call-seconds reserved for its call in flight
-    priority: float = 0.0  # in the wait queue: the highest goes first
+    priority: float = 0.0  # priority in the queue; the highest starts first
 
     @classmethod
-    def of_arrival(  # noqa: PLR0913  # one argument for each value that is computed for a newcomer
+    def of_arrival(  # noqa: PLR0913  # one argument for each value that is computed on arrival
         cls,
         event: RequestArrived,
         class_index: int,
@@ -84,15 +86,15 @@
 
     @property
     def is_indeterminate(self) -> bool:
-        """True where the host lost sight of the run, and nothing was heard of it since."""
+        """True if the host lost sight of the run and has heard nothing of it since."""
         return self.presumed_lost_at < math.inf
 
     @property
     def can_skip_call(self) -> bool:
-        """True where an answer without the downstream call has some weight."""
+        """True if an answer without the result of the downstream call has some weight."""
         return self.request_class.skipped_call_weight > 0.0
 
     @property
     def is_idempotent(self) -> bool:
-        """True where running it twice does no harm."""
+        """True if the request may safely run twice."""
         return self.request_class.idempotency is Idempotency.IDEMPOTENT
--- a/snowthread/admission/start_rule.py
+++ b/snowthread/admission/start_rule.py
@@ -11,7 +11,7 @@
 PRIORITY_REFRESH_INTERVAL_S = (
     0.02  # between two computations of all priorities, which cost more than most events
 )
-# Added to the time left, so that the priority of a request that is due now stays finite.
+# Seconds added to the time left, so that the priority of a request that is due now stays finite.
 MIN_PRIORITY_TIME_S = 0.05
 
 
--- a/snowthread/admission/state.py
+++ b/snowthread/admission/state.py
@@ -1,4 +1,4 @@
-"""The state of a controller: its context, and the parts that remember what they decided."""
+"""The state of a controller: its context, and the rules that remember earlier decisions."""
 
 import math
 
@@ -16,9 +16,9 @@
 
 
 class State(ControllerContext):
-    """What the rules, which are functions, read and change; not the ``State`` of ``snowthread.core``.
+    """The state that the rules, which are functions, read and change.
 
-    Times are seconds of the controller's clock.
+    It is not the ``State`` of ``snowthread.core``. Points in time are seconds of the controller's clock.
     """
 
     def __init__(self, settings: Settings, seed: int, deadlines: TimerQueue) -> None:
@@ -31,6 +31,6 @@
         self.idle_timeout = IdleTimeout(self)
         self.outlier_detector = OutlierDetector(self.estimates)
         self.shutdown = ShutdownTimes(self)
-        self.run_count_uncertain_until = -math.inf
-        self.period_started_at = 0.0  # end of the last period
-        self.priorities_refreshed_at = 0.0  # when the priorities of queued requests were computed last
+        self.run_count_uncertain_until = -math.inf  # end of the time in which measured excess runs count
+        self.period_started_at = 0.0  # start of the present update period
+        self.priorities_refreshed_at = 0.0  # when the priorities of the queued requests were last computed
