--- a/snowthread/admission/actions.py
+++ b/snowthread/admission/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a controller asks its host to do. Types only; times are seconds of the controller's clock."""
+"""Actions: what a controller asks its host to do. Types only; times are in seconds."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRun:
-    """Start the run of a queued request, or resume a paused one."""
+    """Start the run of a queued request, or resume a paused run."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class RememberKey:
-    """Remember the idempotency key of a request for so long from now."""
+    """Remember the idempotency key of a request for ``lifetime_s`` from now on."""
 
     request_id: int
     lifetime_s: float
@@ -32,15 +32,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer that a request was rejected: it never ran, or is idempotent.
+    """Answer that a request was rejected: it never ran, or running it again does no harm.
 
-    ``retry_after_s`` is 0 where the caller may retry at once; ``do_not_retry`` asks not to retry elsewhere.
+    ``retry_after_s`` is 0 if the caller may retry at once. ``do_not_retry`` asks the caller not to retry
+    elsewhere either.
     """
 
     request_id: int
     retry_after_s: float = 0.0
     do_not_retry: bool = False
-    reason: RejectReason | None = field(default=None, compare=False)  # for the log
+    reason: RejectReason | None = field(default=None, compare=False)  # rule that rejected it, for the log
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,12 +49,13 @@
     """Answer that a request failed: it may have run."""
 
     request_id: int
-    reason: RejectReason | None = field(default=None, compare=False)  # for the log, of what was no rejection
+    # For the log: the rule that gave the request up. None if the run or its call failed.
+    reason: RejectReason | None = field(default=None, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class StartCall:
-    """Make the downstream call that a run waits for."""
+    """Start the downstream call that a run waits for, and give it up after ``timeout_s``."""
 
     request_id: int
     timeout_s: float
@@ -61,21 +63,24 @@
 
 @dataclass(frozen=True, slots=True)
 class SkipCall:
-    """Let a run go on without its downstream call."""
+    """Continue a run without the result of its downstream call."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class StopRun:
-    """Stop a run, as far as the host can."""
+    """Stop a run, if the host can."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ForgetLostRun:
-    """Forget a run that is presumed lost: it is answered, and silent for longer than it can take."""
+    """Forget a run that is presumed lost.
+
+    Its request is answered, and nothing was heard of the run for longer than it can take.
+    """
 
     request_id: int
 
@@ -96,14 +101,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetIdleTimeout:
-    """Close connections that have been idle for so long (0: the host's default)."""
+    """Close connections that have been idle for ``timeout_s`` (0: the host's default)."""
 
     timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send a ``TimerFired`` with this label so long from now."""
+    """Send a ``TimerFired`` with this label ``delay_s`` from now."""
 
     delay_s: float
     label: int
@@ -111,20 +116,23 @@
 
 @dataclass(frozen=True, slots=True)
 class SetHealth:
-    """Answer health checks so from now on; ``shallow``: from this setting alone, without any work."""
+    """Answer health checks with ``healthy`` from now on.
+
+    ``shallow`` asks to answer them from this value alone, without any further checks.
+    """
 
     healthy: bool
     shallow: bool = True
 
 
 class OperatorMessage(Enum):
-    """What is logged for the operators; the value is the line of the node's log."""
+    """A message for the operators; the value is the line in the node's log."""
 
     GRACEFUL_SHUTDOWN_BEGUN = (
-        "shutting down gracefully: what is open is answered, what arrives after the grace period is rejected"
+        "shutting down gracefully: open requests are answered, requests after the grace period are rejected"
     )
-    EJECTED_AS_OUTLIER = "ejected as an outlier: far slower than before, out of the registry"
-    OUTLIER_EJECTION_ENDED = "outlier ejection ended: back in the registry"
+    EJECTED_AS_OUTLIER = "ejected as an outlier: far slower than at its best; leaving the registry"
+    OUTLIER_EJECTION_ENDED = "outlier ejection ended: returning to the registry"
 
 
 @dataclass(frozen=True, slots=True)
--- a/snowthread/admission/events.py
+++ b/snowthread/admission/events.py
@@ -1,7 +1,7 @@
-"""Events: what the host notifies a controller of: requests, runs and calls, timers, notices and settings.
+"""Events: what the host tells a controller about requests, runs, calls, timers, shutdown and settings.
 
-Types only. Times are seconds, memory is kilobytes; request ids are integers that the host chooses and never
-uses twice.
+Types only. Times are seconds, memory is kilobytes. Request ids are integers that the host chooses and never
+reuses.
 """
 
 from __future__ import annotations
@@ -13,17 +13,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The node has started; sent once, before anything else."""
+    """The node has started. Sent once, before any other event."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request was read; it is queued until the controller answers.
+    """A request was read. The controller queues it until it is started or answered.
 
-    ``time_left_s`` is the caller's deadline and ``work_hint_s`` its estimate of the core time, where it sends
-    them; ``unread_s`` is how long the request lay unread; ``original_id`` is the attempt that it repeats.
-    ``partition_key``, ``rank`` and ``caller_id``: not used by a rule; part of the host's interface.
-    ``is_retry`` is set by the simulator only.
+    ``time_left_s`` is the time until the caller's deadline and ``work_hint_s`` the caller's estimate of
+    the core time, if the caller sends them. ``unread_s`` is how long the request waited unread, and
+    ``original_id`` is the attempt that it repeats, if it is a retry. No rule uses ``partition_key``,
+    ``rank`` and ``caller_id``, which are part of the host's interface. Only the simulator sets
+    ``is_retry``.
     """
 
     request_id: int
@@ -42,26 +43,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEvent:
-    """What happens to a request that has arrived."""
+    """The base class of events about a request that has arrived."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled(RequestEvent):
-    """The caller has cancelled it, or is gone: no answer is owed any more."""
+    """The caller has cancelled the request or disconnected: no answer is owed any more."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallNeeded(RequestEvent):
-    """A run needs a call to its dependency."""
+    """A run needs the result of a call to its dependency."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallFinished(RequestEvent):
     """A downstream call has ended.
 
-    ``duration_s``: not used by a rule; part of the host's interface.
+    No rule uses ``duration_s``, which is part of the host's interface.
     """
 
     outcome: Outcome
@@ -72,7 +73,7 @@
 class RunFinished(RequestEvent):
     """A run has ended, or a retry that awaited its original was answered.
 
-    ``duration_s``: not used by a rule; part of the host's interface.
+    No rule uses ``duration_s``, which is part of the host's interface.
     """
 
     outcome: Outcome
@@ -81,9 +82,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer fired; with it come the load figures that the host has (None: not measured).
+    """A timer has fired; the event carries the host's load measurements (None: not measured).
 
-    ``memory_utilization``: not used by a rule; part of the host's interface.
+    ``core_utilization`` is the utilization of the cores, 0 to 1, ``core_demand`` the number of runs that
+    want a core, and ``connections`` the number of open connections. No rule uses ``memory_utilization``,
+    which is part of the host's interface.
     """
 
     label: int
@@ -95,19 +98,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RunIndeterminate(RequestEvent):
-    """The host lost sight of a run: its start, or the reply to its call, may not have been delivered."""
+    """The host lost sight of a run: its start, or the result of its call, may not have been delivered.
+
+    ``at_call`` says whether it is the result of a call.
+    """
 
     at_call: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class RunCountUncertain:
-    """The host lost its link to the machine: for a while more may run there than is counted."""
+    """The host lost its link to the machine: for a while more runs may be active there than are counted."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownNotice:
-    """The node will be stopped in ``time_left_s``; the notice itself came ``received_ago_s`` ago."""
+    """The process will be stopped in ``time_left_s``; the notice arrived ``received_ago_s`` ago."""
 
     time_left_s: float
     received_ago_s: float = 0.0
@@ -115,10 +121,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantsChanged:
-    """Other tenants than before.
+    """Tenants have changed.
 
-    ``changed`` were added or changed, ``removed`` are names; ``over_quota_weight`` is the weight of requests
-    beyond their tenant's quota (None: as before).
+    ``changed`` holds tenants that were added or changed, ``removed`` the names of removed ones.
+    ``over_quota_weight`` is the factor on the weight of requests beyond their tenant's quota (None:
+    unchanged).
     """
 
     changed: tuple[Tenant, ...] = ()
@@ -128,9 +135,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings, tenants apart.
+    """The settings, apart from the tenants, have changed.
 
-    A class has its place among them as long as a request of it may be open; only then may another take it.
+    A class keeps its position in the list as long as a request of it may be open; only then may another
+    class take the position.
     """
 
     settings: Settings
--- a/snowthread/admission/learned_state.py
+++ b/snowthread/admission/learned_state.py
@@ -1,14 +1,15 @@
-"""What a controller learned, read and set from outside: for a snapshot, for a start, and as it ages.
+"""What a controller has learned: exported for a snapshot, restored at a start, and aged.
 
-Pure. Times are seconds; 0 is a time that is not known, as everywhere in the controller.
+Performs no I/O and reads no clock. Times are seconds; 0 is an unknown time, as everywhere in the controller.
+b is the blocking probability.
 
 | learned              | restored at a start                      | once too old                        |
 | -------------------- | ---------------------------------------- | ----------------------------------- |
-| run times            | as in good times, at the machine's speed | as restored, else not known         |
-| call times           | as in good times                         | (the controller compares with them) |
+| run times            | baseline, scaled to the machine's speed  | as restored, or else unknown        |
+| call times           | baseline                                 | kept: calls are compared with them  |
 | arrival rate         | until this process has measured one      | -                                   |
-| service rate         | no: it is the warm machine's             | what runs take now allows, if more  |
-| best speed, b, limit | no: stale on a cold machine              | made anew every quarter of a second |
+| service rate         | no: it is that of the warm machine       | as by current run times, if higher  |
+| best speed, b, limit | no: stale on a cold machine              | updated every quarter of a second   |
 """
 
 from __future__ import annotations
@@ -19,12 +20,14 @@
 from snowthread.admission.controller import Controller
 from snowthread.admission.settings import RequestClass
 
-AGING_RATIO = 0.25  # of its difference to the restored time, that a run time loses an update at its bound
+# Part of its difference from the restored time that a run time loses per update when it is about to reach its
+# maximum age.
+AGING_RATIO = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class LearnedClassTimes:
-    """The times of a class in good times: of a run on a core, of a run with its calls, of a call."""
+    """The baseline times of a class: of a run on a core, of a run with its calls, and of a call."""
 
     core_time_s: float = 0.0
     run_time_s: float = 0.0
@@ -33,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """What a node learned, by class, and the requests that it read a second."""
+    """What a node learned, by class name, and the requests per second that it read."""
 
     times: dict[str, LearnedClassTimes]
     request_rate: float = 0.0
 
 
 def export_learned_state(controller: Controller) -> LearnedState:
-    """Return what a later process can use of what a controller learned."""
+    """Return the part of what a controller learned that a later process can use."""
     estimates = controller.estimates
     times: dict[str, LearnedClassTimes] = {}
     for index, request_class in enumerate(controller.settings.classes):
@@ -54,9 +57,10 @@
 
 
 def restore_learned_state(controller: Controller, restored: LearnedState, speed: float) -> None:
-    """Begin with what an earlier process learned, on a machine that works at this share of its speed.
+    """Restore what an earlier process learned, on a machine that works at ``speed``.
 
-    What the controller has measured itself stays.
+    ``speed`` is relative to the speed of the earlier process, at most 1. What the controller has measured
+    itself is kept.
     """
     estimates = controller.estimates
     known_classes = list(_known_classes(controller, restored))
@@ -65,7 +69,8 @@
             estimates.base_core_time_s[index] = times.core_time_s
             estimates.base_call_time_s[index] = times.call_time_s
             estimates.call_time_s[index] = times.call_time_s
-    for index, times in known_classes:  # the work of a class depends on the base times of all
+    # This takes a second loop because the work of a class depends on the baseline times of all classes.
+    for index, times in known_classes:
         if estimates.core_time_s[index] <= 0.0 and times.core_time_s > 0.0:
             work = estimates.work_units(index, None)
             core_time_s = times.core_time_s / speed
@@ -75,7 +80,7 @@
 
 
 def _known_classes(controller: Controller, restored: LearnedState) -> Iterator[tuple[int, LearnedClassTimes]]:
-    """Yield index and times of the classes in the settings of which something is restored."""
+    """Yield index and restored times of each class in the settings for which there are any."""
     for index, request_class in enumerate(controller.settings.classes):
         times = restored.times.get(request_class.name)
         if times is not None:
@@ -83,14 +88,14 @@
 
 
 def warmup_speed(controller: Controller, now_s: float) -> float:
-    """Return the machine's speed at its age by the settings, as a share of its warm speed."""
+    """Return the machine's present speed relative to its warm speed, by its age and the settings."""
     return controller.settings.speed_at_age(controller.state.age_s(now_s))
 
 
 def runs_within_factor(controller: Controller, restored: LearnedState, factor: float) -> bool | None:
-    """Return whether runs of every restored class take at most so many times as long as restored.
+    """Return whether runs of every restored class take at most ``factor`` times their restored time.
 
-    None where there is nothing to compare.
+    The result is None if there is nothing to compare.
     """
     estimates = controller.estimates
     ratios = [
@@ -103,22 +108,25 @@
 
 @dataclass(slots=True)
 class LearnedStateAging:
-    """Lets run times age.
+    """Ages the run times and the service rate of a controller.
 
-    One that no run has confirmed for longer than a request of its class may take says nothing of the next: it
-    moves towards the restored time, update by update, and past its maximum age it is that, or not known.
+    A run time that no run has confirmed for longer than a request of its class may take says nothing
+    about the next run. It moves towards the restored time with each update, and from its maximum age on
+    it is the restored time, or unknown if there is none.
     """
 
     restored: LearnedState
-    fresh_age_objectives: float = 0.5  # latency objectives of a class, for which its times stay as learned
-    max_age_objectives: float = 2.0  # latency objectives of a class, after which its times are given up
-    max_rate_age_s: float = 1.0  # after which a service rate not confirmed may be given up
-    discarded_count: int = 0  # estimates that were given up
-    _service_rate: float = 0.0  # as it was last seen to change
-    _service_rate_at_s: float = 0.0  # when that was
+    # Age up to which the times of a class stay as learned, in latency objectives of the class.
+    fresh_age_objectives: float = 0.5
+    # Age at which the times of a class are discarded, in latency objectives of the class.
+    max_age_objectives: float = 2.0
+    max_rate_age_s: float = 1.0  # age from which a service rate that has not changed may be replaced
+    discarded_count: int = 0  # estimates that were discarded so far
+    _service_rate: float = 0.0  # service rate when it was last seen to change
+    _service_rate_at_s: float = 0.0  # when the service rate was last seen to change
 
     def update(self, controller: Controller, now_s: float) -> None:
-        """Age what is not confirmed; once an update, with ``now_s`` on the controller's clock."""
+        """Age what has not been confirmed, once per update; ``now_s`` is on the controller's clock."""
         self._age_service_rate(controller, now_s)
         for index, request_class in enumerate(controller.settings.classes):
             self._age_class(controller, now_s, index, request_class)
@@ -131,8 +139,9 @@
             return
         if estimates.service_rate <= 0.0 or now_s - self._service_rate_at_s < self.max_rate_age_s:
             return
-        # The rate is learned at full cores only. With one learned while the machine warmed up, so much is
-        # rejected that its cores are never full again. What runs take now allows more.
+        # The service rate is learned only while the cores are full. With a rate learned during warm-up, so
+        # many requests are rejected that the cores are never full again. A rate derived from current run
+        # times that is higher replaces it.
         rate_by_runs = estimates.saturated_rate(estimates.core_time_s)
         if rate_by_runs > estimates.service_rate:
             estimates.service_rate = rate_by_runs
@@ -166,7 +175,7 @@
 
 
 def confirmation_ages_s(controller: Controller, now_s: float) -> dict[str, float]:
-    """Return how long ago, in seconds, the run times of each class in use were last confirmed."""
+    """Return the age in seconds of the last confirmed run time of each class that has one."""
     estimates = controller.estimates
     return {
         request_class.name: now_s - estimates.last_run_at_s[index]
--- a/snowthread/admission/settings_parser.py
+++ b/snowthread/admission/settings_parser.py
@@ -1,6 +1,6 @@
-"""Translation of a controller's settings from JSON: the simulator's first message and a node's configuration.
+"""Parser of a controller's settings: the simulator's first message and a node's configuration.
 
-Unknown keys are skipped; null is the same as absent.
+Unknown keys are ignored, and null is the same as an absent key.
 """
 
 from __future__ import annotations
@@ -35,7 +35,10 @@
 
 
 def parse_settings(document: Fields) -> Settings:
-    """Return the settings; a field without a default that is absent is a ``KeyError``."""
+    """Return the settings in a decoded JSON document.
+
+    A ``KeyError`` names a field without a default that is absent.
+    """
     domain, rules, limits = (_without_nulls(document.get(part)) for part in ("domain", "rules", "limits"))
     return Settings(
         classes=_parse_classes(document.get("classes") or [], domain),
@@ -94,7 +97,9 @@
         name=fields["name"],
         latency_objective_s=fields["goal_time_s"],
         deadline_s=fields["deadline_s"],
-        idempotency=_IDEMPOTENCY.get(effect, Idempotency.NON_IDEMPOTENT),  # unknown: never run twice
+        idempotency=_IDEMPOTENCY.get(
+            effect, Idempotency.NON_IDEMPOTENT
+        ),  # an unknown effect never runs twice
         priority_weight=fields.get("importance", 1.0),
         late_weight_factor=fields.get("late_value", 0.0),
         idempotency_window_s=fields.get("window_s") or 0.0,
--- a/snowthread/admission/simulator_adapter.py
+++ b/snowthread/admission/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""Adapter of the controller to the simulator: one JSON line of events in, one line of actions out.
+"""Adapter between the controller and the simulator: a JSON line of events in, a JSON line of actions out.
 
-Translation only. The names on the wire are the simulator's.
+Translation only. The names in the messages are the simulator's.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 log = logging.getLogger("snowthread.admission.simulator_adapter")
 
-OPERATOR_MESSAGE_TEXTS = {  # the simulator's report pins them
+OPERATOR_MESSAGE_TEXTS = {  # the texts that the simulator's report expects
     actions.OperatorMessage.GRACEFUL_SHUTDOWN_BEGUN: (
         "leaving: answering what is held, taking nothing new after the grace"
     ),
@@ -129,7 +129,7 @@
 
 
 def _forget_lost_run(instance: str, action: actions.ForgetLostRun) -> Fields:
-    # The simulator never loses sight of a run. To fail what is answered already does nothing there.
+    # The simulator never loses sight of a run, and it ignores the failure of a request that is answered.
     return {"lose": {"i": instance, "op_id": action.request_id}}
 
 
@@ -177,13 +177,13 @@
 
 
 class SimulatorAdapter:
-    """The simulated instances of one process, each with a controller of its own."""
+    """The simulated nodes of one process, each with its own controller."""
 
     def __init__(self) -> None:
         self.controllers: dict[str, Controller] = {}
 
     def process_batch(self, line: bytes) -> bytes:
-        """Return the reply to one batch of events; a fault in it becomes the wire's own message for that."""
+        """Return the reply to one line of events; an error becomes the simulator's fault message."""
         instance = ""
         try:
             batch = orjson.loads(line)
@@ -194,8 +194,8 @@
                     instance = fields.get("i", "")
                     replies.extend(self._handle(now, kind, instance, fields))
             return orjson.dumps({"out": replies})
-        except Exception as error:  # whatever it is, the text is for the simulator's report
-            log.exception("batch failed")
+        except Exception as error:  # any error is passed on as a text for the simulator's report
+            log.exception("failed to process a batch of events; replying with the error")
             text = f"{type(error).__name__}: {error}"
             return orjson.dumps({"out": [{"bug": {"i": instance, "words": text}}]})
 
@@ -217,7 +217,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches, a line each, until the input ends."""
+    """Answer each line of events until the input ends."""
     adapter = SimulatorAdapter()
     for line in source:
         if line.strip():
@@ -226,7 +226,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; return the exit status."""
+    """Serve standard input and output, and return the exit status."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO)
     serve(sys.stdin.buffer, sys.stdout.buffer)
     return 0
