--- a/tests/admission/test_blocking.py
+++ b/tests/admission/test_blocking.py
@@ -114,7 +114,7 @@
             running: list[int] = []
             for n in range(1, 100):
                 running += request_ids(
-                    arrive(controller, n * 0.1, n, ("read", "ask")[n % 2], tenant="t"), StartRun
+                    arrive(controller, n * 0.1, n, ("read", "skippable_call")[n % 2], tenant="t"), StartRun
                 )
                 if n % 3 == 0 and running:
                     controller.handle(n * 0.1, RunFinished(running.pop(0), Outcome.SUCCESS, 0.2))
--- a/tests/admission/test_concurrency.py
+++ b/tests/admission/test_concurrency.py
@@ -46,7 +46,7 @@
     # All that stands at calls may come back to the cores at once.
     controller = started_controller(dependency=Dependency.TIER, memory_kb=1e6)
     for n in range(1, 20):
-        for started in request_ids(arrive(controller, 0.1, n, "ask"), StartRun):
+        for started in request_ids(arrive(controller, 0.1, n, "skippable_call"), StartRun):
             controller.handle(0.1, CallNeeded(started))
     assert (
         controller.state.open_requests.cores.running
--- a/tests/admission/test_deadlines.py
+++ b/tests/admission/test_deadlines.py
@@ -74,7 +74,7 @@
 
 def test_an_indeterminate_run_of_which_something_is_heard_is_not_failed() -> None:
     controller = started_controller(cores=1)
-    arrive(controller, 0.1, 1, "once")
+    arrive(controller, 0.1, 1, "non_idempotent")
     controller.handle(0.3, RunIndeterminate(1))
     controller.handle(0.4, CallNeeded(1))
     assert not request_ids(controller.handle(1.5, TimerFired(DEADLINE_TIMER)), Fail)
@@ -93,7 +93,7 @@
     controller = started_controller()
     arrive(controller, 1.0, 2)
     arrive(controller, 1.1, 3)
-    arrive(controller, 1.5, 4, "ask")
+    arrive(controller, 1.5, 4, "skippable_call")
     assert request_ids(controller.handle(1.6, RunFinished(2, Outcome.SUCCESS)), StartRun) == [4]
     assert request_ids(controller.handle(1.7, RunIndeterminate(4, at_call=True)), SkipCall) == [4]
 
@@ -122,7 +122,7 @@
 
 def test_a_retry_timer_that_fires_a_hair_early_does_not_spin() -> None:
     controller = started_controller(dependency=Dependency.TIER)
-    arrive(controller, 0.1, 1, "once")
+    arrive(controller, 0.1, 1, "non_idempotent")
     controller.handle(0.2, CallNeeded(1))
     controller.handle(0.3, CallFinished(1, Outcome.OVERLOADED, 0.1))
     retry_at = controller.state.open_requests.by_id[1].retry_at
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -17,7 +17,7 @@
 )
 def test_a_call_with_effects_is_retried_only_where_it_never_ran(outcome: Outcome, again: bool) -> None:
     controller = started_controller(dependency=Dependency.TIER)
-    arrive(controller, 0.1, 1, "once")
+    arrive(controller, 0.1, 1, "non_idempotent")
     assert request_ids(controller.handle(0.2, CallNeeded(1)), StartCall) == [1]
     now = controller.handle(0.3, CallFinished(1, outcome, 0.1))
     later = controller.handle(0.4, TimerFired(DEADLINE_TIMER))
@@ -31,7 +31,7 @@
     )
     made = skipped = 0
     for n in range(1, 16):
-        actions = arrive(controller, 0.1 * n, n, "ask") + controller.handle(0.1 * n, CallNeeded(n))
+        actions = arrive(controller, 0.1 * n, n, "skippable_call") + controller.handle(0.1 * n, CallNeeded(n))
         made += len(request_ids(actions, StartCall))
         skipped += len(request_ids(actions, SkipCall))
     assert skipped > 0 and made * 1.0 < 10
@@ -69,7 +69,9 @@
         for request in (2, 3, 4, 5)
         if not request_ids(arrive_and_call(controller, 200.0, request), StartCall)
     ]
-    assert waits == [5] and not request_ids(arrive_and_call(controller, 200.0, 6, "once"), StartCall)
+    assert waits == [5] and not request_ids(
+        arrive_and_call(controller, 200.0, 6, "non_idempotent"), StartCall
+    )
     assert request_ids(controller.handle(200.01, CallFinished(1, Outcome.SUCCESS)), StartCall) == [6]
     assert request_ids(controller.handle(200.5, TimerFired(DEADLINE_TIMER)), SkipCall) == [
         5
@@ -93,7 +95,7 @@
     now = 1.0
     for n in range(1, 200):  # one in ten hangs and times out; the others are quick
         now += 1.0
-        arrive_and_call(controller, now, n, "once")
+        arrive_and_call(controller, now, n, "non_idempotent")
         hung = n % 10 == 0
         controller.handle(
             now + (0.4 if hung else 0.02), CallFinished(n, Outcome.TIMED_OUT if hung else Outcome.SUCCESS)
@@ -101,7 +103,7 @@
         controller.handle(now + 0.45, RunFinished(n, Outcome.CANCELLED if hung else Outcome.SUCCESS))
         controller.handle(now + 0.5, TimerFired(UPDATE_TIMER))
     assert controller.estimates.call_time_s[2] < 0.06 and controller.estimates.slow_call_share < 0.5
-    made = [arrive_and_call(controller, 300.0, n, "once") for n in range(301, 306)]
+    made = [arrive_and_call(controller, 300.0, n, "non_idempotent") for n in range(301, 306)]
     assert sum(len(request_ids(actions, StartCall)) for actions in made) == 4  # the floor, and none less
     for n in range(301, 305):
         controller.handle(300.02, CallFinished(n, Outcome.SUCCESS))
@@ -113,15 +115,15 @@
         dependency=Dependency.SHARED, call_quota=20.0, call_quota_window_s=5.0, cores=40, memory_kb=1e6
     )
     for n in range(1, 6):  # how long a call takes is known by now
-        for kind, request in (("ask", n), ("once", 10 + n)):
+        for kind, request in (("skippable_call", n), ("non_idempotent", 10 + n)):
             assert request_ids(arrive_and_call(controller, 0.1 * n, request, kind), StartCall) == [request]
             controller.handle(0.1 * n + 0.02, CallFinished(request, Outcome.SUCCESS))
-    hung = [arrive_and_call(controller, 1.0, request, "once") for request in range(21, 25)]
+    hung = [arrive_and_call(controller, 1.0, request, "non_idempotent") for request in range(21, 25)]
     assert [action.timeout_s for actions in hung for action in actions if isinstance(action, StartCall)] == [
         pytest.approx(20 * 0.02)
     ] * 4
     assert not request_ids(
-        arrive_and_call(controller, 1.01, 31, "once"), StartCall
+        arrive_and_call(controller, 1.01, 31, "non_idempotent"), StartCall
     )  # no slot is free, as far as is known
     assert request_ids(controller.handle(1.13, TimerFired(DEADLINE_TIMER)), StartCall) == [31]
 
@@ -135,7 +137,7 @@
     )
     made = 0
     for n in range(1, 12):
-        arrive(controller, 3.0 * n, n, "once")
+        arrive(controller, 3.0 * n, n, "non_idempotent")
         calls = request_ids(controller.handle(3.0 * n, CallNeeded(n)), StartCall)
         made += len(calls)
         if calls:
--- a/tests/admission/test_estimators.py
+++ b/tests/admission/test_estimators.py
@@ -16,7 +16,7 @@
     # Two cores, runs of a second, from an empty server: the first completions come a second after the start.
     controller = started_controller()
     for n in (1, 2, 3, 4):
-        arrive(controller, 0.01, n, "ask", time_left_s=60.0)
+        arrive(controller, 0.01, n, "skippable_call", time_left_s=60.0)
     controller.handle(
         1.01, RunFinished(1, Outcome.SUCCESS, 1.0)
     )  # from the first end on it is known how long runs take
@@ -28,7 +28,7 @@
             for n in (3, 4):
                 controller.handle(now - 0.001, RunFinished(period // 4 * 2 + n - 2, Outcome.SUCCESS, 1.0))
             for n in (1, 2):
-                arrive(controller, now - 0.001, period // 4 * 2 + n + 2, "ask", time_left_s=60.0)
+                arrive(controller, now - 0.001, period // 4 * 2 + n + 2, "skippable_call", time_left_s=60.0)
         controller.handle(now, TimerFired(UPDATE_TIMER, core_utilization=1.0, core_demand=2.0))
         if controller.estimates.service_rate:
             rates.append(controller.estimates.service_rate)
--- a/tests/admission/test_idempotency.py
+++ b/tests/admission/test_idempotency.py
@@ -30,7 +30,7 @@
 
 def test_a_preempted_run_with_effects_does_not_run_again_and_fails_at_once() -> None:
     controller = started_controller(preemption=Preemption.DROP)
-    arrive(controller, 0.1, 1, "once")
+    arrive(controller, 0.1, 1, "non_idempotent")
     actions = controller.handle(0.2, RunFinished(1, Outcome.CANCELLED, 0.1))
     assert request_ids(actions, StartRun) == [] and request_ids(actions, Fail) == [1]
 
--- a/tests/admission/test_properties.py
+++ b/tests/admission/test_properties.py
@@ -27,9 +27,9 @@
         "keyed", 0.6, 2.0, idempotency=Idempotency.KEYED, priority_weight=3.0, idempotency_window_s=8.0
     ),
     RequestClass(
-        "once", 0.8, 2.5, idempotency=Idempotency.NON_IDEMPOTENT, priority_weight=2.0, may_call=True
+        "non_idempotent", 0.8, 2.5, idempotency=Idempotency.NON_IDEMPOTENT, priority_weight=2.0, may_call=True
     ),
-    RequestClass("ask", 1.5, 4.0, may_call=True, skipped_call_weight=0.5, late_weight_factor=0.2),
+    RequestClass("skippable_call", 1.5, 4.0, may_call=True, skipped_call_weight=0.5, late_weight_factor=0.2),
 )
 CALL_OUTCOMES = (Outcome.SUCCESS, Outcome.TIMED_OUT, Outcome.OVERLOADED, Outcome.FAILURE)
 RUN_OUTCOMES = (Outcome.SUCCESS, Outcome.FAILURE)
@@ -71,19 +71,19 @@
 
 
 def finish_run(host: RuleCheckingHost, state: RequestState, choice: int) -> None:
-    request = host.pick(state, choice)
+    request = host.pick_request(state, choice)
     if request is not None:
         host.end_run(request, RUN_OUTCOMES[choice % 2])
 
 
 def need_call(host: RuleCheckingHost, choice: int) -> None:
-    request = host.pick(RequestState.RUNNING, choice)
+    request = host.pick_request(RequestState.RUNNING, choice)
     if request is not None and request in host.unanswered and host.may_call(request):
         host.need_call(request)
 
 
 def finish_call(host: RuleCheckingHost, choice: int) -> None:
-    request = host.pick(RequestState.CALLING, choice)
+    request = host.pick_request(RequestState.CALLING, choice)
     if request is not None:
         host.finish_call(request, CALL_OUTCOMES[choice % 4])
 
--- a/tests/admission/test_start_rule.py
+++ b/tests/admission/test_start_rule.py
@@ -44,7 +44,7 @@
         controller = started_controller(load_report_kind=LoadReportKind.LEVEL)
         out: list[Action] = []
         for n in range(1, 60):
-            out += arrive(controller, n * 0.05, n, ("read", "keyed", "once")[n % 3])
+            out += arrive(controller, n * 0.05, n, ("read", "keyed", "non_idempotent")[n % 3])
             if n % 4 == 0:
                 out += controller.handle(n * 0.05, RunFinished(n // 4, Outcome.SUCCESS, 0.2))
             if n % 5 == 0:
--- a/tests/support/admission_scenarios.py
+++ b/tests/support/admission_scenarios.py
@@ -1,4 +1,4 @@
-"""Settings and load of the scenarios whose decisions are recorded."""
+"""The settings and the load of the scenarios whose decisions are recorded."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A controller's settings, what changes while it runs, and what its callers send."""
+    """The settings of a controller, the changes to them, and the load from its callers."""
 
     name: str
     seed: int
     settings: Settings
-    changed_settings: Settings  # from SETTINGS_CHANGE_S on
-    shutdown_notice: ShutdownNotice  # at SHUTDOWN_S
+    changed_settings: Settings  # in force from SETTINGS_CHANGE_S on
+    shutdown_notice: ShutdownNotice  # sent at SHUTDOWN_S
     sends_hints: bool = False
-    first_call_s: float = 0.002  # duration of the first calls, from which the usual one is learned
+    first_call_s: float = 0.002  # duration of the first calls, from which the usual call time is learned
 
 
 SETTINGS_CHANGE_S = 28.0
@@ -41,7 +41,7 @@
     Tenant(name="blocked", suspended=True),
     Tenant(name="reader", allowed_classes=("search", "report")),
 )
-TENANT_CHANGE = TenantsChanged(  # at TENANTS_CHANGE_S, in each scenario
+TENANT_CHANGE = TenantsChanged(  # sent at TENANTS_CHANGE_S in each scenario
     changed=(Tenant(name="blocked", quota_per_s=2.0), Tenant(name="gold", suspended=True)),
     removed=frozenset({"bronze"}),
     over_quota_weight=0.4,
@@ -83,7 +83,7 @@
     objective_stretch=2.0,
 )
 CLASSES = (SEARCH, PAY, BOOK, REPORT)
-# The third class's place goes to another class, the first one's objective changes.
+# Another class takes the position of the third one, and the first class gets a shorter objective.
 CHANGED_CLASSES = (
     replace(SEARCH, latency_objective_s=1.0, deadline_s=2.5, late_weight_factor=0.0),
     PAY,
@@ -98,7 +98,7 @@
 )
 
 
-SHARED_DEPENDENCY = Settings(  # a quota of a dependency, a published level, runs that can only be dropped
+SHARED_DEPENDENCY = Settings(  # a quota of a shared dependency, a published level, runs that can be dropped
     classes=CLASSES,
     cores=4,
     memory_kb=4_000.0,
@@ -122,7 +122,7 @@
     over_quota_weight=0.2,
     deep_health_checks=True,
 )
-SMALL_QUOTA = Settings(  # a small quota of a dependency for its cores, and nothing published
+SMALL_QUOTA = Settings(  # a quota of the dependency that is small for the cores, no load report
     classes=CLASSES,
     cores=8,
     memory_kb=4_000.0,
@@ -138,7 +138,7 @@
     idle_timeout_s=10.0,
     deep_health_checks=True,
 )
-TIER_CREDIT = Settings(  # a cold start, a tier of its own below, published credit, runs that can be paused
+TIER_CREDIT = Settings(  # a cold start, a tier of dependencies, a published credit, runs that can be paused
     classes=CLASSES,
     cores=4,
     memory_kb=8_000.0,
@@ -160,7 +160,7 @@
     weighs_by_work=True,
     over_quota_weight=0.5,
 )
-UNSIGNALLED = Settings(  # nothing below, nothing published, runs that can't be stopped, Retry-After
+UNSIGNALLED = Settings(  # no dependency, no load report, runs that can't be stopped, Retry-After
     classes=CLASSES,
     cores=3,
     memory_kb=600.0,
@@ -173,7 +173,7 @@
     node_count=3,
     idle_timeout_s=3.0,
 )
-WEIGHTED = Settings(  # a published weight, deadlines that are passed on, runs that can't be stopped
+WEIGHTED = Settings(  # a published weight, propagated deadlines, runs that can't be stopped
     classes=CHANGED_CLASSES,
     cores=4,
     memory_kb=3_000.0,
@@ -188,7 +188,7 @@
 
 
 def changed(settings: Settings, cores: int) -> Settings:
-    """Return the settings with the other classes, on other cores."""
+    """Return the settings with the changed classes and this number of cores."""
     return replace(settings, classes=CHANGED_CLASSES, cores=cores)
 
 
--- a/tests/support/decision_trace.py
+++ b/tests/support/decision_trace.py
@@ -1,7 +1,7 @@
-"""Traces of a controller's decisions in words of their own, which outlive the names in the code.
+"""Traces of a controller's decisions, in names that do not change with the names in the code.
 
-``PYTHONPATH=tests python -m support.decision_trace tests/admission/data``, at the root, records the traces of
-all scenarios anew: only for an intended change of what is decided.
+``PYTHONPATH=tests python -m support.decision_trace tests/admission/data``, run at the root of the repository,
+records the traces of all scenarios again. That is done only for an intended change of the decisions.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
     actions.SetHealth: "set-health",
     actions.LogMessage: "report",
 }
-FIELD_NAMES = {  # by the name in the code
+FIELD_NAMES = {  # name in the trace by name in the code
     "request_id": "request",
     "lifetime_s": "lifetime",
     "retry_after_s": "retry-after",
@@ -62,7 +62,7 @@
     "shallow": "shallow",
     "message": "text",
 }
-OTHER_FIELD_NAMES: dict[tuple[type, str], str] = {(actions.SetIdleTimeout, "timeout_s"): "after"}
+FIELD_NAME_OVERRIDES: dict[tuple[type, str], str] = {(actions.SetIdleTimeout, "timeout_s"): "after"}
 UNRECORDED_FIELDS = {"reason"}
 MESSAGE_TEXTS = {
     actions.OperatorMessage.GRACEFUL_SHUTDOWN_BEGUN: (
@@ -76,7 +76,7 @@
 
 
 def event_fields(event: events.Event) -> TraceFields:
-    """Return the kind of an event and the request it is about."""
+    """Return the kind of an event and the request or timer that it is about."""
     fields: TraceFields = {"event": EVENT_NAMES[type(event)]}
     if isinstance(event, events.RequestEvent | events.RequestArrived):
         fields["request"] = event.request_id
@@ -86,30 +86,30 @@
 
 
 def action_fields(action: actions.Action) -> TraceFields:
-    """Return an action with all its fields."""
+    """Return an action with its fields."""
     kind = type(action)
     fields: TraceFields = {"action": ACTION_NAMES[kind]}
     for field in dataclasses.fields(action):
         if field.name not in UNRECORDED_FIELDS:
-            name = OTHER_FIELD_NAMES.get((kind, field.name)) or FIELD_NAMES[field.name]
+            name = FIELD_NAME_OVERRIDES.get((kind, field.name)) or FIELD_NAMES[field.name]
             value = getattr(action, field.name)
             fields[name] = MESSAGE_TEXTS[value] if isinstance(value, actions.OperatorMessage) else value
     return fields
 
 
 def step_line(step: Step) -> str:
-    """One step as a line of JSON; floats are written so that they read back exactly."""
-    taken = [action_fields(action) for action in step.actions]
-    return json.dumps({"time": step.time_s, **event_fields(step.event), "actions": taken})
+    """Return one step as a line of JSON, with floats written so that they are read back exactly."""
+    action_rows = [action_fields(action) for action in step.actions]
+    return json.dumps({"time": step.time_s, **event_fields(step.event), "actions": action_rows})
 
 
-def play(scenario: Scenario) -> list[str]:
+def trace_lines(scenario: Scenario) -> list[str]:
     """Return the lines of a scenario's trace."""
-    return [step_line(step) for step in Host(scenario).play()]
+    return [step_line(step) for step in Host(scenario).run()]
 
 
 def trace_path(directory: Path, scenario: Scenario) -> Path:
-    """Return where a scenario's recorded trace is stored."""
+    """Return the path of a scenario's recorded trace."""
     return directory / f"decisions-{scenario.name}.jsonl.gz"
 
 
@@ -119,17 +119,17 @@
 
 
 def write_trace(path: Path, lines: list[str]) -> None:
-    """Record a trace; the same lines always give the same file."""
+    """Record a trace; the same lines always produce the same bytes."""
     text = "".join(f"{line}\n" for line in lines)
     path.write_bytes(gzip.compress(text.encode(), mtime=0))
 
 
 def main(arguments: list[str]) -> None:
-    """Record all traces into the directory named."""
+    """Record the traces of all scenarios in the directory given as the argument."""
     if len(arguments) != 1:
         sys.exit("usage: python -m support.decision_trace DIRECTORY")
     for scenario in SCENARIOS:
-        write_trace(trace_path(Path(arguments[0]), scenario), play(scenario))
+        write_trace(trace_path(Path(arguments[0]), scenario), trace_lines(scenario))
 
 
 if __name__ == "__main__":
