--- a/tests/admission/test_admission_rule.py
+++ b/tests/admission/test_admission_rule.py
@@ -1,4 +1,4 @@
-"""Which newcomers are rejected, because they can't be served in time."""
+"""Which arriving requests are rejected because they can't be served in time."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from snowthread.admission.settings import Outcome
 
 
-def test_a_short_deadline_is_no_sign_of_age() -> None:
-    # Calls between tiers come with whatever their caller has left: that says nothing of their objective.
+def test_a_short_deadline_is_not_mistaken_for_a_late_request() -> None:
+    # Calls between tiers carry the time that is left to their caller, which says nothing about the objective
+    # of the request. Taken for the age of the request, it would get the request rejected.
     controller = started_controller(propagates_deadline=True)
     arrive(controller, 0.1, 1, time_left_s=3.0)
     controller.handle(0.3, RunFinished(1, Outcome.SUCCESS, 0.2))
@@ -20,7 +21,7 @@
     assert request_ids(actions, Reject) == [] and 4 in controller.state.open_requests.queued
 
 
-def test_a_request_that_lay_unread_too_long_is_rejected_at_once() -> None:
+def test_a_request_that_waited_unread_too_long_is_rejected_at_once() -> None:
     controller = started_controller()
     arrive(controller, 0.1, 1)
     controller.handle(0.5, RunFinished(1, Outcome.SUCCESS, 0.4))
@@ -29,7 +30,7 @@
     assert request_ids(late, StartRun) == [] and request_ids(late, Reject) == [2]
 
 
-def test_run_times_learned_too_long_are_unlearned() -> None:
+def test_run_times_learned_too_long_are_corrected_by_probes() -> None:
     controller = started_controller()
     estimates = controller.estimates
     for times_s in (estimates.run_time_s, estimates.core_time_s, estimates.base_core_time_s):
--- a/tests/admission/test_blocking.py
+++ b/tests/admission/test_blocking.py
@@ -1,4 +1,4 @@
-"""Which requests are blocked on arrival, and how many."""
+"""How many requests are blocked on arrival, and which ones."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from snowthread.admission.timer_queue import UPDATE_TIMER
 
 
-def test_target_utilization_and_blocking_probability_are_bergers() -> None:
+def test_target_utilization_and_blocking_probability_follow_bergers_formulas() -> None:
     beta = 0.071
     assert target_utilization(0.5, 1.0, beta) == 0.5
     assert target_utilization(5.0, 1.0, beta) == pytest.approx(0.7952, abs=1e-4)
@@ -34,31 +34,35 @@
 
 
 def test_rejections_pass_from_heavy_to_light_requests() -> None:
-    # As many are rejected as the probability says, but light ones; where all weigh the same, by chance.
+    # The probability sets how many requests are rejected, and mostly light ones are; requests of equal weight
+    # are rejected at random.
     heavy = dataclasses.replace(KEYED, priority_weight=10.0, idempotency=Idempotency.IDEMPOTENT)
-    for kinds, most in (
+    for request_classes, max_heavy_ratio in (
         ((READ, heavy), 0.06),
         ((READ, dataclasses.replace(heavy, priority_weight=1.0)), 0.5),
     ):
-        controller = started_controller(classes=kinds, memory_kb=1e6)
+        controller = started_controller(classes=request_classes, memory_kb=1e6)
         controller.state.blocking.probability = 0.4
         rejected, count = {"read": 0, "keyed": 0}, {"read": 0, "keyed": 0}
         for n in range(1, 2000):
-            kind = ("read", "keyed")[n % 5 == 0]
-            q = record(n, kinds[kind == "keyed"].priority_weight)
-            rejected[kind] += is_blocked(controller, q)
-            count[kind] += 1
+            class_name = ("read", "keyed")[n % 5 == 0]
+            request = record(n, request_classes[class_name == "keyed"].priority_weight)
+            rejected[class_name] += is_blocked(controller, request)
+            count[class_name] += 1
         assert sum(rejected.values()) / 2000 == pytest.approx(0.4, abs=0.04)
-        assert rejected["keyed"] / count["keyed"] <= most
-        assert most < 0.1 or rejected["keyed"] / count["keyed"] == pytest.approx(0.4, abs=0.08)
+        assert rejected["keyed"] / count["keyed"] <= max_heavy_ratio
+        assert max_heavy_ratio < 0.1 or rejected["keyed"] / count["keyed"] == pytest.approx(0.4, abs=0.08)
 
 
 def test_work_of_deferred_rejections_is_bounded() -> None:
     controller = started_controller(memory_kb=1e6)
     controller.state.blocking.probability = 1.0
-    controller.state.blocking._mean_weight = 1.0  # no light requests come any more
-    some = [record(n, 10.0 + n) for n in range(50)]
-    assert sum(not is_blocked(controller, q) for q in some) == MAX_DEFERRED_REJECTIONS_PER_CORE * 2
+    controller.state.blocking._mean_weight = 1.0  # no lighter requests arrive
+    requests = [record(n, 10.0 + n) for n in range(50)]
+    assert (
+        sum(not is_blocked(controller, request) for request in requests)
+        == MAX_DEFERRED_REJECTIONS_PER_CORE * 2
+    )
 
 
 def test_nothing_is_rejected_for_deferred_work_while_the_blocking_probability_is_zero() -> None:
@@ -78,7 +82,7 @@
         controller.estimates.work_arrived, controller.estimates.work_done = 8.0, 1.0
         controller.handle(now, TimerFired(UPDATE_TIMER, core_utilization=1.0, core_demand=4.0))
     assert controller.blocking_probability > 0.5 and controller.state.load_report.published_share > 0.5
-    for _ in range(40):  # ten calm seconds
+    for _ in range(40):  # ten seconds with little load
         now += UPDATE_PERIOD_S
         controller.estimates.work_arrived, controller.estimates.work_done = 0.3, 0.3
         controller.handle(now, TimerFired(UPDATE_TIMER, core_utilization=0.3, core_demand=1.0))
@@ -90,7 +94,7 @@
 
 
 def test_settings_that_are_absent_zero_or_absurd_lead_to_a_working_default() -> None:
-    odd: tuple[dict[str, object], ...] = (
+    unusual_settings: tuple[dict[str, object], ...] = (
         {"caller_count": 0},
         {"node_count": 0},
         {"caller_count": 10**9, "node_count": 10**9},
@@ -102,10 +106,10 @@
         {"warmup_s": 1e12, "starts_cold": True},
         {"collapse_after_s": 0.0},
     )
-    for changes in odd:
-        for signal in LoadReportKind:
+    for changes in unusual_settings:
+        for load_report_kind in LoadReportKind:
             controller = started_controller(
-                load_report_kind=signal,
+                load_report_kind=load_report_kind,
                 dependency=Dependency.SHARED,
                 supports_retry_after=True,
                 max_retry_after_s=1.0,
--- a/tests/admission/test_deadlines.py
+++ b/tests/admission/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Answers at the deadline, and the timer that brings them."""
+"""Answers at the deadline, and the timers for them."""
 
 from __future__ import annotations
 
@@ -55,14 +55,14 @@
     controller = started_controller(cores=1)
     arrive(controller, 0.1, 1, "keyed")
     controller.handle(0.3, RunIndeterminate(1))
-    assert controller.run_load().running == 1  # it may well run
+    assert controller.run_load().running == 1  # it may still run
     assert not request_ids(controller.handle(1.25, TimerFired(DEADLINE_TIMER)), Fail)
     actions = controller.handle(1.4, TimerFired(DEADLINE_TIMER))
     assert request_ids(actions, Fail) == [1] and request_ids(actions, Reject) == []
-    assert not request_ids(arrive(controller, 1.5, 2), StartRun)  # answered, and yet it may run
+    assert not request_ids(arrive(controller, 1.5, 2), StartRun)  # it is answered but may still run
 
 
-def test_an_indeterminate_run_leaves_its_core_once_nothing_was_heard_for_longer_than_it_takes() -> None:
+def test_an_indeterminate_run_frees_its_core_once_it_is_presumed_lost() -> None:
     controller = started_controller(cores=1)
     arrive(controller, 0.1, 1, "keyed")
     controller.handle(0.3, RunIndeterminate(1))
@@ -72,7 +72,7 @@
     assert request_ids(actions, ForgetLostRun) == [1] and request_ids(actions, StartRun) == [2]
 
 
-def test_an_indeterminate_run_of_which_something_is_heard_is_not_failed() -> None:
+def test_an_indeterminate_run_that_makes_progress_is_not_failed() -> None:
     controller = started_controller(cores=1)
     arrive(controller, 0.1, 1, "non_idempotent")
     controller.handle(0.3, RunIndeterminate(1))
@@ -89,7 +89,7 @@
     assert request_ids(arrive(controller, 1.5, 2, "keyed", original_id=1), Fail) == [2]
 
 
-def test_a_call_of_an_indeterminate_run_that_may_be_skipped_is_skipped() -> None:
+def test_a_skippable_call_of_an_indeterminate_run_is_skipped() -> None:
     controller = started_controller()
     arrive(controller, 1.0, 2)
     arrive(controller, 1.1, 3)
@@ -120,7 +120,7 @@
     assert alarms < 300 < read
 
 
-def test_a_retry_timer_that_fires_a_hair_early_does_not_spin() -> None:
+def test_a_retry_timer_that_fires_slightly_early_is_not_armed_again_and_again() -> None:
     controller = started_controller(dependency=Dependency.TIER)
     arrive(controller, 0.1, 1, "non_idempotent")
     controller.handle(0.2, CallNeeded(1))
--- a/tests/admission/test_estimators.py
+++ b/tests/admission/test_estimators.py
@@ -1,4 +1,4 @@
-"""What is learned of arrivals, of the service rate and of run times."""
+"""Estimates of arrivals, of the service rate and of run times."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def test_the_service_rate_is_right_from_the_first_full_cores_on() -> None:
-    # Two cores, runs of a second, from an empty server: the first completions come a second after the start.
+    # Two cores and runs of one second on an idle server: the first runs end one second after the start. The
+    # service rate must not include the time before that.
     controller = started_controller()
     for n in (1, 2, 3, 4):
         arrive(controller, 0.01, n, "skippable_call", time_left_s=60.0)
-    controller.handle(
-        1.01, RunFinished(1, Outcome.SUCCESS, 1.0)
-    )  # from the first end on it is known how long runs take
+    # The run time is known from the end of the first run on.
+    controller.handle(1.01, RunFinished(1, Outcome.SUCCESS, 1.0))
     controller.handle(1.01, RunFinished(2, Outcome.SUCCESS, 1.0))
     rates, now = [], 1.01
     for period in range(1, 20):
@@ -35,7 +35,7 @@
     assert len(rates) > 10 and all(1.9 < rate < 2.1 for rate in rates), rates
 
 
-def test_arrivals_are_averaged_over_requests_not_over_seconds() -> None:
+def test_arrivals_are_averaged_over_a_number_of_requests_not_over_a_time() -> None:
     spans = []
     for rate in (4, 40):
         controller = started_controller()
@@ -48,19 +48,19 @@
     assert spans[1] == pytest.approx(AVERAGED_REQUESTS) and spans[0] <= AVERAGED_REQUESTS
 
 
-@pytest.mark.parametrize(("true", "low", "high"), [(1.0, 3.0, 4.01), (0.0, 0.99, 1.5)])
-def test_hints_count_as_far_as_core_times_confirm_them(true: float, low: float, high: float) -> None:
+@pytest.mark.parametrize(("exponent", "low", "high"), [(1.0, 3.0, 4.01), (0.0, 0.99, 1.5)])
+def test_hints_count_as_far_as_core_times_confirm_them(exponent: float, low: float, high: float) -> None:
     controller = started_controller()
     for n in range(1, 200):
         hint = (0.1, 0.4)[n % 2]
         arrive(controller, n * 1.0, n, work_hint_s=hint)
-        took = 0.2 * (hint / 0.2) ** true
-        controller.handle(n * 1.0 + took, RunFinished(n, Outcome.SUCCESS, took))
+        duration_s = 0.2 * (hint / 0.2) ** exponent
+        controller.handle(n * 1.0 + duration_s, RunFinished(n, Outcome.SUCCESS, duration_s))
     ratio = controller.estimates.work_units(0, 0.4) / controller.estimates.work_units(0, 0.1)
     assert low <= ratio <= high
 
 
-def test_a_run_that_ends_as_it_starts_divides_by_nothing() -> None:
+def test_a_run_of_no_duration_causes_no_division_by_zero() -> None:
     controller = started_controller()
     for n in range(1, 4):
         arrive(controller, 1.0, n, work_hint_s=0.2)
--- a/tests/admission/test_idempotency.py
+++ b/tests/admission/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Nothing with effects runs twice; keys are remembered and forgotten."""
+"""Requests with effects never run twice; keys are remembered and forgotten."""
 
 from __future__ import annotations
 
@@ -35,24 +35,26 @@
     assert request_ids(actions, StartRun) == [] and request_ids(actions, Fail) == [1]
 
 
-@pytest.mark.parametrize(("busy", "rejected"), [(0, False), (4, True)])
-def test_a_retry_is_rejected_only_where_its_original_never_ran(busy: int, rejected: bool) -> None:
+@pytest.mark.parametrize(("other_requests", "is_rejected"), [(0, False), (4, True)])
+def test_a_retry_is_rejected_only_where_its_original_never_ran(
+    other_requests: int, is_rejected: bool
+) -> None:
     controller = started_controller(memory_kb=700.0)
-    for n in range(busy):
+    for n in range(other_requests):
         arrive(controller, 0.1, 100 + n, "keyed")
-    assert request_ids(arrive(controller, 0.1, 1, "keyed"), StartRun) == ([] if rejected else [1])
+    assert request_ids(arrive(controller, 0.1, 1, "keyed"), StartRun) == ([] if is_rejected else [1])
     outcomes = []
     for n in range(2, 80):
         actions = arrive(controller, 0.2, n, "keyed", original_id=1)
         outcomes += [
             type(a) for a in actions if isinstance(a, Reject | Fail | AwaitOriginal) and a.request_id == n
         ]
-    assert AwaitOriginal in outcomes and outcomes[-1] is (Reject if rejected else Fail)
-    assert (Fail if rejected else Reject) not in outcomes
+    assert AwaitOriginal in outcomes and outcomes[-1] is (Reject if is_rejected else Fail)
+    assert (Fail if is_rejected else Reject) not in outcomes
 
 
 def test_retries_of_one_request_do_not_fill_the_memory() -> None:
-    # Each retry takes up memory while it awaits the result.
+    # Each retry uses memory while it awaits the result of its original attempt.
     controller = started_controller(memory_kb=200.0)
     arrive(controller, 0.1, 1, "keyed")
     waiting = [
--- a/tests/admission/test_load_report.py
+++ b/tests/admission/test_load_report.py
@@ -13,12 +13,14 @@
 from snowthread.admission.timer_queue import UPDATE_TIMER
 
 
-@pytest.mark.parametrize(("signal", "said"), [(LoadReportKind.NONE, 1.0), (LoadReportKind.LEVEL, 0.2)])
+@pytest.mark.parametrize(
+    ("load_report_kind", "said"), [(LoadReportKind.NONE, 1.0), (LoadReportKind.LEVEL, 0.2)]
+)
 def test_retry_after_carries_the_blocking_probability_where_no_load_report_does(
-    signal: LoadReportKind, said: float
+    load_report_kind: LoadReportKind, said: float
 ) -> None:
     controller = started_controller(
-        supports_retry_after=True, max_retry_after_s=1.0, caller_count=4, load_report_kind=signal
+        supports_retry_after=True, max_retry_after_s=1.0, caller_count=4, load_report_kind=load_report_kind
     )
     for n in (1, 2, 3):
         arrive(controller, 0.1, n)
@@ -34,18 +36,20 @@
     said: list[float] = []
     for n in range(80):
         now += UPDATE_PERIOD_S
-        passing = 1.0 - (said[n - 4] if n >= 4 else 0.0)
-        controller.estimates.work_arrived = 14.0 * passing * UPDATE_PERIOD_S
-        controller.estimates.requests_read = round(40 * passing * UPDATE_PERIOD_S)
+        passed_ratio = 1.0 - (said[n - 4] if n >= 4 else 0.0)
+        controller.estimates.work_arrived = 14.0 * passed_ratio * UPDATE_PERIOD_S
+        controller.estimates.requests_read = round(40 * passed_ratio * UPDATE_PERIOD_S)
         controller.estimates.work_done = 10.0 * UPDATE_PERIOD_S
         controller.handle(now, TimerFired(UPDATE_TIMER, core_utilization=1.0))
         said.append(controller.state.load_report.published_share)
-    wanted = 1.0 - target_utilization(99.0, 10.0, controller.estimates.abandonment_ratio()) * 10.0 / 14.0
-    assert max(said) < wanted + 0.12 and abs(said[-1] - wanted) < 0.05
+    target_share = (
+        1.0 - target_utilization(99.0, 10.0, controller.estimates.abandonment_ratio()) * 10.0 / 14.0
+    )
+    assert max(said) < target_share + 0.12 and abs(said[-1] - target_share) < 0.05
 
 
 @pytest.mark.parametrize(
-    ("b", "mu", "best", "cold", "low", "high"),
+    ("blocking_probability", "service_rate", "best_work_speed", "is_cold", "low", "high"),
     [
         (0.0, 10.0, 10.0, False, 0.0, 0.0),
         (0.5, 10.0, 10.0, False, 0.4, 0.7),
@@ -55,10 +59,15 @@
     ],
 )
 def test_do_not_retry_is_drawn_with_what_a_server_at_its_best_rate_would_block(
-    b: float, mu: float, best: float, cold: bool, low: float, high: float
+    blocking_probability: float,
+    service_rate: float,
+    best_work_speed: float,
+    is_cold: bool,
+    low: float,
+    high: float,
 ) -> None:
     # 20 arrivals a second: as many as a healthy server can take twice over, or just what it can take.
-    controller = started_controller(starts_cold=cold, warmup_s=10.0)
+    controller = started_controller(starts_cold=is_cold, warmup_s=10.0)
     arrive(controller, 0.1, 1)
     controller.handle(0.5, RunFinished(1, Outcome.SUCCESS, 0.4))
     (
@@ -66,35 +75,37 @@
         controller.estimates.service_rate,
         controller.estimates.best_work_speed,
         controller.estimates.arrival_rate,
-    ) = b, mu, best, 20.0
+    ) = blocking_probability, service_rate, best_work_speed, 20.0
     said = []
     for n in range(2, 402):
         said += [a.do_not_retry for a in arrive(controller, 1.0, n, unread_s=0.65) if isinstance(a, Reject)]
     assert len(said) > 300 and low <= sum(said) / len(said) <= high
 
 
-@pytest.mark.parametrize("signal", [LoadReportKind.LEVEL, LoadReportKind.CREDIT, LoadReportKind.WEIGHT])
-def test_each_kind_of_load_report_asks_for_less_in_an_overload(signal: LoadReportKind) -> None:
-    controller = started_controller(load_report_kind=signal, caller_count=2)
+@pytest.mark.parametrize(
+    "load_report_kind", [LoadReportKind.LEVEL, LoadReportKind.CREDIT, LoadReportKind.WEIGHT]
+)
+def test_each_kind_of_load_report_asks_for_less_in_an_overload(load_report_kind: LoadReportKind) -> None:
+    controller = started_controller(load_report_kind=load_report_kind, caller_count=2)
     values: list[float] = []
     for n in range(1, 30):
         controller.estimates.work_arrived, controller.estimates.work_done = 5.0, 2.0
-        out = controller.handle(n * UPDATE_PERIOD_S, TimerFired(UPDATE_TIMER, core_utilization=1.0))
-        values += [a.value for a in out if isinstance(a, PublishLoad)]
+        actions = controller.handle(n * UPDATE_PERIOD_S, TimerFired(UPDATE_TIMER, core_utilization=1.0))
+        values += [a.value for a in actions if isinstance(a, PublishLoad)]
     assert len(values) > 5
-    assert (values[-1] > values[0]) is (signal is LoadReportKind.LEVEL)
+    assert (values[-1] > values[0]) is (load_report_kind is LoadReportKind.LEVEL)
 
 
 def test_a_published_share_that_hardly_anyone_hears_is_not_taken_for_heard() -> None:
     # Hundreds of callers come back here once a minute and keep a value for a second: the rate that comes in
     # has passed no share, so b carries it and the share stays at b instead of running to its end.
     shares = []
-    for upstreams in (1, 400):
+    for caller_count in (1, 400):
         controller = started_controller(
             load_report_kind=LoadReportKind.LEVEL,
             cores=4,
             memory_kb=1e6,
-            caller_count=upstreams,
+            caller_count=caller_count,
             load_report_ttl_s=1.0,
         )
         for n in range(1, 100):
--- a/tests/admission/test_recovery_pacer.py
+++ b/tests/admission/test_recovery_pacer.py
@@ -12,16 +12,16 @@
 from snowthread.admission.slow_start import SlowStart
 
 
-def recovery_pacer(sharing: int = 1, slots: float = 2.0, per_s: float = 1000.0) -> RecoveryPacer:
+def recovery_pacer(sharing_nodes: int = 1, slots: float = 2.0, per_s: float = 1000.0) -> RecoveryPacer:
     pacer = RecoveryPacer(
         SlowStart(4.0, 2.0), CallBudget(per_s, 10.0, burst_s=0.5), Backoff(), slots, random.Random(1)
     )
-    pacer.update_fleet(sharing, sharing)
+    pacer.update_fleet(sharing_nodes, sharing_nodes)
     return pacer
 
 
 def test_calls_in_flight_stay_within_the_nodes_part_of_the_slots() -> None:
-    pacer = recovery_pacer(sharing=1, slots=2.0)
+    pacer = recovery_pacer(sharing_nodes=1, slots=2.0)
     permissions = [pacer.request_call(1000.0, f"u{n}", 0, False, 2000.0) for n in range(4)]
     assert permissions == [
         CallPermission.GRANTED,
@@ -29,8 +29,8 @@
         CallPermission.QUEUED,
         CallPermission.QUEUED,
     ] or permissions[:2] == [CallPermission.GRANTED, CallPermission.GRANTED]
-    for at in range(1001, 1100):
-        pacer.release_calls(float(at))
+    for now_ms in range(1001, 1100):
+        pacer.release_calls(float(now_ms))
         assert len(pacer.calls_in_flight) <= 2
     pacer.call_ended(1100.0, "u0", True, True)
     assert pacer.release_calls(1101.0)[0]
@@ -38,15 +38,15 @@
 
 @pytest.mark.parametrize("nodes", [3, 7, 40])
 def test_fleets_of_any_size_together_keep_to_the_slots_in_the_mean(nodes: int) -> None:
-    fleet = [recovery_pacer(sharing=nodes, slots=60.0) for _ in range(nodes)]
+    pacers = [recovery_pacer(sharing_nodes=nodes, slots=60.0) for _ in range(nodes)]
     in_flight = []
     for step in range(50):
-        for number, node in enumerate(fleet):
-            node.request_call(step * 10.0, f"{number}-{step}", 0, True, 0.0)
-        in_flight.append(sum(len(node.calls_in_flight) for node in fleet))
-        for node in fleet:  # the oldest call ends
-            if len(node.calls_in_flight) > 1:
-                node.call_ended(step * 10.0, next(iter(node.calls_in_flight)), True, True)
+        for number, pacer in enumerate(pacers):
+            pacer.request_call(step * 10.0, f"{number}-{step}", 0, True, 0.0)
+        in_flight.append(sum(len(pacer.calls_in_flight) for pacer in pacers))
+        for pacer in pacers:  # the oldest call ends
+            if len(pacer.calls_in_flight) > 1:
+                pacer.call_ended(step * 10.0, next(iter(pacer.calls_in_flight)), True, True)
     assert max(in_flight) <= 60.0 * 1.5 + nodes
 
 
@@ -90,7 +90,7 @@
 
 
 def test_a_warm_node_paces_nothing_until_others_are_cold() -> None:
-    pacer = recovery_pacer(sharing=5, slots=5.0)
+    pacer = recovery_pacer(sharing_nodes=5, slots=5.0)
     pacer.slow_start.is_complete = True
     pacer.update_fleet(5, 0)
     assert not pacer.is_pacing and {pacer.request_call(0.0, f"u{n}", 0, True, 1.0) for n in range(50)} == {
--- a/tests/admission/test_start_rule.py
+++ b/tests/admission/test_start_rule.py
@@ -19,13 +19,15 @@
     assert request_ids(controller.handle(0.3, RunFinished(1, Outcome.SUCCESS, 0.2)), StartRun) == [3]
 
 
-@pytest.mark.parametrize(("is_retry", "first"), [(True, 4), (False, 3)])
-def test_a_first_attempt_goes_before_a_marked_retry(is_retry: bool, first: int) -> None:
+@pytest.mark.parametrize(("is_retry", "first_started"), [(True, 4), (False, 3)])
+def test_a_first_attempt_goes_before_a_marked_retry(is_retry: bool, first_started: int) -> None:
     controller = started_controller(memory_kb=1e6)
     for n in (1, 2, 3):
         arrive(controller, 0.1, n, is_retry=is_retry)
     arrive(controller, 0.1, 4)
-    assert request_ids(controller.handle(0.3, RunFinished(1, Outcome.SUCCESS, 0.2)), StartRun) == [first]
+    assert request_ids(controller.handle(0.3, RunFinished(1, Outcome.SUCCESS, 0.2)), StartRun) == [
+        first_started
+    ]
 
 
 def test_events_of_finished_and_unknown_requests_do_nothing() -> None:
@@ -40,17 +42,17 @@
 
 
 def test_the_same_events_lead_to_the_same_actions() -> None:
-    def play() -> list[Action]:
+    def run_events() -> list[Action]:
         controller = started_controller(load_report_kind=LoadReportKind.LEVEL)
-        out: list[Action] = []
+        actions: list[Action] = []
         for n in range(1, 60):
-            out += arrive(controller, n * 0.05, n, ("read", "keyed", "non_idempotent")[n % 3])
+            actions += arrive(controller, n * 0.05, n, ("read", "keyed", "non_idempotent")[n % 3])
             if n % 4 == 0:
-                out += controller.handle(n * 0.05, RunFinished(n // 4, Outcome.SUCCESS, 0.2))
+                actions += controller.handle(n * 0.05, RunFinished(n // 4, Outcome.SUCCESS, 0.2))
             if n % 5 == 0:
-                out += controller.handle(
+                actions += controller.handle(
                     n * 0.05, TimerFired(UPDATE_TIMER, core_utilization=1.0, core_demand=4.0)
                 )
-        return out
+        return actions
 
-    assert play() == play()
+    assert run_events() == run_events()
