--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -85,7 +85,7 @@
     record = state.idempotency_table.find_by_number(request.original_number)
     if record is not None and record.completed:
         finish_follower(transition, request, record.result)
-    elif record is not None and record.remote:
+    elif record is not None and record.owned_by_peer:
         request.phase = RequestPhase.AWAITING_ORIGINAL
         record.followers.append(request.number)
     elif original is not None:
@@ -181,7 +181,7 @@
 
 def log_message(transition: Transition, action: actions.LogMessage) -> None:
     """Log a message for the operators."""
-    transition.emit(effects.LogNote(action.message.value))
+    transition.emit(effects.LogMessage(action.message.value))
 
 
 ACTION_HANDLERS: HandlerTable = {
--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -198,7 +198,7 @@
 def key_claim_decided(transition: Transition, event: events.KeyClaimDecided) -> None:
     """Take up the requests that waited for the predecessor's decision on their key."""
     claim = transition.state.pending_claims.pop(event.idempotency_key, None)
-    waiting = [] if claim is None else claim.waiting
+    waiting = [] if claim is None else claim.waiting_requests
     if not event.granted:
         for request in waiting:
             request_received(transition, request, ClaimDecision.DENIED)
@@ -217,7 +217,7 @@
     claims = state.pending_claims
     state.pending_claims = {}
     for claim in claims.values():
-        for request in claim.waiting:
+        for request in claim.waiting_requests:
             request_received(transition, request)
 
 
--- a/snowthread/core/effects.py
+++ b/snowthread/core/effects.py
@@ -183,7 +183,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogNote:
+class LogMessage:
     """Log a line for the operators; a detail is logged at the level DEBUG."""
 
     text: str
@@ -201,7 +201,7 @@
     | ScheduleTimer
     | SetIdleTimeout
     | SetRegistration
-    | LogNote
+    | LogMessage
     | SendToPeerProcess
     | SendHandoverComplete
     | SetAccepting
--- a/snowthread/core/idempotency.py
+++ b/snowthread/core/idempotency.py
@@ -31,7 +31,7 @@
     body_digest: bytes  # another body under the same key is a conflict, not a retry
     completed: bool = False
     result: bytes | None = None
-    remote: bool = False  # owned by the peer process, not by a request here
+    owned_by_peer: bool = False  # owned by the peer process, not by a request here
     class_name: str = ""  # empty where it is owned by the peer process and not known
     followers: list[int] = field(default_factory=list)  # retries here that wait for a run in the peer process
 
@@ -39,21 +39,21 @@
 class IndeterminateKeys:
     """Keys that an earlier incarnation of this node may have run, with unknown end.
 
-    They are never run within their windows. Until ``any_until_ms`` it is not known which keys they are
+    They are never run within their windows. Until ``all_keys_until_ms`` it is not known which keys they are
     either, so every key counts as one of them.
     """
 
-    def __init__(self, expires_at_ms_by_digest: dict[bytes, float], any_until_ms: float) -> None:
+    def __init__(self, expires_at_ms_by_digest: dict[bytes, float], all_keys_until_ms: float) -> None:
         self._expires_at_ms_by_digest = expires_at_ms_by_digest
-        self.any_until_ms = any_until_ms
-        self.last_expiry_ms = max([any_until_ms, *expires_at_ms_by_digest.values()])
+        self.all_keys_until_ms = all_keys_until_ms
+        self.last_expiry_ms = max([all_keys_until_ms, *expires_at_ms_by_digest.values()])
 
     def __len__(self) -> int:
         return len(self._expires_at_ms_by_digest)
 
     def may_have_run(self, idempotency_key: str, arrived_at_ms: float) -> bool:
         """Return whether a request with this key may be a retry of one that ran."""
-        return arrived_at_ms < self.any_until_ms or (
+        return arrived_at_ms < self.all_keys_until_ms or (
             arrived_at_ms < self.last_expiry_ms
             and arrived_at_ms < self._expires_at_ms_by_digest.get(key_digest(idempotency_key), 0.0)
         )
--- a/snowthread/core/key_claims.py
+++ b/snowthread/core/key_claims.py
@@ -60,7 +60,7 @@
         claim = PendingClaim(event.attempt_id, [])
         state.pending_claims[claim_request.idempotency_key] = claim
         transition.send_to_peer_process(claim_request)
-    claim.waiting.append(event)
+    claim.waiting_requests.append(event)
     timeout_ms = event.timeout_ms
     if timeout_ms is None:
         timeout_ms = state.admission_clock.duration_ms(class_deadline_s)
@@ -74,9 +74,9 @@
 ) -> events.RequestReceived | None:
     """Drop a request that waits for a decision on its key; return it, or None where none waits."""
     for claim in state.pending_claims.values():
-        for request in claim.waiting:
+        for request in claim.waiting_requests:
             if request.response_address == response_address:
-                claim.waiting.remove(request)
+                claim.waiting_requests.remove(request)
                 return request
     return None
 
@@ -114,7 +114,7 @@
             event.attempt_id,
             expires_at_ms=transition.now_ms + state.admission_clock.duration_ms(window_s),
             body_digest=event.body_digest,
-            remote=True,
+            owned_by_peer=True,
         )
         table.put(record, transition.now_ms)
     transition.send_to_peer_process(events.KeyClaimDecided(event.idempotency_key, event.attempt_id, granted))
--- a/snowthread/core/key_replication.py
+++ b/snowthread/core/key_replication.py
@@ -12,7 +12,7 @@
     """Enter a key that the peer process owns, unless an attempt of this process owns it."""
     state = transition.state
     record = state.idempotency_table.find_by_attempt(event.attempt_id)
-    if record is not None and not record.remote:
+    if record is not None and not record.owned_by_peer:
         return
     state.last_request_number += 1
     replicated = IdempotencyRecord(
@@ -21,7 +21,7 @@
         event.attempt_id,
         event.expires_at_ms,
         event.body_digest,
-        remote=True,
+        owned_by_peer=True,
     )
     state.idempotency_table.put(replicated, transition.now_ms)
     if event.completed:
@@ -32,7 +32,7 @@
     """Answer the retries that wait for a run of the peer process, which ended."""
     table = transition.state.idempotency_table
     record = table.find_by_attempt(event.attempt_id)
-    if record is not None and record.remote:
+    if record is not None and record.owned_by_peer:
         table.complete(event.attempt_id, event.result)
         complete_followers(transition, record, event.result)
 
@@ -41,7 +41,7 @@
     """Drop a key of the peer process whose attempt never ran."""
     table = transition.state.idempotency_table
     record = table.find_by_attempt(event.attempt_id)
-    if record is not None and record.remote:
+    if record is not None and record.owned_by_peer:
         table.remove(record.request_number)
         complete_followers(transition, record, None)
 
--- a/snowthread/core/peer_process.py
+++ b/snowthread/core/peer_process.py
@@ -41,7 +41,7 @@
     else:
         state.handover_role = HandoverRole.SUCCESSOR
         for record in state.idempotency_table.records():
-            if not record.remote:
+            if not record.owned_by_peer:
                 transition.send_to_peer_process(record)
         retry_pending_claims(transition)
 
@@ -94,7 +94,7 @@
         # Its runs may go on, and nobody counts them.
         transition.dispatch(admission_events.RunCountUncertain())
     for record in state.idempotency_table.records():
-        if record.remote and not record.completed:
+        if record.owned_by_peer and not record.completed:
             record.completed = True
             complete_followers(transition, record, None)
     retry_pending_claims(transition)
--- a/snowthread/core/run_completion.py
+++ b/snowthread/core/run_completion.py
@@ -48,7 +48,7 @@
     if state.handover_role is HandoverRole.STANDALONE:
         return
     record = state.idempotency_table.find_by_attempt(attempt_id)
-    if record is not None and not record.remote:
+    if record is not None and not record.owned_by_peer:
         transition.send_to_peer_process(events.KeyRunCompleted(attempt_id, result))
 
 
--- a/snowthread/core/run_evidence.py
+++ b/snowthread/core/run_evidence.py
@@ -17,7 +17,7 @@
     state = transition.state
     sample = _load_sample(state, transition.now_ms)
     transition.emit(
-        effects.LogNote(
+        effects.LogMessage(
             f"runtime: link {state.link_number} lost: {_run_load(state)}; {sample}; "
             f"{unsent_commands} commands unsent",
             LINK_EVENT,
@@ -32,7 +32,7 @@
         return
     down_ms = transition.now_ms - state.disconnected_at_ms
     transition.emit(
-        effects.LogNote(
+        effects.LogMessage(
             f"runtime: link {state.link_number} ready after {down_ms:.0f} ms without a link; "
             f"{queued_commands} commands queued",
             LINK_EVENT,
@@ -42,7 +42,9 @@
 
 def note_run(transition: Transition, request: Request, fate: str) -> None:
     """Log, as a detail, what becomes of one run after a broken link."""
-    transition.emit(effects.LogNote(f"runtime: run {request.attempt_id}: {fate}", RUN_EVENT, is_detail=True))
+    transition.emit(
+        effects.LogMessage(f"runtime: run {request.attempt_id}: {fate}", RUN_EVENT, is_detail=True)
+    )
 
 
 def _run_load(state: NodeState) -> str:
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -74,7 +74,9 @@
     """A claim of an idempotency key that the predecessor has not decided yet."""
 
     attempt_id: str  # the attempt that the key is claimed for
-    waiting: list[RequestReceived]  # all requests with this key; the claimant's first, unless cancelled
+    waiting_requests: list[
+        RequestReceived
+    ]  # all requests with this key; the claimant's first, unless cancelled
 
 
 class AdmissionClock:
--- a/snowthread/recovery/request_admission.py
+++ b/snowthread/recovery/request_admission.py
@@ -44,7 +44,7 @@
         machine meanwhile goes first.
         """
         keys = state.indeterminate_keys
-        if keys is None or now_ms >= keys.any_until_ms:
+        if keys is None or now_ms >= keys.all_keys_until_ms:
             return False
         running = sum(request.phase is RequestPhase.RUNNING for request in state.requests.values())
         return running >= state.settings.cores and self._pacer.has_idle_budget(now_ms)
--- a/tests/core/test_key_claims.py
+++ b/tests/core/test_key_claims.py
@@ -39,7 +39,7 @@
     emitted = reduce(successor, request, START)
     assert [type(message) for message in sent_to_peer(emitted)] == [events.KeyClaimRequested]
     assert started(emitted) == []
-    assert successor.pending_claims[KEY].waiting == [request]
+    assert successor.pending_claims[KEY].waiting_requests == [request]
     emitted = reduce(successor, events.KeyClaimDecided(KEY, request.attempt_id, granted=True), START)
     assert started(emitted) == [request.attempt_id]
     assert successor.pending_claims == {}
@@ -74,7 +74,7 @@
     (timer,) = (effect for effect in emitted if isinstance(effect, effects.ScheduleTimer))
     assert timer.at_ms == START + KEY_CLAIM_TIMEOUT_MS
     assert responses(reduce(successor, timer.event, timer.at_ms)) == [effects.Rejected()]
-    assert successor.pending_claims[KEY].waiting == []
+    assert successor.pending_claims[KEY].waiting_requests == []
 
 
 def test_a_request_rejected_for_its_claim_is_logged_with_its_attempt_and_the_reason(
--- a/tests/hot_restart/test_hot_restart_faults.py
+++ b/tests/hot_restart/test_hot_restart_faults.py
@@ -100,7 +100,7 @@
     pair.advance(TIMEOUT_MS + 50.0)  # past every deadline: nothing is left open
     for player in pair.running:
         assert not player.node.state.requests_by_response_address
-        assert not any(claim.waiting for claim in player.node.state.pending_claims.values())
+        assert not any(claim.waiting_requests for claim in player.node.state.pending_claims.values())
 
 
 def test_stale_socket_file_is_not_taken_for_a_process(
--- a/tests/stored/test_hot_restart_messages.py
+++ b/tests/stored/test_hot_restart_messages.py
@@ -265,7 +265,7 @@
         1_764_576_060_000.0,
         CONTENT,
     )
-    assert running.remote and not running.completed and running.result is None
+    assert running.owned_by_peer and not running.completed and running.result is None
     assert done.expires_at_ms == 1_764_576_060_000.5 and done.completed and done.result == b"\x00result\xff"
     assert failed.completed and failed.result is None
     return running
@@ -345,7 +345,7 @@
     session.play(theirs[2:4])  # asks for a free key and for one that has an owner
     session.expect(ours[9:11])  # judged: granted, not granted
     requested = node.state.idempotency_table.find_by_attempt(REQUESTED)
-    assert requested is not None and requested.remote and requested.body_digest == REQUESTED_CONTENT
+    assert requested is not None and requested.owned_by_peer and requested.body_digest == REQUESTED_CONTENT
 
     session.play(theirs[4:7])  # the key's window, its result, and a key whose name is no text
     assert requested.expires_at_ms == 1_764_576_060_250.0
--- a/tests/support/core_events.py
+++ b/tests/support/core_events.py
@@ -37,7 +37,7 @@
     reduce(state, events.LoadSampleDue(), now_ms)
     tag = str(state.last_sample_number)
     emitted = reduce(state, events.LoadSampleReceived(tag, ()), now_ms)
-    return [effect for effect in emitted if not isinstance(effect, effects.LogNote)]
+    return [effect for effect in emitted if not isinstance(effect, effects.LogMessage)]
 
 
 def resynchronise(state: NodeState, now_ms: float) -> list[effects.Effect]:
@@ -45,7 +45,7 @@
     reduce(state, events.RuntimeDisconnected(), now_ms)
     emitted = connect(state, now_ms)
     emitted += reduce(state, events.LoadSampleReceived(sync_tag(state.link_number), ()), now_ms)
-    return [e for e in emitted if not isinstance(e, effects.LogNote | effects.RequestLoadSample)]
+    return [e for e in emitted if not isinstance(e, effects.LogMessage | effects.RequestLoadSample)]
 
 
 def run_of(request: Request) -> Run:
