--- a/snowthread/core/__init__.py
+++ b/snowthread/core/__init__.py
@@ -9,7 +9,7 @@
 - Its run at the runtime: ``run`` has the table of its states, ``run_commands`` sends its commands,
   ``downstream_calls`` makes the calls that it waits for, ``run_completion`` ends it.
 - The link to the runtime: ``command_log`` knows which commands were read, ``runtime_resync`` says which runs
-  go on after a broken link, ``run_evidence`` logs it, ``load_samples`` passes on what the runtime measures.
+  go on after a broken link, ``resync_log`` logs it, ``load_samples`` passes on what the runtime measures.
 - Idempotency keys: ``idempotency`` records who owns a key and with which result.
 - A hot restart: ``peer_process``, ``key_claims``, ``key_replication``.
 - Settings and operators: ``effective_settings``, ``settings_changes``, ``shutdown``.
--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -8,16 +8,16 @@
 from snowthread.core.idempotency import IdempotencyRecord
 from snowthread.core.load_samples import schedule_timer
 from snowthread.core.request_lifecycle import (
-    answer,
+    answer_request,
     cancel_call,
-    finish,
     finish_follower,
-    release_if_answered,
+    finish_request,
+    finish_unless_running,
 )
+from snowthread.core.resync_log import log_run_status
 from snowthread.core.run import Run, RunState
 from snowthread.core.run_commands import send_command
 from snowthread.core.run_completion import record_result, run_completed
-from snowthread.core.run_evidence import note_run
 from snowthread.core.state import HandoverRole, RequestPhase
 from snowthread.core.transition import HandlerTable, Transition
 
@@ -53,9 +53,9 @@
     state = transition.state
     request = state.requests.get(action.request_id)
     if request is not None and request.run is not None:
-        note_run(transition, request, "presumed lost: no notice for longer than a run takes")
+        log_run_status(transition, request, "presumed lost: no notice for longer than a run takes")
         record_result(transition, request.attempt_id, None)
-        finish(transition, request, None)
+        finish_request(transition, request, None)
 
 
 def respond_finally(transition: Transition, action: actions.Reject | actions.Fail) -> None:
@@ -68,11 +68,11 @@
     if isinstance(action, actions.Reject):
         retry_after_ms = state.admission_clock.duration_ms(action.retry_after_s)
         response = effects.Rejected(retry_after_ms, action.do_not_retry, request.attempt_id, reason)
-        answer(transition, request, response)
+        answer_request(transition, request, response)
     else:
-        answer(transition, request, effects.Failed(request.attempt_id, reason))
+        answer_request(transition, request, effects.Failed(request.attempt_id, reason))
     cancel_call(transition, request)
-    release_if_answered(transition, request)
+    finish_unless_running(transition, request)
 
 
 def await_original(transition: Transition, action: actions.AwaitOriginal) -> None:
--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -10,7 +10,7 @@
 from snowthread.core import effects, events
 from snowthread.core.idempotency import DIGEST_BYTES
 from snowthread.core.key_claims import ClaimDecision, claim_key, withdraw_claim
-from snowthread.core.request_lifecycle import cancel_call, release_if_answered
+from snowthread.core.request_lifecycle import cancel_call, finish_unless_running
 from snowthread.core.state import HandoverRole, NodeState, Request
 from snowthread.core.transition import HandlerTable, Transition
 
@@ -29,7 +29,7 @@
 _NO_KEY = _KeyMatch(None, b"", None)  # of a request whose class is not keyed
 
 
-def digest(event: events.RequestReceived) -> bytes:
+def request_digest(event: events.RequestReceived) -> bytes:
     """Return a digest of the class and the body: what a retry under the same key has to ask for."""
     class_name = event.class_name.encode()[:DIGEST_KEY_MAX_BYTES]
     return blake2b(event.body, digest_size=DIGEST_BYTES, key=class_name).digest()
@@ -74,7 +74,7 @@
     """Look up a request's key; return None where the request fails or waits until its key is claimed."""
     state = transition.state
     idempotency_key = event.idempotency_key
-    body_digest = digest(event)
+    body_digest = request_digest(event)
     if not idempotency_key or not _is_key_usable(state, idempotency_key, body_digest, arrived_at_ms):
         transition.respond(event.response_address, effects.Failed(event.attempt_id))
         return None
@@ -148,10 +148,10 @@
     state.requests[request.number] = request
     state.requests_by_attempt_id[event.attempt_id] = request
     state.requests_by_response_address[event.response_address] = request
-    transition.dispatch(_arrival(transition, event, request, arrived_at_ms))
+    transition.dispatch(_arrival_event(transition, event, request, arrived_at_ms))
 
 
-def _arrival(
+def _arrival_event(
     transition: Transition, event: events.RequestReceived, request: Request, arrived_at_ms: float
 ) -> admission_events.RequestArrived:
     """Return the event that hands a request to the controller."""
@@ -187,7 +187,7 @@
     request.response_address = None
     cancel_call(transition, request)
     transition.dispatch(admission_events.RequestCancelled(request.number))
-    release_if_answered(transition, request)
+    finish_unless_running(transition, request)
 
 
 def health_check_received(transition: Transition, event: events.HealthCheckReceived) -> None:
--- a/snowthread/core/command_log.py
+++ b/snowthread/core/command_log.py
@@ -30,8 +30,8 @@
     """Numbers the commands sent, and records up to which of them the present link's were read."""
 
     link_number: int = NO_LINK  # of the present or the last link: the count of links so far
-    sent: int = 0  # commands, on all links
-    read: int = 0  # the number of the last command known to be read, on the present link
+    sent_count: int = 0  # commands, on all links
+    last_read_number: int = 0  # the number of the last command known to be read, on the present link
     _sent_before_sample: dict[str, int] = field(default_factory=dict)  # by tag, of the present link
 
     def begin_link(self) -> None:
@@ -41,19 +41,19 @@
 
     def add(self, command: Command) -> SentCommand:
         """Return a command as it is sent on the present link, with its number."""
-        self.sent += 1
-        return SentCommand(command, self.link_number, self.sent)
+        self.sent_count += 1
+        return SentCommand(command, self.link_number, self.sent_count)
 
-    def sample_requested(self, tag: str) -> None:
+    def record_sample_requested(self, tag: str) -> None:
         """Note which commands were sent before a load sample was requested."""
         if len(self._sent_before_sample) >= OUTSTANDING_SAMPLES_MAX:
             del self._sent_before_sample[next(iter(self._sent_before_sample))]
-        self._sent_before_sample[tag] = self.sent
+        self._sent_before_sample[tag] = self.sent_count
 
-    def sample_received(self, tag: str) -> None:
+    def record_sample_received(self, tag: str) -> None:
         """Take the echo of a load sample request as proof of what was read before it."""
-        self.read = max(self.read, self._sent_before_sample.pop(tag, 0))
+        self.last_read_number = max(self.last_read_number, self._sent_before_sample.pop(tag, 0))
 
     def was_read(self, command: SentCommand) -> bool:
         """Return whether a command of the present link is known to have been read."""
-        return command.link_number == self.link_number and command.number <= self.read
+        return command.link_number == self.link_number and command.number <= self.last_read_number
--- a/snowthread/core/downstream_calls.py
+++ b/snowthread/core/downstream_calls.py
@@ -15,7 +15,7 @@
     request = state.requests_by_attempt_id.get(event.attempt_id)
     if request is None or request.run is None:
         return
-    request.run.call_requested(event.notice_number, event.body, state.link_number)
+    request.run.record_call_requested(event.notice_number, event.body, state.link_number)
     transition.dispatch(admission_events.CallNeeded(request.number))
 
 
@@ -28,7 +28,7 @@
         return
     run.call_in_flight = False
     if event.outcome is Outcome.SUCCESS:
-        run.call_answered()
+        run.record_call_answered()
         send_command(transition, effects.DeliverReply(request.attempt_id, event.reply))
     duration_s = state.admission_clock.duration_s(event.duration_ms)
     transition.dispatch(admission_events.CallFinished(request.number, event.outcome, duration_s))
--- a/snowthread/core/events.py
+++ b/snowthread/core/events.py
@@ -163,7 +163,7 @@
     """The process will be killed ``time_left_ms`` from now."""
 
     time_left_ms: float
-    received_ago_ms: float = 0.0  # how long ago the notice was received
+    notice_age_ms: float = 0.0  # how long ago the notice was received
 
 
 @dataclass(frozen=True, slots=True)
--- a/snowthread/core/load_samples.py
+++ b/snowthread/core/load_samples.py
@@ -7,7 +7,7 @@
 from snowthread.core import effects, events
 from snowthread.core.peer_process import report_load
 from snowthread.core.run_commands import request_load_sample
-from snowthread.core.runtime_resync import end_runs_stopped_unseen, resume_runs, sync_tag
+from snowthread.core.runtime_resync import end_runs_that_never_started, resume_runs, sync_tag
 from snowthread.core.state import HandoverRole, NodeState
 from snowthread.core.transition import HandlerTable, Transition
 
@@ -16,7 +16,7 @@
 UTILIZATION_WINDOW_MS = 500.0  # over which the runtime measures the utilization of its cores
 MAX_SAMPLE_NUMBER_DIGITS = 18  # a tag with more digits was not sent by this node
 
-_TIMER_FIELDS = {  # gauge of the runtime -> field of TimerFired
+_TIMER_FIELD_BY_GAUGE = {  # gauge of the runtime -> field of TimerFired
     "core_use": "core_utilization",
     "on_cores": "core_demand",
     "heap_share": "memory_utilization",
@@ -49,9 +49,9 @@
     if now_ms - state.load_sample_at_ms > LOAD_SAMPLE_MAX_AGE_MS:
         return {}
     figures = {
-        _TIMER_FIELDS[name]: value
+        _TIMER_FIELD_BY_GAUGE[name]: value
         for name, value in zip(state.gauge_names, state.load_sample, strict=False)
-        if name in _TIMER_FIELDS
+        if name in _TIMER_FIELD_BY_GAUGE
     }
     if state.load_sample_used:  # one sample of idle cores must not count in several updates
         figures.pop("core_demand", None)
@@ -76,9 +76,9 @@
         state.load_sample = event.values
         state.load_sample_at_ms = transition.now_ms
         state.load_sample_used = False
-    state.command_log.sample_received(event.tag)
+    state.command_log.record_sample_received(event.tag)
     if state.runtime_connected:
-        end_runs_stopped_unseen(transition)
+        end_runs_that_never_started(transition)
     if state.runtime_connected and event.tag == sync_tag(state.link_number):
         resume_runs(transition)
 
--- a/snowthread/core/request_lifecycle.py
+++ b/snowthread/core/request_lifecycle.py
@@ -37,7 +37,7 @@
 from snowthread.core.transition import Transition
 
 
-def answer(
+def answer_request(
     transition: Transition, request: Request, response: effects.Served | effects.Rejected | effects.Failed
 ) -> None:
     """Send the final response, unless no answer is owed any more: a late result is no second response."""
@@ -47,7 +47,7 @@
         request.response_address = None
 
 
-def finish(transition: Transition, request: Request, result: bytes | None) -> None:
+def finish_request(transition: Transition, request: Request, result: bytes | None) -> None:
     """Remove the request from the node and give its followers the result (None: failed)."""
     state = transition.state
     if state.requests.pop(request.number, None) is None:
@@ -79,8 +79,8 @@
 def finish_follower(transition: Transition, follower: Request, result: bytes | None) -> None:
     """Answer a retry with the result of its original (None: failed), and finish it."""
     response = effects.Failed(follower.attempt_id) if result is None else effects.Served(result)
-    answer(transition, follower, response)
-    finish(transition, follower, None)
+    answer_request(transition, follower, response)
+    finish_request(transition, follower, None)
     transition.dispatch(
         admission_events.RunFinished(
             follower.number,
@@ -98,7 +98,7 @@
         transition.emit(effects.CancelCall(request.attempt_id))
 
 
-def release_if_answered(transition: Transition, request: Request) -> None:
+def finish_unless_running(transition: Transition, request: Request) -> None:
     """Finish a request that was answered or cancelled; one that runs stays until its run ends."""
     if request.phase is not RequestPhase.RUNNING:
-        finish(transition, request, None)
+        finish_request(transition, request, None)
--- a/snowthread/core/run_evidence.py
+++ b/snowthread/core/resync_log.py
@@ -8,24 +8,24 @@
 from snowthread.core.state import NodeState, Request
 from snowthread.core.transition import Transition
 
-RUN_EVENT = "runtime.run"
-LINK_EVENT = "runtime.link"
+RUN_LOG_EVENT = "runtime.run"
+LINK_LOG_EVENT = "runtime.link"
 
 
-def note_link_lost(transition: Transition, unsent_commands: int) -> None:
+def log_link_lost(transition: Transition, unsent_commands: int) -> None:
     """Log, when a link broke, the count of runs, its limits, and the last load sample with its age."""
     state = transition.state
-    sample = _load_sample(state, transition.now_ms)
+    sample = _describe_load_sample(state, transition.now_ms)
     transition.emit(
         effects.LogMessage(
-            f"runtime: link {state.link_number} lost: {_run_load(state)}; {sample}; "
+            f"runtime: link {state.link_number} lost: {_describe_run_load(state)}; {sample}; "
             f"{unsent_commands} commands unsent",
-            LINK_EVENT,
+            LINK_LOG_EVENT,
         )
     )
 
 
-def note_link_ready(transition: Transition, queued_commands: int) -> None:
+def log_link_ready(transition: Transition, queued_commands: int) -> None:
     """Log how long there was no link, and how many commands were queued meanwhile."""
     state = transition.state
     if not math.isfinite(state.disconnected_at_ms):
@@ -35,23 +35,23 @@
         effects.LogMessage(
             f"runtime: link {state.link_number} ready after {down_ms:.0f} ms without a link; "
             f"{queued_commands} commands queued",
-            LINK_EVENT,
+            LINK_LOG_EVENT,
         )
     )
 
 
-def note_run(transition: Transition, request: Request, fate: str) -> None:
+def log_run_status(transition: Transition, request: Request, status: str) -> None:
     """Log, as a detail, what becomes of one run after a broken link."""
     transition.emit(
-        effects.LogMessage(f"runtime: run {request.attempt_id}: {fate}", RUN_EVENT, is_detail=True)
+        effects.LogMessage(f"runtime: run {request.attempt_id}: {status}", RUN_LOG_EVENT, is_detail=True)
     )
 
 
-def _run_load(state: NodeState) -> str:
+def _describe_run_load(state: NodeState) -> str:
     return "no runs counted" if state.controller is None else str(state.controller.run_load())
 
 
-def _load_sample(state: NodeState, now_ms: float) -> str:
+def _describe_load_sample(state: NodeState, now_ms: float) -> str:
     age_ms = now_ms - state.load_sample_at_ms
     if not math.isfinite(age_ms):
         return "no load sample"
--- a/snowthread/core/run.py
+++ b/snowthread/core/run.py
@@ -57,7 +57,7 @@
     state: RunState = RunState.START_QUEUED
     link_number: int = NO_LINK  # the link to the runtime on which the run was sent or resynchronised last
     last_command: SentCommand | None = None  # the last command that lets the run go on: all but a stop
-    last_command_lost: bool = False  # it may be: its link broke before it was known to have been read
+    last_command_may_be_lost: bool = False  # it may be: its link broke before it was known to have been read
     stop_command: SentCommand | None = None  # the last stop
     stop_requested: bool = False  # the run is to end: a stop was sent, or waits for a link
     pending_call_notice: int | None = None  # the number of the notice of the call that the run waits for
@@ -75,32 +75,32 @@
         """Whether the runtime is known to have read the start."""
         return self.state is RunState.STARTED or self.state is RunState.REPLY_INDETERMINATE
 
-    def command_sent(self, sent: SentCommand) -> None:
+    def record_command_sent(self, sent: SentCommand) -> None:
         """Note a command that was sent for this run."""
         if isinstance(sent.command, StopRun):
             self.stop_command = sent
             return
         self.last_command = sent
-        self.last_command_lost = False
+        self.last_command_may_be_lost = False
         if isinstance(sent.command, StartRun):
             self.state = RunState.START_SENT
             self.link_number = sent.link_number
 
-    def start_unsent(self) -> None:
+    def requeue_start(self) -> None:
         """Note that the link broke before a byte of the start was written: it waits for the next link."""
         self.state = RunState.START_QUEUED
         self.link_number = NO_LINK
 
-    def link_broke(self, last_command_read: bool) -> None:
+    def record_link_lost(self, last_command_read: bool) -> None:
         """Note that the link of the last command broke; ``last_command_read``: it is known to have been read.
 
         A command that was read proves that the start before it was.
         """
-        self.last_command_lost = not last_command_read
+        self.last_command_may_be_lost = not last_command_read
         if last_command_read and self.state is RunState.START_SENT:
             self.state = RunState.STARTED
 
-    def call_requested(self, notice_number: int, body: bytes, link_number: int) -> None:
+    def record_call_requested(self, notice_number: int, body: bytes, link_number: int) -> None:
         """Note a call that the run waits for; the notice, read on this link, shows that the run goes on."""
         if self.is_indeterminate:
             self.link_number = link_number
@@ -109,7 +109,7 @@
         self.pending_call_notice = notice_number
         self.call_body = body
 
-    def call_answered(self) -> None:
+    def record_call_answered(self) -> None:
         """Note that its call succeeded: the reply is about to be delivered."""
         self.answered_call_notice = self.pending_call_notice or 0
         self.pending_call_notice = None
@@ -118,7 +118,7 @@
         """Return whether the run has to be resynchronised on this link, the present one."""
         return NO_LINK < self.link_number < link_number
 
-    def last_command_indeterminate(self) -> None:
+    def mark_indeterminate(self) -> None:
         """Note that the last command may be lost, and that it can't be sent again."""
         if self.state is RunState.START_SENT:
             self.state = RunState.START_INDETERMINATE
--- a/snowthread/core/run_commands.py
+++ b/snowthread/core/run_commands.py
@@ -15,11 +15,11 @@
     sent = state.command_log.add(command)
     request = state.requests_by_attempt_id.get(command.attempt_id)
     if request is not None and request.run is not None:
-        request.run.command_sent(sent)
+        request.run.record_command_sent(sent)
     transition.emit(command)
 
 
 def request_load_sample(transition: Transition, tag: str) -> None:
     """Request a load sample, whose echo also confirms the commands sent before it."""
-    transition.state.command_log.sample_requested(tag)
+    transition.state.command_log.record_sample_requested(tag)
     transition.emit(effects.RequestLoadSample(tag))
--- a/snowthread/core/run_completion.py
+++ b/snowthread/core/run_completion.py
@@ -11,7 +11,7 @@
 from snowthread.admission import events as admission_events
 from snowthread.admission.settings import Outcome
 from snowthread.core import effects, events
-from snowthread.core.request_lifecycle import answer, cancel_call, complete_followers, finish
+from snowthread.core.request_lifecycle import answer_request, cancel_call, complete_followers, finish_request
 from snowthread.core.state import HandoverRole, RequestPhase
 from snowthread.core.transition import HandlerTable, Transition
 
@@ -35,8 +35,8 @@
             complete_followers(transition, request, None)
     else:
         response = effects.Failed(request.attempt_id) if result is None else effects.Served(result)
-        answer(transition, request, response)
-        finish(transition, request, result)
+        answer_request(transition, request, response)
+        finish_request(transition, request, result)
     duration_s = state.admission_clock.duration_s(event.duration_ms)
     transition.dispatch(admission_events.RunFinished(request.number, event.outcome, duration_s))
 
--- a/snowthread/core/runtime_resync.py
+++ b/snowthread/core/runtime_resync.py
@@ -33,10 +33,10 @@
 from snowthread.admission.settings import Idempotency, Outcome, Preemption, RequestClass
 from snowthread.core import effects, events
 from snowthread.core.command_log import FIRST_LINK, CommandLog
+from snowthread.core.resync_log import log_link_lost, log_link_ready, log_run_status
 from snowthread.core.run import Run
 from snowthread.core.run_commands import request_load_sample, send_command
 from snowthread.core.run_completion import run_completed
-from snowthread.core.run_evidence import note_link_lost, note_link_ready, note_run
 from snowthread.core.state import Request
 from snowthread.core.transition import HandlerTable, Transition
 
@@ -61,12 +61,12 @@
     is_first_link = state.link_number == FIRST_LINK
     if not is_first_link:
         state.reconnected_at_ms = transition.now_ms
-    waiting = state.unsent_commands
+    queued_commands = state.unsent_commands
     state.unsent_commands = []
-    note_link_ready(transition, len(waiting))
+    log_link_ready(transition, len(queued_commands))
     if is_first_link:  # runs that an earlier process of this node began may go on
         transition.dispatch(admission_events.RunCountUncertain())
-    for command in waiting:
+    for command in queued_commands:
         if command.attempt_id in state.requests_by_attempt_id:
             send_command(transition, command)
     request_load_sample(transition, sync_tag(state.link_number))
@@ -79,7 +79,7 @@
     state.disconnected_at_ms = transition.now_ms
     for request in state.requests.values():
         if request.run is not None:
-            _judge_last_command(state.command_log, request.run)
+            _update_last_command(state.command_log, request.run)
     unsent: list[effects.Command] = [
         command for command in event.unsent_commands if isinstance(command, effects.Command)
     ]
@@ -87,16 +87,16 @@
         request_of_command = state.requests_by_attempt_id.get(command.attempt_id)
         run = None if request_of_command is None else request_of_command.run
         if isinstance(command, effects.StartRun) and run is not None:
-            run.start_unsent()
+            run.requeue_start()
     state.unsent_commands = unsent + state.unsent_commands
-    note_link_lost(transition, len(unsent))
+    log_link_lost(transition, len(unsent))
     transition.dispatch(admission_events.RunCountUncertain())
 
 
-def _judge_last_command(command_log: CommandLog, run: Run) -> None:
+def _update_last_command(command_log: CommandLog, run: Run) -> None:
     sent = run.last_command
     if sent is not None and sent.link_number == command_log.link_number:  # else judged when that link broke
-        run.link_broke(last_command_read=command_log.was_read(sent))
+        run.record_link_lost(last_command_read=command_log.was_read(sent))
 
 
 def resume_runs(transition: Transition) -> None:
@@ -118,19 +118,19 @@
     """
     sent = run.last_command
     if request.response_address is None or run.stop_requested:
-        _resume_unwanted_run(transition, request, run)
+        _resume_abandoned_run(transition, request, run)
     elif run.is_indeterminate:
         return  # since an earlier break: only a notice can change that
-    elif sent is None or run.pending_call_notice is not None or not run.last_command_lost:
-        note_run(transition, request, "resumed: no command lost")
+    elif sent is None or run.pending_call_notice is not None or not run.last_command_may_be_lost:
+        log_run_status(transition, request, "resumed: no command lost")
         run.link_number = transition.state.link_number
     elif _is_repeatable(sent.command, request.request_class):
-        note_run(transition, request, "its last command may be lost: sent again")
+        log_run_status(transition, request, "its last command may be lost: sent again")
         run.link_number = transition.state.link_number
         send_command(transition, sent.command)
     else:
-        run.last_command_indeterminate()
-        note_run(transition, request, "indeterminate: its last command may be lost")
+        run.mark_indeterminate()
+        log_run_status(transition, request, "indeterminate: its last command may be lost")
         is_at_call = isinstance(sent.command, effects.DeliverReply)
         if is_at_call:
             run.pending_call_notice = run.answered_call_notice
@@ -144,7 +144,7 @@
     return isinstance(command, effects.SkipCall)
 
 
-def _resume_unwanted_run(transition: Transition, request: Request, run: Run) -> None:
+def _resume_abandoned_run(transition: Transition, request: Request, run: Run) -> None:
     """Send the stop of a run to which no answer is owed once more.
 
     Such a run is not over: until the runtime reports its end it is on the cores, and counted.
@@ -154,13 +154,13 @@
     if state.settings.preemption is not Preemption.NONE:
         run.stop_requested = True
         if run.stop_command is None or run.stop_command.link_number != state.link_number:
-            note_run(transition, request, "no answer is owed: stop sent")
+            log_run_status(transition, request, "no answer is owed: stop sent")
             send_command(transition, effects.StopRun(request.attempt_id))
     if not run.is_start_confirmed:
         transition.dispatch(admission_events.RunIndeterminate(request.number))
 
 
-def end_runs_stopped_unseen(transition: Transition) -> None:
+def end_runs_that_never_started(transition: Transition) -> None:
     """End runs whose start may be lost and whose stop was read, on a later link, without a notice of an end.
 
     Were such a run there, the stop would have ended it, and the notice would have come before the echo.
@@ -168,16 +168,14 @@
     state = transition.state
     for request in list(state.requests.values()):
         run = request.run
-        if (
-            run is not None
-            and request.response_address is None
-            and _was_stopped_unseen(state.command_log, run)
-        ):
-            note_run(transition, request, "ended: its stop was read and no end reported, so it never ran")
+        if run is not None and request.response_address is None and _never_started(state.command_log, run):
+            log_run_status(
+                transition, request, "ended: its stop was read and no end reported, so it never ran"
+            )
             run_completed(transition, events.RunCompleted(request.attempt_id, Outcome.CANCELLED, 0.0, b""))
 
 
-def _was_stopped_unseen(command_log: CommandLog, run: Run) -> bool:
+def _never_started(command_log: CommandLog, run: Run) -> bool:
     start = run.last_command
     stop = run.stop_command
     return (
--- a/snowthread/core/shutdown.py
+++ b/snowthread/core/shutdown.py
@@ -18,7 +18,7 @@
     clock = state.admission_clock
     transition.dispatch(
         admission_events.ShutdownNotice(
-            clock.duration_s(event.time_left_ms), clock.duration_s(event.received_ago_ms)
+            clock.duration_s(event.time_left_ms), clock.duration_s(event.notice_age_ms)
         )
     )
 
--- a/snowthread/core/transition.py
+++ b/snowthread/core/transition.py
@@ -28,7 +28,7 @@
 class Transition:
     """The handling of one event; ``effects`` lists what is to be done, in order."""
 
-    __slots__ = ("_action_handlers", "_dispatching", "_undispatched", "effects", "emit", "now_ms", "state")
+    __slots__ = ("_action_handlers", "_dispatching", "_pending_events", "effects", "emit", "now_ms", "state")
 
     def __init__(self, state: NodeState, now_ms: float, action_handlers: HandlerTable) -> None:
         self.state = state
@@ -36,7 +36,7 @@
         self.effects: list[effects.Effect] = []
         self.emit = self.effects.append
         self._action_handlers = action_handlers
-        self._undispatched: deque[admission_events.Event] = deque()
+        self._pending_events: deque[admission_events.Event] = deque()
         self._dispatching = False
 
     def respond(
@@ -56,15 +56,15 @@
 
         An action handler may dispatch further events: these wait until the actions at hand are carried out.
         """
-        self._undispatched.extend(new_events)
+        self._pending_events.extend(new_events)
         if self._dispatching:
             return
         self._dispatching = True
         controller = self.ensure_controller()
         now_s = self.state.admission_clock.timestamp_s(self.now_ms)
         handlers = self._action_handlers
-        while self._undispatched:
-            for action in controller.handle(now_s, self._undispatched.popleft()):
+        while self._pending_events:
+            for action in controller.handle(now_s, self._pending_events.popleft()):
                 handlers[type(action)](self, action)
         self._dispatching = False
 
--- a/tests/core/test_command_log.py
+++ b/tests/core/test_command_log.py
@@ -12,10 +12,10 @@
     log = CommandLog()
     log.begin_link()
     before = log.add(STOP)
-    log.sample_requested("1")
+    log.record_sample_requested("1")
     after = log.add(STOP)
     assert not log.was_read(before)
-    log.sample_received("1")
+    log.record_sample_received("1")
     assert log.was_read(before) and not log.was_read(after)
 
 
@@ -23,23 +23,23 @@
     log = CommandLog()
     log.begin_link()
     lost = log.add(STOP)
-    log.sample_requested("1")
+    log.record_sample_requested("1")
     log.begin_link()
-    log.sample_received("1")
+    log.record_sample_received("1")
     sent = log.add(STOP)
-    log.sample_requested("2")
-    log.sample_received("2")
+    log.record_sample_requested("2")
+    log.record_sample_received("2")
     assert log.was_read(sent) and not log.was_read(lost)
 
 
 def test_unknown_and_repeated_echoes_confirm_nothing() -> None:
     log = CommandLog()
     log.begin_link()
-    log.sample_requested("1")
-    log.sample_received("1")
+    log.record_sample_requested("1")
+    log.record_sample_received("1")
     command = log.add(STOP)
     for tag in ("1", "2", ""):
-        log.sample_received(tag)
+        log.record_sample_received(tag)
     assert not log.was_read(command)
 
 
@@ -47,9 +47,9 @@
     log = CommandLog()
     log.begin_link()
     for number in range(10 * OUTSTANDING_SAMPLES_MAX):
-        log.sample_requested(str(number))
+        log.record_sample_requested(str(number))
     command = log.add(STOP)
-    log.sample_requested("last")
+    log.record_sample_requested("last")
     assert len(log._sent_before_sample) == OUTSTANDING_SAMPLES_MAX
-    log.sample_received("last")
+    log.record_sample_received("last")
     assert log.was_read(command)
