--- a/snowthread/core/effects.py
+++ b/snowthread/core/effects.py
@@ -1,6 +1,7 @@
-"""What the reducer asks the outside to do, independent of any protocol.
+"""The effects that the reducer returns for the node to carry out, independent of any protocol.
 
-Points in time (``at_ms``) are float Unix milliseconds, lengths of time (``..._ms``) are float milliseconds.
+Timestamps (``at_ms``) are Unix times in milliseconds and durations (``..._ms``) are milliseconds, both as
+floats.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """The response with the result of a run, unchanged."""
+    """The response that carries the result of a run, byte for byte."""
 
     result: bytes
 
@@ -33,18 +34,18 @@
 class Rejected:
     """The response to an attempt that never ran."""
 
-    retry_after_ms: float = 0.0  # for how long the balancer should send this node nothing; 0: not said
-    do_not_retry: bool = False  # nor should the balancer try another node
-    attempt_id: str = field(default="", compare=False)  # this and the reason are for the log
-    reason: str = field(default="", compare=False)
+    retry_after_ms: float = 0.0  # how long the balancer should not use this node; 0 if not specified
+    do_not_retry: bool = False  # whether the balancer should not retry the request on another node either
+    attempt_id: str = field(default="", compare=False)  # logged only, not sent to the balancer
+    reason: str = field(default="", compare=False)  # logged only, not sent to the balancer
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The response that promises nothing: the request may have run."""
+    """The response without a result that leaves open whether the request has run."""
 
-    attempt_id: str = field(default="", compare=False)  # this and the reason are for the log
-    reason: str = field(default="", compare=False)  # "": it failed by itself, not by a rule
+    attempt_id: str = field(default="", compare=False)  # logged only, not sent to the balancer
+    reason: str = field(default="", compare=False)  # logged only; empty unless an admission rule failed it
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,11 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SendResponse:
-    """Send the one final response to a request; ``load_report`` is None before there is one."""
+    """Send the only response to a request or a health check."""
 
     response_address: ResponseAddress
     response: Served | Rejected | Failed | HealthStatus
-    load_report: float | None
+    load_report: float | None  # None if the node has no load to report yet
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,39 +90,39 @@
 
 @dataclass(frozen=True, slots=True)
 class SkipCall:
-    """Let a run go on without the call that the notice asked for."""
+    """Let a run continue without the downstream call that it requested."""
 
     attempt_id: str
-    notice_number: int
+    notice_number: int  # number of the notice that requested the call
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLoadSample:
-    """Request a load sample from the runtime; the sample carries the same tag."""
+    """Request a load sample from the runtime, which echoes the tag in the sample."""
 
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
 class StartCall:
-    """Make a call to the formula database for a run; cancel it after ``timeout_ms``."""
+    """Make a downstream call to the formula database for a run, and give it up after ``timeout_ms``."""
 
     attempt_id: str
     body: bytes
     timeout_ms: float
-    retryable: bool = False  # it may be sent again where its connection broke
+    retryable: bool = False  # whether the call may be sent again if its connection broke
 
 
 @dataclass(frozen=True, slots=True)
 class CancelCall:
-    """Cancel the call made for a run: its end is not reported."""
+    """Cancel the downstream call of a run; no event reports its end."""
 
     attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduleTimer:
-    """Hand the event to the reducer at this time."""
+    """Pass an event to the reducer at a given time."""
 
     at_ms: float
     event: TimerExpired | LoadSampleDue | KeyClaimTimedOut
@@ -129,14 +130,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetIdleTimeout:
-    """Close connections of balancers that were idle for this time."""
+    """Close connections of balancers that have been idle for ``timeout_ms``."""
 
     timeout_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class SetRegistration:
-    """Register the node as accepting work, or as accepting none."""
+    """Report to the registry whether the node accepts work."""
 
     accepts_work: bool
 
@@ -156,8 +157,8 @@
 class SendToPeerProcess:
     """Send a message to the other process of this node during a hot restart.
 
-    An idempotency record is encoded only when it is written to the socket: thousands of them wait as
-    references and not as bytes.
+    An idempotency record is encoded only when it is written to the socket, so thousands of queued records are
+    held as references and not as bytes.
     """
 
     message: PeerProcessMessage
@@ -165,30 +166,30 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHandoverComplete:
-    """Notify the successor that all idempotency records were sent: it may accept clients."""
+    """Notify the successor that all idempotency records were sent, so that it may accept clients."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReserveDescriptors:
-    """Reserve this number of file descriptors for the peer process."""
+    """Reserve ``count`` file descriptors for the peer process; 0 releases them."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetAccepting:
-    """Accept new connections, or leave them to the successor and close the present ones."""
+    """Accept new connections, or leave them to the successor and ask clients to close the existing ones."""
 
     accepting: bool
 
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """Log a line for the operators; a detail is logged at the level DEBUG."""
+    """Write a line to the log for operators."""
 
     text: str
-    event: str = "decision.note"
-    is_detail: bool = False
+    event: str = "decision.note"  # name of the log event
+    is_detail: bool = False  # log at the level DEBUG instead of INFO
 
 
 Command = StartRun | StopRun | DeliverReply | SkipCall
--- a/snowthread/core/events.py
+++ b/snowthread/core/events.py
@@ -1,7 +1,7 @@
-"""What can happen to a node, independent of any protocol: the codecs translate into these events.
+"""The events that the reducer handles; the codecs translate each protocol into them.
 
-Points in time (``..._at_ms``) are float Unix milliseconds, lengths of time (``..._ms``) are float
-milliseconds.
+Timestamps (``..._at_ms``) are Unix times in milliseconds and durations (``..._ms``) are milliseconds, both as
+floats.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from snowthread.admission.settings import Outcome, Settings, Tenant
 
 ResponseAddress = tuple[int, int]
-"""Where a response goes: the number of the connection, and of the message on it.
+"""The destination of a response: the number of the connection and the number of the message on it.
 
-A plain tuple and no class, because one is made and hashed for each request.
+A plain tuple is cheaper than a class; one is created and hashed for each request.
 """
 
 
@@ -29,20 +29,20 @@
     attempt_id: str
     class_name: str
     body: bytes
-    arrived_at_ms: float  # when it reached the machine; it is read later, where the node is busy
-    timeout_ms: float | None  # from ``arrived_at_ms``; None: the deadline of the class applies
-    caller_id: int  # of the balancer
-    memory_kb: float  # that it occupies while it is queued
-    rank: float  # among the requests of its class, 0 to 1
+    arrived_at_ms: float  # when the request reached the machine, which may be well before it is read
+    timeout_ms: float | None  # counted from ``arrived_at_ms``; None if the deadline of the class applies
+    caller_id: int  # identifies the balancer that sent the request
+    memory_kb: float  # memory that the request occupies while it is queued
+    rank: float  # rank among the requests of its class, from 0 to 1
     idempotency_key: str | None = None
     partition_key: str = ""
-    tenant: str = ""  # where tenants are identified
+    tenant: str = ""  # name of the tenant; empty unless the node identifies tenants
 
 
 def with_tenant(request: RequestReceived, tenant: str) -> RequestReceived:
-    """Return the same request with this tenant.
+    """Return a copy of the request that belongs to this tenant.
 
-    The fields are written out because dataclasses.replace takes three times as long.
+    The fields are passed one by one because ``dataclasses.replace`` takes three times as long.
     """
     return RequestReceived(
         request.response_address,
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """No answer is owed any more: the client cancelled the request, or its connection closed."""
+    """The client cancelled a request or closed its connection, so no response is owed any more."""
 
     response_address: ResponseAddress
 
@@ -81,15 +81,16 @@
 class RuntimeConnected:
     """A link to the runtime was established."""
 
-    starts_cold: bool  # the runtime is warming up
-    runtime_age_ms: float  # since the runtime started
+    starts_cold: bool  # whether the runtime reports that it has just started and is still warming up
+    runtime_age_ms: float  # time since the runtime started
 
 
 @dataclass(frozen=True, slots=True)
 class RuntimeDisconnected:
-    """The link to the runtime broke."""
+    """The link to the runtime was lost."""
 
-    unsent_commands: tuple[object, ...] = ()  # no byte of them was written; only those for runs matter
+    # Commands of which no byte was written. The reducer ignores those that don't concern a run.
+    unsent_commands: tuple[object, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +100,7 @@
     attempt_id: str
     outcome: Outcome
     duration_ms: float
-    result: bytes  # of a run that succeeded
+    result: bytes  # the result if the run succeeded, else ignored
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,15 +108,15 @@
     """The runtime rejected a command for a run."""
 
     attempt_id: str
-    is_start: bool  # else a later command
+    is_start: bool  # whether it rejected the start command, and not a later one
 
 
 @dataclass(frozen=True, slots=True)
 class LoadSampleReceived:
-    """A load sample of the runtime: its gauges, in the order of the configuration."""
+    """A load sample of the runtime was read."""
 
-    tag: str  # of the request that it answers
-    values: tuple[float, ...]
+    tag: str  # the tag of the load sample request that this sample answers
+    values: tuple[float, ...]  # the values of the gauges, in the configured order
 
 
 # Downstream calls.
@@ -123,21 +124,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequested:
-    """A run waits for a downstream call."""
+    """A run requested a downstream call and waits for it."""
 
     attempt_id: str
-    notice_number: int  # of the notice that requests the call: a command to skip the call names it
+    notice_number: int  # number of the notice that requests the call; a command to skip the call refers to it
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CallCompleted:
-    """A call to the formula database ended."""
+    """A downstream call to the formula database ended."""
 
     attempt_id: str
     outcome: Outcome
     duration_ms: float
-    reply: bytes = b""  # to a call that succeeded
+    reply: bytes = b""  # the body of the reply if the call succeeded
 
 
 # Timers.
@@ -145,14 +146,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer of the admission controller is due."""
+    """A timer of the admission controller expired."""
 
-    label: int  # which one, as the controller labelled it
+    label: int  # identifies the timer to the controller
 
 
 @dataclass(frozen=True, slots=True)
 class LoadSampleDue:
-    """A load sample should be requested, ahead of a timer."""
+    """It is time to request the load sample for the next update of the admission controller."""
 
 
 # Operators and configuration.
@@ -160,25 +161,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The process will be killed ``time_left_ms`` from now."""
+    """The process was told to shut down and will be killed ``time_left_ms`` from now."""
 
     time_left_ms: float
-    notice_age_ms: float = 0.0  # how long ago the notice was received
+    notice_age_ms: float = 0.0  # time since the shutdown notice was received
 
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """The operators drain the node, or put it back in the registry. It serves requests either way."""
+    """An operator drained the node or resumed it. Requests are served in either case."""
 
-    drain: bool
+    drain: bool  # True to take the node out of the registry, False to register it again
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsReloaded:
-    """The configuration was reloaded: the settings, and the names of the gauges in their order."""
+    """The configuration was reloaded."""
 
     settings: Settings
-    gauge_names: tuple[str, ...]
+    gauge_names: tuple[str, ...]  # names of the gauges, in the order of the values in a load sample
 
 
 @dataclass(frozen=True, slots=True)
@@ -187,7 +188,7 @@
 
     changed: tuple[Tenant, ...] = ()
     removed: frozenset[str] = frozenset()
-    over_quota_weight: float | None = None  # priority factor of requests over their quota; None: as before
+    over_quota_weight: float | None = None  # priority factor of requests over quota; None leaves it unchanged
 
 
 # Recovery.
@@ -195,17 +196,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CallPacingChanged:
-    """The limit of concurrent calls during recovery changed; some of the calls wait to be sent."""
+    """The limit of concurrent downstream calls during recovery changed.
 
-    concurrent_calls: float = 0.0  # 0: as the settings say
+    Calls beyond the limit wait to be sent.
+    """
+
+    concurrent_calls: float = 0.0  # 0 ends the pacing, so that the configured limit applies again
 
 
 @dataclass(frozen=True, slots=True)
 class LearnedStateRestored:
-    """What an earlier incarnation of this node learned is valid: the controller begins with it."""
+    """The learned state of an earlier incarnation was found valid; the controller starts from it."""
 
     learned_state: LearnedState
-    relative_speed: float  # of the machine now, as a ratio to its warm speed
+    relative_speed: float  # present speed of the machine as a ratio of its speed when warm
 
 
 # The peer process of a hot restart.
@@ -215,39 +219,39 @@
 class PeerProcessConnected:
     """The peer process of a hot restart connected."""
 
-    is_predecessor: bool  # whether this process is the older one, which decides claims of keys
+    is_predecessor: bool  # whether this process, not the peer, is the older one and decides claims of keys
 
 
 @dataclass(frozen=True, slots=True)
 class PeerLoadReported:
-    """What the peer process uses of the limits that both share."""
+    """The peer process reported what it uses of the limits that both processes share."""
 
     runs: int
-    memory_kb: float  # booked
-    calls: int  # in flight
-    descriptors: int = 0  # file descriptors in use
+    memory_kb: float  # memory booked for the requests of the process
+    calls: int  # number of downstream calls in flight
+    descriptors: int = 0  # number of file descriptors in use
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReady:
-    """The successor accepts the connections of clients from now on."""
+    """The successor process now accepts the connections of clients."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessExited:
-    """The peer process exited; all its messages were read."""
+    """The peer process exited, and all its messages were read."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyReplicated:
-    """The peer process owns a key, or owns it until another time than before."""
+    """The peer process reported a key that it owns, or a new expiry of such a key."""
 
     idempotency_key: str
     attempt_id: str
     expires_at_ms: float
     body_digest: bytes
     completed: bool
-    result: bytes | None  # None: there is none, or it was dropped
+    result: bytes | None  # None if there is no result or it was dropped
 
 
 @dataclass(frozen=True, slots=True)
@@ -255,29 +259,29 @@
     """The run of an attempt of the peer process ended."""
 
     attempt_id: str
-    result: bytes | None  # None: it failed
+    result: bytes | None  # None if the run failed
 
 
 @dataclass(frozen=True, slots=True)
 class KeyReleased:
-    """An attempt of the peer process released its key: it never ran."""
+    """An attempt of the peer process released its key because it never ran."""
 
     attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class KeyClaimRequested:
-    """The successor claims a key for an attempt."""
+    """The successor process claims an idempotency key for an attempt."""
 
     idempotency_key: str
     attempt_id: str
-    arrived_at_ms: float  # when the request of this attempt reached the machine
+    arrived_at_ms: float  # when the attempt reached the machine
     body_digest: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class KeyClaimDecided:
-    """The predecessor decided on a claim."""
+    """The predecessor process granted or denied a claim of an idempotency key."""
 
     idempotency_key: str
     attempt_id: str
@@ -286,7 +290,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyClaimTimedOut:
-    """A request has waited too long for the decision on its key."""
+    """The wait of a request for the decision on its key claim timed out."""
 
     response_address: ResponseAddress
 
--- a/snowthread/core/idempotency.py
+++ b/snowthread/core/idempotency.py
@@ -1,6 +1,6 @@
 """Idempotency records: which attempt owns a key, until when, and how its run ended.
 
-Pure: times are float Unix milliseconds passed in; nothing here reads a clock or a socket.
+This module reads neither a clock nor a socket: all times are passed in, as Unix times in milliseconds.
 """
 
 from __future__ import annotations
@@ -11,18 +11,23 @@
 from hashlib import blake2b
 
 DIGEST_BYTES = 16
-MAX_RESULT_BYTES = 24 * 2**20  # of all results retained; the oldest are dropped, and their retries fail
-LATE_READ_ALLOWANCE_MS = 8_000.0  # a retry that arrived within the window may be read so much later
+# Total size of the retained results. Beyond it the oldest results are dropped, and their retries fail.
+MAX_RESULT_BYTES = 24 * 2**20
+# Records are kept this long past their expiry: a busy node may read a retry that much after its arrival.
+LATE_READ_ALLOWANCE_MS = 8_000.0
 
 
 def key_digest(idempotency_key: str) -> bytes:
-    """Return a digest of a key of :data:`DIGEST_BYTES` bytes, for what outlives the process."""
+    """Return a digest of an idempotency key, :data:`DIGEST_BYTES` long, to be stored beyond this process."""
     return blake2b(idempotency_key.encode(), digest_size=DIGEST_BYTES).digest()
 
 
 @dataclass(slots=True)
 class IdempotencyRecord:
-    """One idempotency key and the attempt that owns it; ``result`` is None until the run succeeded."""
+    """An idempotency key and the attempt that owns it.
+
+    ``result`` is None until the run has succeeded, and again once the result was dropped to save memory.
+    """
 
     idempotency_key: str
     request_number: int
@@ -31,16 +36,16 @@
     body_digest: bytes  # another body under the same key is a conflict, not a retry
     completed: bool = False
     result: bytes | None = None
-    owned_by_peer: bool = False  # owned by the peer process, not by a request here
-    class_name: str = ""  # empty where it is owned by the peer process and not known
-    followers: list[int] = field(default_factory=list)  # retries here that wait for a run in the peer process
+    owned_by_peer: bool = False  # whether the peer process of a hot restart owns the key
+    class_name: str = ""  # empty for a key of the peer process, which does not report the class
+    followers: list[int] = field(default_factory=list)  # retries here that wait for a run of the peer process
 
 
 class IndeterminateKeys:
-    """Keys that an earlier incarnation of this node may have run, with unknown end.
+    """Keys that an earlier incarnation of this node may have run, with an unknown outcome.
 
-    They are never run within their windows. Until ``all_keys_until_ms`` it is not known which keys they are
-    either, so every key counts as one of them.
+    No request with such a key is run before the key expires. Until ``all_keys_until_ms`` the set of these
+    keys is not known either, so every key is treated as one of them.
     """
 
     def __init__(self, expires_at_ms_by_digest: dict[bytes, float], all_keys_until_ms: float) -> None:
@@ -52,7 +57,7 @@
         return len(self._expires_at_ms_by_digest)
 
     def may_have_run(self, idempotency_key: str, arrived_at_ms: float) -> bool:
-        """Return whether a request with this key may be a retry of one that ran."""
+        """Return whether a request that arrived at this time may be a retry of one that has run."""
         return arrived_at_ms < self.all_keys_until_ms or (
             arrived_at_ms < self.last_expiry_ms
             and arrived_at_ms < self._expires_at_ms_by_digest.get(key_digest(idempotency_key), 0.0)
@@ -62,8 +67,8 @@
 class IdempotencyTable:
     """Idempotency records by key, by attempt and by request number.
 
-    A record leaves when it expires or is removed, never because a response went out or a request was
-    cancelled: a retry has to find what ran, whatever became of its original.
+    A record is dropped only when it expires or is removed. It outlives the response to its request and the
+    cancellation of its request, because a retry has to find the result of the run in any case.
     """
 
     def __init__(self, max_result_bytes: int = MAX_RESULT_BYTES) -> None:
@@ -71,17 +76,18 @@
         self._by_key: dict[str, IdempotencyRecord] = {}
         self._by_number: dict[int, IdempotencyRecord] = {}
         self._by_attempt_id: dict[str, IdempotencyRecord] = {}
-        self._purges: list[tuple[float, int]] = []  # a heap of (time in ms, request number)
-        self._result_sizes: OrderedDict[int, int] = OrderedDict()  # bytes by request number, oldest first
+        self._purges: list[tuple[float, int]] = []  # heap of (Unix time in ms, request number)
+        self._result_sizes: OrderedDict[int, int] = OrderedDict()  # request number -> bytes, oldest first
         self._result_bytes = 0
 
     def __len__(self) -> int:
         return len(self._by_number)
 
     def put(self, entry: IdempotencyRecord, now_ms: float) -> IdempotencyRecord:
-        """Enter a record, or renew the one of the same request until the new expiry; return the one in use.
+        """Add a record and return the one that is in effect.
 
-        The record of an older request with the same key is removed.
+        If the request already has a record, that record is kept and only takes over the new expiry. The
+        record of another request with the same key is removed.
         """
         self._purge(now_ms)
         number = entry.request_number
@@ -97,30 +103,40 @@
         return record
 
     def extend_window(self, class_name: str, longer_ms: float) -> None:
-        """Let the records of a class expire later, as its window is longer now."""
+        """Let the records of a class expire ``longer_ms`` later, after its idempotency window was extended.
+
+        Records without a known class are extended too.
+        """
         for record in self._by_number.values():
             if record.class_name in (class_name, ""):
                 record.expires_at_ms += longer_ms
                 self._schedule_purge(record)
 
     def conflicts_with(self, idempotency_key: str, body_digest: bytes) -> bool:
-        """Return whether the key stands for another body, whose result must not answer this one."""
+        """Return whether the key is recorded with another body, whose result must not answer this one."""
         record = self._by_key.get(idempotency_key)
         return record is not None and record.body_digest != body_digest
 
     def owner_at(self, idempotency_key: str, arrived_at_ms: float) -> int | None:
-        """Return the request that owns the key for a retry that arrived then, however late it is read."""
+        """Return the number of the request that owned the key at this time, or None.
+
+        A retry is matched by its time of arrival, however late the node reads it.
+        """
         record = self._by_key.get(idempotency_key)
         return record.request_number if record is not None and arrived_at_ms < record.expires_at_ms else None
 
     def remove(self, request_number: int) -> None:
-        """Remove the record of a request that never ran."""
+        """Remove the record of a request that never ran, so that its key is free again."""
         record = self._by_number.get(request_number)
         if record is not None:
             self._remove(record)
 
     def complete(self, attempt_id: str, result: bytes | None) -> None:
-        """Record the end of a run, with a result or without; a result stays, whatever is reported later."""
+        """Record the end of a run; ``result`` is None if it failed.
+
+        A result that was recorded stays, whatever is reported later. If the results exceed their total size
+        limit, the oldest ones are dropped.
+        """
         record = self._by_attempt_id.get(attempt_id)
         if record is None or record.result is not None:
             return
@@ -135,7 +151,7 @@
                 self._by_number[number].result = None
 
     def find_by_attempt(self, attempt_id: str) -> IdempotencyRecord | None:
-        """Return the record that the attempt owns."""
+        """Return the record of the key that the attempt owns, or None."""
         return self._by_attempt_id.get(attempt_id)
 
     def records(self) -> list[IdempotencyRecord]:
@@ -143,7 +159,7 @@
         return list(self._by_number.values())
 
     def find_by_number(self, request_number: int) -> IdempotencyRecord | None:
-        """Return the record that the request owns."""
+        """Return the record of the key that the request owns, or None."""
         return self._by_number.get(request_number)
 
     def _schedule_purge(self, record: IdempotencyRecord) -> None:
--- a/snowthread/core/reducer.py
+++ b/snowthread/core/reducer.py
@@ -1,9 +1,9 @@
-"""The one place where the state of a node changes: an event in, the effects that it causes out.
+"""The reducer: the only entry point that changes the state of a node.
 
-Each concern has a module of its own with handlers registered by event type: arrivals, ends of runs, the
-link to the runtime, downstream calls, load samples, shutdown, settings, and for a hot restart the peer
-process, key claims and key replication. The actions of the admission controller are carried out by
-``action_handlers``.
+:func:`reduce` takes one event and returns the effects that it causes. Each concern has its own module, which
+registers handlers by event type: arrivals, ends of runs, the link to the runtime, downstream calls, load
+samples, shutdown, settings, and for a hot restart the peer process, key claims and key replication.
+``action_handlers`` carries out the actions of the admission controller.
 """
 
 from __future__ import annotations
@@ -41,7 +41,13 @@
 
 
 def reduce(state: NodeState, event: events.Event, now_ms: float, /) -> list[effects.Effect]:
-    """Handle one event at this time (Unix milliseconds) and return its effects, in order."""
+    """Handle one event and return its effects, in order.
+
+    Args:
+        state: the state of the node, which is changed in place.
+        event: the event to handle.
+        now_ms: the current Unix time in milliseconds.
+    """
     transition = Transition(state, now_ms, ACTION_HANDLERS)
     EVENT_HANDLERS[type(event)](transition, event)
     return transition.effects
--- a/snowthread/core/request_lifecycle.py
+++ b/snowthread/core/request_lifecycle.py
@@ -1,27 +1,27 @@
-"""The ways in which a request is answered and leaves the node.
+"""The life cycle of a request: its phases, its final response, and its removal from the node.
 
-States of a request (:class:`~snowthread.core.state.RequestPhase`) and what moves it on. Actions are those of
-the admission controller; *finished* means that the request is no longer in the state. A request that is
-RUNNING has a :class:`~snowthread.core.run.Run` with states of its own.
+The table shows the phases of a request (:class:`~snowthread.core.state.RequestPhase`) and the events and
+actions that change them. The actions are those of the admission controller. *Finished* means that the request
+was removed from the state. A RUNNING request has a :class:`~snowthread.core.run.Run` with its own states.
 
 =================  =========================================  ===================================
 phase              event or action                            next
 =================  =========================================  ===================================
 (none)             ``RequestReceived``                        QUEUED, or answered at once
 QUEUED             action ``StartRun``                        RUNNING
-QUEUED             action ``AwaitOriginal``                   AWAITING_ORIGINAL, or finished where
-                                                              the original is over already
+QUEUED             action ``AwaitOriginal``                   AWAITING_ORIGINAL, or finished if the
+                                                              original has already ended
 QUEUED             action ``Reject``, ``Fail``;               finished
                    ``RequestCancelled``
-RUNNING            action ``Reject``, ``Fail``;               RUNNING until its run ends, with no
-                   ``RequestCancelled``                       answer owed any more
+RUNNING            action ``Reject``, ``Fail``;               RUNNING until its run ends; no further
+                   ``RequestCancelled``                       response is owed
 RUNNING            action ``StopRun``                         RUNNING until the runtime confirms
-RUNNING            ``RunCompleted``: cancelled, and an        QUEUED
-                   answer is owed
-RUNNING            ``RunCompleted``: any other                finished
+RUNNING            ``RunCompleted``: cancelled, and a         QUEUED
+                   response is owed
+RUNNING            ``RunCompleted``: any other outcome        finished
 RUNNING            action ``ForgetLostRun``: the run is       finished
                    presumed lost
-AWAITING_ORIGINAL  the original's run ends                    finished, with the original's result
+AWAITING_ORIGINAL  the run of the original ends               finished with the original's result
 AWAITING_ORIGINAL  action ``Reject``, ``Fail``;               finished
                    ``RequestCancelled``
 =================  =========================================  ===================================
@@ -40,7 +40,11 @@
 def answer_request(
     transition: Transition, request: Request, response: effects.Served | effects.Rejected | effects.Failed
 ) -> None:
-    """Send the final response, unless no answer is owed any more: a late result is no second response."""
+    """Send the final response to a request, at most once.
+
+    Nothing is sent if the request was already answered or cancelled: a result that arrives late must not
+    become a second response.
+    """
     if request.response_address is not None:
         transition.respond(request.response_address, response)
         transition.state.requests_by_response_address.pop(request.response_address, None)
@@ -48,7 +52,7 @@
 
 
 def finish_request(transition: Transition, request: Request, result: bytes | None) -> None:
-    """Remove the request from the node and give its followers the result (None: failed)."""
+    """Remove a request from the node and answer its followers with the result; None means that it failed."""
     state = transition.state
     if state.requests.pop(request.number, None) is None:
         return
@@ -67,7 +71,7 @@
 def complete_followers(
     transition: Transition, original: Request | IdempotencyRecord, result: bytes | None
 ) -> None:
-    """Finish all requests that wait for the original with its result (None: failed)."""
+    """Finish all retries that wait for the original with its result; None means that the original failed."""
     followers = original.followers
     original.followers = []
     for number in followers:
@@ -77,7 +81,7 @@
 
 
 def finish_follower(transition: Transition, follower: Request, result: bytes | None) -> None:
-    """Answer a retry with the result of its original (None: failed), and finish it."""
+    """Answer a retry with the result of its original and finish it; None means that the original failed."""
     response = effects.Failed(follower.attempt_id) if result is None else effects.Served(result)
     answer_request(transition, follower, response)
     finish_request(transition, follower, None)
@@ -91,7 +95,7 @@
 
 
 def cancel_call(transition: Transition, request: Request) -> None:
-    """Cancel the downstream call in flight for the request's run, if there is one."""
+    """Cancel the downstream call of the request's run, if one is in flight."""
     run = request.run
     if run is not None and run.call_in_flight:
         run.call_in_flight = False
@@ -99,6 +103,6 @@
 
 
 def finish_unless_running(transition: Transition, request: Request) -> None:
-    """Finish a request that was answered or cancelled; one that runs stays until its run ends."""
+    """Finish a request that was answered or cancelled; one that is running stays until its run ends."""
     if request.phase is not RequestPhase.RUNNING:
         finish_request(transition, request, None)
--- a/snowthread/core/resync_log.py
+++ b/snowthread/core/resync_log.py
@@ -1,4 +1,4 @@
-"""Log notes on the link to the runtime: what a break leaves open, and what becomes of each run."""
+"""Log messages on the link to the runtime: its state when it is lost, and the status of each run after it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def log_link_lost(transition: Transition, unsent_commands: int) -> None:
-    """Log, when a link broke, the count of runs, its limits, and the last load sample with its age."""
+    """Log the loss of a link, with the count of runs, its limits, and the last load sample and its age."""
     state = transition.state
     sample = _describe_load_sample(state, transition.now_ms)
     transition.emit(
@@ -26,7 +26,7 @@
 
 
 def log_link_ready(transition: Transition, queued_commands: int) -> None:
-    """Log how long there was no link, and how many commands were queued meanwhile."""
+    """Log that the link is back, how long there was none, and how many commands were queued meanwhile."""
     state = transition.state
     if not math.isfinite(state.disconnected_at_ms):
         return
@@ -41,7 +41,7 @@
 
 
 def log_run_status(transition: Transition, request: Request, status: str) -> None:
-    """Log, as a detail, what becomes of one run after a broken link."""
+    """Log the status of one run after a broken link, at the level DEBUG."""
     transition.emit(
         effects.LogMessage(f"runtime: run {request.attempt_id}: {status}", RUN_LOG_EVENT, is_detail=True)
     )
--- a/snowthread/core/runtime_resync.py
+++ b/snowthread/core/runtime_resync.py
@@ -1,28 +1,30 @@
-"""Resynchronisation with the runtime after a broken link: which runs go on, and which commands are repeated.
+"""Resynchronisation with the runtime after a broken link: which runs continue, which commands are repeated.
 
-1. The link breaks (:func:`runtime_disconnected`): each command is read, unsent or possibly lost.
-2. There is a link again (:func:`runtime_connected`): what was unsent is sent, and a load sample requested.
+1. When the link is lost (:func:`runtime_disconnected`), each command is classified as read, unsent or
+   possibly lost.
+2. On the next link (:func:`runtime_connected`) the node sends the unsent commands and requests a load sample.
    The runtime first repeats the notices that the node missed.
-3. The sample arrives (:func:`resume_runs`): all missed notices were read, so a run without a notice is where
-   its last command put it, unless that command may be lost.
+3. When that sample arrives (:func:`resume_runs`), all missed notices were read. A run without a notice is
+   therefore in the state that its last command led to, unless that command may have been lost.
 
-A run whose start or last reply may be lost and must not be sent again is reported to the controller as
-indeterminate. It counts as running until the runtime reports something of it, or until it is presumed lost
+A run whose start or last reply may be lost and must not be sent again is reported to the admission controller
+as indeterminate. It counts as running until the runtime sends a notice of it, or until it is presumed lost
 and forgotten (:mod:`snowthread.admission.lost_runs`).
 
-Limits:
+Limitations:
 
 - Only runs that were reported as indeterminate can be presumed lost. A run with a confirmed start and no
-  answer owed at the resynchronisation is not reported: it counts until the runtime reports its end.
-- Such a run may wait for a reply that was lost with the link. With ``Preemption.NONE`` it gets neither that
-  reply nor a stop.
-- A call skipped for a run that is REPLY_INDETERMINATE leaves the state and the link number of the run as they
-  are. If the skip may be lost with a second link, it is not sent again.
-- While :data:`~snowthread.clients.runtime.LOAD_SAMPLE_QUEUE_LIMIT` commands are unsent, requests for samples
-  are dropped, also the one that ends the resynchronisation. Then the runs of earlier links are not
+  response owed at the resynchronisation is not reported: it counts until the runtime reports its end.
+- A run of this kind may be waiting for a reply that was lost with the link. With ``Preemption.NONE`` the node
+  sends it neither that reply nor a stop.
+- A call that is skipped for a REPLY_INDETERMINATE run changes neither the state nor the link number of the
+  run. If the skip may be lost with a second link, it is not sent again.
+- While :data:`~snowthread.clients.runtime.LOAD_SAMPLE_QUEUE_LIMIT` commands are unsent, load sample requests
+  are dropped, including the one that ends the resynchronisation. The runs of earlier links are then not
   resynchronised before the next link.
-- The runtime is assumed not to restart while the node serves. Its age and ``starts_cold`` are only read when
-  it connects before there is a controller: not on later links, nor after a first request.
+- The runtime is assumed not to restart while the node serves. Its age and ``starts_cold`` are read only when
+  it connects before the admission controller was created: not on later links, and not if a request arrived
+  first.
 """
 
 from __future__ import annotations
@@ -42,14 +44,15 @@
 
 
 def sync_tag(link_number: int) -> str:
-    """Return the tag of the load sample whose arrival shows that all notices missed were read."""
+    """Return the tag of the load sample whose arrival proves that all missed notices were read."""
     return f"sync-{link_number}"
 
 
 def runtime_connected(transition: Transition, event: events.RuntimeConnected) -> None:
-    """Send the commands that waited for a link, and request the sample that ends the resynchronisation.
+    """Send the queued commands and request the load sample that ends the resynchronisation.
 
-    Before there is a controller, ``starts_cold`` of the settings becomes true where the runtime is cold.
+    If there is no admission controller yet, it is created as of the start of the runtime, and the setting
+    ``starts_cold`` becomes true if the runtime reports that it is cold.
     """
     state = transition.state
     if state.controller is None:
@@ -64,7 +67,7 @@
     queued_commands = state.unsent_commands
     state.unsent_commands = []
     log_link_ready(transition, len(queued_commands))
-    if is_first_link:  # runs that an earlier process of this node began may go on
+    if is_first_link:  # the runtime may still run requests that an earlier process of this node started
         transition.dispatch(admission_events.RunCountUncertain())
     for command in queued_commands:
         if command.attempt_id in state.requests_by_attempt_id:
@@ -73,7 +76,7 @@
 
 
 def runtime_disconnected(transition: Transition, event: events.RuntimeDisconnected) -> None:
-    """Mark the commands that may be lost, and queue those of which nothing was written."""
+    """Mark the commands that may be lost, and queue those of which no byte was written."""
     state = transition.state
     state.runtime_connected = False
     state.disconnected_at_ms = transition.now_ms
@@ -95,12 +98,13 @@
 
 def _update_last_command(command_log: CommandLog, run: Run) -> None:
     sent = run.last_command
-    if sent is not None and sent.link_number == command_log.link_number:  # else judged when that link broke
+    # A command of an earlier link was already classified when that link was lost.
+    if sent is not None and sent.link_number == command_log.link_number:
         run.record_link_lost(last_command_read=command_log.was_read(sent))
 
 
 def resume_runs(transition: Transition) -> None:
-    """Resynchronise the runs begun on an earlier link, once all notices missed were read."""
+    """Resynchronise the runs of earlier links, once all missed notices were read."""
     state = transition.state
     for request in list(state.requests.values()):
         run = request.run
@@ -109,28 +113,28 @@
 
 
 def _resume_run(transition: Transition, request: Request, run: Run) -> None:
-    """Carry a run over to the present link, repeat its last command, or report it as indeterminate.
+    """Continue a run on the current link, repeat its last command, or report the run as indeterminate.
 
-    A start that may be lost and is safe to repeat, or a skipped call, is sent again: nothing happens where it
-    had arrived. A start with side effects never is, for if its run ended just now it would run twice; nor is
-    a reply, which the run might take for that to its next call. What becomes of these is for the controller
-    to decide.
+    The start of an idempotent class and the skip of a call are sent again if they may be lost: the runtime
+    ignores them if they had arrived. The start of a class with side effects is never repeated, because the
+    request would run twice if its run has just ended. A reply is never repeated, because the run might take
+    it for the reply to its next call. The admission controller decides what happens to such runs.
     """
     sent = run.last_command
     if request.response_address is None or run.stop_requested:
         _resume_abandoned_run(transition, request, run)
     elif run.is_indeterminate:
-        return  # since an earlier break: only a notice can change that
+        return  # already indeterminate since an earlier link; only a notice from the runtime can change that
     elif sent is None or run.pending_call_notice is not None or not run.last_command_may_be_lost:
-        log_run_status(transition, request, "resumed: no command lost")
+        log_run_status(transition, request, "resumed; no command was lost")
         run.link_number = transition.state.link_number
     elif _is_repeatable(sent.command, request.request_class):
-        log_run_status(transition, request, "its last command may be lost: sent again")
+        log_run_status(transition, request, "last command may be lost; sending it again")
         run.link_number = transition.state.link_number
         send_command(transition, sent.command)
     else:
         run.mark_indeterminate()
-        log_run_status(transition, request, "indeterminate: its last command may be lost")
+        log_run_status(transition, request, "indeterminate; last command may be lost and can't be repeated")
         is_at_call = isinstance(sent.command, effects.DeliverReply)
         if is_at_call:
             run.pending_call_notice = run.answered_call_notice
@@ -138,39 +142,40 @@
 
 
 def _is_repeatable(command: effects.Command, request_class: RequestClass) -> bool:
-    """Return whether a command that may have arrived can be sent again without harm."""
+    """Return whether a command can safely be sent again although it may have arrived."""
     if isinstance(command, effects.StartRun):
         return request_class.idempotency is Idempotency.IDEMPOTENT
     return isinstance(command, effects.SkipCall)
 
 
 def _resume_abandoned_run(transition: Transition, request: Request, run: Run) -> None:
-    """Send the stop of a run to which no answer is owed once more.
+    """Send a stop for a run to which no response is owed, on the current link, if runs can be stopped.
 
-    Such a run is not over: until the runtime reports its end it is on the cores, and counted.
+    The run is not considered ended: until the runtime reports its end, it occupies cores and is counted.
     """
     state = transition.state
     run.link_number = state.link_number
     if state.settings.preemption is not Preemption.NONE:
         run.stop_requested = True
         if run.stop_command is None or run.stop_command.link_number != state.link_number:
-            log_run_status(transition, request, "no answer is owed: stop sent")
+            log_run_status(transition, request, "no response is owed; stopping the run")
             send_command(transition, effects.StopRun(request.attempt_id))
     if not run.is_start_confirmed:
         transition.dispatch(admission_events.RunIndeterminate(request.number))
 
 
 def end_runs_that_never_started(transition: Transition) -> None:
-    """End runs whose start may be lost and whose stop was read, on a later link, without a notice of an end.
+    """End runs whose start was lost, as shown by a stop that the runtime read on a later link.
 
-    Were such a run there, the stop would have ended it, and the notice would have come before the echo.
+    If the runtime had such a run, the stop would have ended it, and the notice of its end would have arrived
+    before the echo that confirms the stop.
     """
     state = transition.state
     for request in list(state.requests.values()):
         run = request.run
         if run is not None and request.response_address is None and _never_started(state.command_log, run):
             log_run_status(
-                transition, request, "ended: its stop was read and no end reported, so it never ran"
+                transition, request, "never ran; the runtime read its stop command and reported no end"
             )
             run_completed(transition, events.RunCompleted(request.attempt_id, Outcome.CANCELLED, 0.0, b""))
 
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -1,6 +1,6 @@
-"""The state of a node; only the reducer and its handlers change it.
+"""The state of a node, which only the reducer and its handlers change.
 
-Points in time (``..._at_ms``, ``..._until_ms``) are float Unix milliseconds.
+Timestamps (``..._at_ms``, ``..._until_ms``) are Unix times in milliseconds, as floats.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from snowthread.core.run import Run
 
 MS_PER_S = 1000.0
-MIN_TIMESTAMP_S = 0.001  # to the controller a time of 0 means that there is none
+MIN_TIMESTAMP_S = 0.001  # smallest time passed to the admission controller, which reads 0 as "not set"
 
 
 class RequestPhase(Enum):
-    """The phase of a request; the table is in :mod:`snowthread.core.request_lifecycle`."""
+    """The phase of a request; :mod:`snowthread.core.request_lifecycle` documents the transitions."""
 
     QUEUED = 0
     RUNNING = 1
@@ -41,13 +41,13 @@
     """The role of this process in a hot restart."""
 
     STANDALONE = 0
-    PREDECESSOR = 1  # the older of two processes: decides claims of idempotency keys
-    SUCCESSOR = 2  # the newer one: claims a key before it runs a request with it
+    PREDECESSOR = 1  # the older of the two processes, which grants or denies claims of idempotency keys
+    SUCCESSOR = 2  # the newer of the two processes, which claims a key before it runs a request with it
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One attempt that was read; ``response_address`` is None once no answer is owed any more."""
+    """One attempt received from a balancer; ``response_address`` is None once no response is owed."""
 
     number: int
     attempt_id: str
@@ -56,17 +56,17 @@
     response_address: ResponseAddress | None
     idempotency_key: str | None
     original_number: int | None
-    read_at_ms: float  # or taken up anew, where it waited for a decision on its key
-    request_class: RequestClass  # as it was on arrival
-    memory_kb: float  # used while queued; multiplied by the running memory factor while it runs
-    body_digest: bytes = b""  # of class and body, where the class is keyed
+    read_at_ms: float  # when the request was read, or when its key claim ended if it had to wait for one
+    request_class: RequestClass  # the class as it was configured when the request arrived
+    memory_kb: float  # memory booked while queued; multiplied by the running memory factor while running
+    body_digest: bytes = b""  # digest of class name and body; empty unless the class is keyed
     phase: RequestPhase = RequestPhase.QUEUED
-    run: Run | None = None  # while the phase is RUNNING
-    followers: list[int] = field(default_factory=list)  # numbers of the retries that wait for its result
+    run: Run | None = None  # set only while the request is running
+    followers: list[int] = field(default_factory=list)  # numbers of the retries that wait for this result
 
     @property
     def call_in_flight(self) -> bool:
-        """Whether the run waits for a downstream call that was sent."""
+        """Whether the request has a run with a downstream call in flight."""
         return self.run is not None and self.run.call_in_flight
 
 
@@ -74,41 +74,40 @@
     """A claim of an idempotency key that the predecessor has not decided yet."""
 
     attempt_id: str  # the attempt that the key is claimed for
-    waiting_requests: list[
-        RequestReceived
-    ]  # all requests with this key; the claimant's first, unless cancelled
+    # All requests with this key, in order of arrival. The claimant comes first unless it was cancelled.
+    waiting_requests: list[RequestReceived]
 
 
 class AdmissionClock:
     """Converts between Unix milliseconds and the seconds of the admission controller.
 
-    The controller's zero lies a second before the start: to the controller a time of 0 means that there is
-    none.
+    The controller's clock starts at 1 s when the node starts, because the controller reads a time of 0 as
+    "not set".
     """
 
     def __init__(self, start_ms: float) -> None:
         self._zero_ms = start_ms - MS_PER_S
 
     def timestamp_s(self, now_ms: float) -> float:
-        """Return a point in time on the controller's clock."""
+        """Convert a Unix time in milliseconds to seconds on the controller's clock."""
         return max(MIN_TIMESTAMP_S, (now_ms - self._zero_ms) / MS_PER_S)
 
     @staticmethod
     def duration_s(duration_ms: float) -> float:
-        """Return a length of time in seconds."""
+        """Convert a duration from milliseconds to seconds."""
         return duration_ms / MS_PER_S
 
     @staticmethod
     def duration_ms(duration_s: float) -> float:
-        """Return a length of time in milliseconds."""
+        """Convert a duration from seconds to milliseconds."""
         return duration_s * MS_PER_S
 
 
 @dataclass(slots=True)
 class NodeState:
-    """The state of a node.
+    """The complete state of a node.
 
-    The controller is created when the runtime connects, or with the first request.
+    The admission controller is created when the runtime connects or when the first request arrives.
     """
 
     settings: Settings
@@ -116,7 +115,7 @@
     gauge_names: tuple[str, ...]
     admission_clock: AdmissionClock
     controller: Controller | None = None
-    pending_quotas: admission_events.TenantsChanged | None = None  # received before there was a controller
+    pending_quotas: admission_events.TenantsChanged | None = None  # held until the controller is created
     idempotency_table: IdempotencyTable = field(default_factory=IdempotencyTable)
     requests: dict[int, Request] = field(default_factory=dict)
     requests_by_attempt_id: dict[str, Request] = field(default_factory=dict)
@@ -124,36 +123,36 @@
     last_request_number: int = 0
     command_log: CommandLog = field(default_factory=CommandLog)
     runtime_connected: bool = False
-    disconnected_at_ms: float = -math.inf  # when the last link broke
-    reconnected_at_ms: float = -math.inf  # when there was a link again
-    unsent_commands: list[Command] = field(default_factory=list)  # in order; they wait for a link
-    load_sample: tuple[float, ...] = ()  # in the order of ``gauge_names``
+    disconnected_at_ms: float = -math.inf  # when the link to the runtime was last lost
+    reconnected_at_ms: float = -math.inf  # when the link to the runtime was last re-established
+    unsent_commands: list[Command] = field(default_factory=list)  # commands queued until the runtime connects
+    load_sample: tuple[float, ...] = ()  # gauge values, in the order of ``gauge_names``
     load_sample_at_ms: float = -math.inf
-    load_sample_used: bool = False  # for an update of the controller
+    load_sample_used: bool = False  # whether a controller update has already used the load sample
     last_sample_number: int = 0
-    last_stale_sample_number: int = 0  # up to this one the gauges had another order
-    load_report: float | None = None  # sent with each response
+    last_stale_sample_number: int = 0  # samples up to this number were requested with another gauge order
+    load_report: float | None = None  # the load value that is sent with each response
     healthy: bool = True
     shutting_down: bool = False
-    retired_until_ms: dict[str, float] = field(default_factory=dict)  # until when a removed class is served
-    drained: bool = False  # by the operators, until they undo it
+    retired_until_ms: dict[str, float] = field(default_factory=dict)  # removed class -> end of its service
+    drained: bool = False  # set by an operator's drain call and cleared by a resume call
     handover_role: HandoverRole = HandoverRole.STANDALONE
     peer_load: PeerLoadReported | None = None  # what the peer process uses of the shared limits
-    indeterminate_keys: IndeterminateKeys | None = None  # of an earlier incarnation
-    call_pacing: CallPacingChanged | None = None  # the limit during recovery
-    pending_learned_state: LearnedStateRestored | None = None  # waits until there is a controller
-    superseded: bool = False  # the successor takes new connections
-    pending_claims: dict[str, PendingClaim] = field(default_factory=dict)  # by idempotency key
+    indeterminate_keys: IndeterminateKeys | None = None  # keys that an earlier incarnation may have run
+    call_pacing: CallPacingChanged | None = None  # limit of concurrent downstream calls during recovery
+    pending_learned_state: LearnedStateRestored | None = None  # held until the controller is created
+    superseded: bool = False  # the successor process accepts the new connections
+    pending_claims: dict[str, PendingClaim] = field(default_factory=dict)  # undecided claims by their key
 
     @property
     def link_number(self) -> int:
-        """The number of links to the runtime so far."""
+        """The number of links to the runtime that were established so far."""
         return self.command_log.link_number
 
     @property
     def accepts_work(self) -> bool:
-        """Whether the node should be registered.
+        """Whether the registry should list the node as accepting work.
 
-        A process that shuts down does not withdraw the registration while its successor serves.
+        A process that shuts down while its successor serves leaves the registration in place.
         """
         return self.healthy and not self.drained and (self.superseded or not self.shutting_down)
