--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -1,4 +1,4 @@
-"""The actions of the admission controller, carried out on the state and as effects."""
+"""Handlers for the actions of the admission controller: each changes the state and emits effects."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def stop_run(transition: Transition, action: actions.StopRun) -> None:
-    """Preempt a run; one whose start was not sent yet is over at once."""
+    """Stop a run; one whose start command was not sent yet ends at once."""
     state = transition.state
     request = state.requests.get(action.request_id)
     run = None if request is None else request.run
@@ -49,17 +49,17 @@
 
 
 def forget_lost_run(transition: Transition, action: actions.ForgetLostRun) -> None:
-    """Finish a request whose run is presumed lost; its key stays taken, for it may have run."""
+    """Finish a request whose run is presumed lost; it may have run, so its idempotency key stays taken."""
     state = transition.state
     request = state.requests.get(action.request_id)
     if request is not None and request.run is not None:
-        log_run_status(transition, request, "presumed lost: no notice for longer than a run takes")
+        log_run_status(transition, request, "presumed lost; no notice for longer than a run takes")
         record_result(transition, request.attempt_id, None)
         finish_request(transition, request, None)
 
 
 def respond_finally(transition: Transition, action: actions.Reject | actions.Fail) -> None:
-    """Send the final answer of a request that does not get a result."""
+    """Send the final response to a request that gets no result."""
     state = transition.state
     request = state.requests.get(action.request_id)
     if request is None:
@@ -76,7 +76,7 @@
 
 
 def await_original(transition: Transition, action: actions.AwaitOriginal) -> None:
-    """Answer a retry from the result of its original, now or once there is one."""
+    """Answer a retry with the result of its original, at once or when the run of the original ends."""
     state = transition.state
     request = state.requests.get(action.request_id)
     if request is None or request.original_number is None:
@@ -96,7 +96,7 @@
 
 
 def remember_key(transition: Transition, action: actions.RememberKey) -> None:
-    """Enter the request's key into the idempotency table, and notify a peer process of it."""
+    """Add the request's key to the idempotency table, and report it to the peer process of a hot restart."""
     state = transition.state
     request = state.requests.get(action.request_id)
     if request is None or not request.idempotency_key:
@@ -115,7 +115,7 @@
 
 
 def forget_key(transition: Transition, action: actions.ForgetKey) -> None:
-    """Drop the request's key, which never ran, and notify a peer process of it."""
+    """Drop the key of a request that never ran, and report that to the peer process of a hot restart."""
     state = transition.state
     record = state.idempotency_table.find_by_number(action.request_id)
     state.idempotency_table.remove(action.request_id)
@@ -124,7 +124,7 @@
 
 
 def start_call(transition: Transition, action: actions.StartCall) -> None:
-    """Make the downstream call that a run waits for."""
+    """Make the downstream call that a run waits for, unless it is already in flight."""
     request = transition.state.requests.get(action.request_id)
     run = None if request is None else request.run
     if request is None or run is None or run.pending_call_notice is None or run.call_in_flight:
@@ -142,7 +142,7 @@
 
 
 def skip_call(transition: Transition, action: actions.SkipCall) -> None:
-    """Let a run go on without the downstream call that it waits for."""
+    """Let a run continue without the downstream call that it waits for."""
     request = transition.state.requests.get(action.request_id)
     run = None if request is None else request.run
     if request is not None and run is not None and run.pending_call_notice is not None:
@@ -151,36 +151,36 @@
 
 
 def set_timer(transition: Transition, action: actions.SetTimer) -> None:
-    """Schedule a timer of the controller."""
+    """Schedule a timer of the admission controller."""
     delay_ms = transition.state.admission_clock.duration_ms(action.delay_s)
     schedule_timer(transition, delay_ms, action.label)
 
 
 def set_health(transition: Transition, action: actions.SetHealth) -> None:
-    """Take the node into registration or out of it, as its health is."""
+    """Record the health of the node and report to the registry whether it accepts work."""
     state = transition.state
-    # A process that shuts down is reported unhealthy by its controller. If that were stored, it would
-    # withdraw the registration under which its successor serves (``NodeState.accepts_work``).
+    # The controller reports a process that shuts down as unhealthy. Storing that would withdraw the
+    # registration under which the successor of a hot restart serves (``NodeState.accepts_work``).
     if not state.shutting_down:
         state.healthy = action.healthy
     transition.emit(effects.SetRegistration(state.accepts_work))
 
 
 def publish_load(transition: Transition, action: actions.PublishLoad) -> None:
-    """Set the load report of the responses to come, unless the successor speaks for the node."""
+    """Set the load report of future responses, unless the successor process reports the load of the node."""
     if not transition.state.superseded:
         transition.state.load_report = action.value
 
 
 def set_idle_timeout(transition: Transition, action: actions.SetIdleTimeout) -> None:
-    """Set the idle timeout of connections; 0 stands for that of the settings."""
+    """Set the idle timeout of balancer connections; a timeout of 0 selects the configured one."""
     state = transition.state
     timeout_s = action.timeout_s or state.settings.idle_timeout_s
     transition.emit(effects.SetIdleTimeout(state.admission_clock.duration_ms(timeout_s)))
 
 
 def log_message(transition: Transition, action: actions.LogMessage) -> None:
-    """Log a message for the operators."""
+    """Log a message of the admission controller for operators."""
     transition.emit(effects.LogMessage(action.message.value))
 
 
--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -1,4 +1,4 @@
-"""Requests that arrive: checked, matched with their idempotency key, and handed to the controller."""
+"""Arriving requests: validation, idempotency key lookup, admission by the controller, and cancellation."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from snowthread.core.state import HandoverRole, NodeState, Request
 from snowthread.core.transition import HandlerTable, Transition
 
-MIN_TIME_LEFT_MS = 1.0  # reported for a request read past its deadline: 0 would mean that it has none
-DIGEST_KEY_MAX_BYTES = blake2b.MAX_KEY_SIZE  # of the class name, which is the key of the body's digest
+MIN_TIME_LEFT_MS = 1.0  # reported for a request that is read past its deadline; 0 would mean no deadline
+DIGEST_KEY_MAX_BYTES = blake2b.MAX_KEY_SIZE  # class names are cut to this length to key the body digest
 
 
 class _KeyMatch(NamedTuple):
-    """A request's idempotency key, and what the idempotency table knows of it."""
+    """The idempotency key of a request and the result of its lookup in the idempotency table."""
 
     idempotency_key: str | None
     body_digest: bytes
-    original_number: int | None  # the request that owns the key: this one is a retry of it
+    original_number: int | None  # number of the request that owns the key; None unless this one is a retry
 
 
-_NO_KEY = _KeyMatch(None, b"", None)  # of a request whose class is not keyed
+_NO_KEY = _KeyMatch(None, b"", None)  # for requests whose class is not keyed
 
 
 def request_digest(event: events.RequestReceived) -> bytes:
-    """Return a digest of the class and the body: what a retry under the same key has to ask for."""
+    """Return a digest of the class name and the body; a retry with the same key has to match both."""
     class_name = event.class_name.encode()[:DIGEST_KEY_MAX_BYTES]
     return blake2b(event.body, digest_size=DIGEST_BYTES, key=class_name).digest()
 
@@ -40,9 +40,12 @@
     event: events.RequestReceived,
     claim: ClaimDecision = ClaimDecision.UNDECIDED,
 ) -> None:
-    """Admit a request to the controller, answer it at once, or make it wait until its key is claimed.
+    """Pass a request to the admission controller, answer it at once, or let it wait for its key claim.
 
-    ``claim`` is what the predecessor process decided on the request's key, if it was asked.
+    Args:
+        transition: the context in which the event is handled.
+        event: the request.
+        claim: the decision of the predecessor process on the request's key, if there is one.
     """
     state = transition.state
     transition.ensure_controller()
@@ -50,7 +53,8 @@
     arrived_at_ms = min(event.arrived_at_ms, transition.now_ms)
     request_class = _find_class(state, event.class_name, transition.now_ms)
     if request_class is None or event.attempt_id in state.requests_by_attempt_id:
-        # An unknown class, or the same attempt while its run goes on: nothing can be promised.
+        # The class is unknown, or the attempt is already in progress: only a response that leaves open
+        # whether the request has run is correct.
         transition.respond(event.response_address, effects.Failed(event.attempt_id))
         return
     key = _NO_KEY
@@ -71,7 +75,7 @@
     arrived_at_ms: float,
     claim: ClaimDecision,
 ) -> _KeyMatch | None:
-    """Look up a request's key; return None where the request fails or waits until its key is claimed."""
+    """Look up a request's key; return None if the request was answered or waits for its key claim."""
     state = transition.state
     idempotency_key = event.idempotency_key
     body_digest = request_digest(event)
@@ -86,14 +90,14 @@
             )
             claim_key(transition, event, claim_request, request_class.deadline_s)
             return None
-        if claim is ClaimDecision.DENIED:  # another attempt owns the key and yet is unknown here
+        if claim is ClaimDecision.DENIED:  # an attempt that is unknown to this process owns the key
             transition.respond(event.response_address, effects.Failed(event.attempt_id))
             return None
     return _KeyMatch(idempotency_key, body_digest, original_number)
 
 
 def _release_unused_claim(transition: Transition, attempt_id: str) -> None:
-    """Give a key back to the predecessor if its request was rejected at once."""
+    """Release a granted key to the predecessor process if its request was rejected at once."""
     state = transition.state
     if (
         state.handover_role is HandoverRole.SUCCESSOR
@@ -103,7 +107,7 @@
 
 
 def _find_class(state: NodeState, name: str, now_ms: float) -> RequestClass | None:
-    """Return the class of this name, unless it was retired and its retention is over."""
+    """Return the class of this name, or None if it is unknown or its retention after removal has ended."""
     for request_class in state.settings.classes:
         if request_class.name == name:
             is_expired = state.retired_until_ms and state.retired_until_ms.get(name, now_ms) < now_ms
@@ -112,7 +116,11 @@
 
 
 def _is_key_usable(state: NodeState, idempotency_key: str, body_digest: bytes, arrived_at_ms: float) -> bool:
-    """Return False where the key stands for another body, or may have run in an earlier incarnation."""
+    """Return whether a request may use the key.
+
+    It may not if the key is recorded with another body, or if an earlier incarnation of the node may have run
+    a request with this key.
+    """
     table = state.idempotency_table
     if table.conflicts_with(idempotency_key, body_digest):
         return False
@@ -130,7 +138,7 @@
     arrived_at_ms: float,
     key: _KeyMatch,
 ) -> None:
-    """Enter the request into the state and hand it to the controller."""
+    """Add the request to the state and pass it to the admission controller."""
     state = transition.state
     request = Request(
         state.last_request_number,
@@ -154,7 +162,7 @@
 def _arrival_event(
     transition: Transition, event: events.RequestReceived, request: Request, arrived_at_ms: float
 ) -> admission_events.RequestArrived:
-    """Return the event that hands a request to the controller."""
+    """Return the admission event that passes a request to the controller."""
     clock = transition.state.admission_clock
     now_ms = transition.now_ms
     time_left_s = None
@@ -175,10 +183,10 @@
 
 
 def request_cancelled(transition: Transition, event: events.RequestCancelled) -> None:
-    """Settle a request to which no answer is owed any more.
+    """Handle the cancellation of a request by its client.
 
-    Where runs can be stopped its run is stopped, if it has one, and retries that wait for its result then
-    fail; elsewhere the run goes on to its end.
+    If runs can be stopped, the run of the request is stopped, and retries that wait for its result then fail.
+    Otherwise the run continues to its end.
     """
     request = transition.state.requests_by_response_address.pop(event.response_address, None)
     if request is None:
@@ -196,23 +204,23 @@
 
 
 def key_claim_decided(transition: Transition, event: events.KeyClaimDecided) -> None:
-    """Take up the requests that waited for the predecessor's decision on their key."""
+    """Continue with the requests that waited for the predecessor's decision on their key."""
     claim = transition.state.pending_claims.pop(event.idempotency_key, None)
-    waiting = [] if claim is None else claim.waiting_requests
+    waiting_requests = [] if claim is None else claim.waiting_requests
     if not event.granted:
-        for request in waiting:
+        for request in waiting_requests:
             request_received(transition, request, ClaimDecision.DENIED)
         return
-    if claim is not None and waiting and waiting[0].attempt_id == claim.attempt_id:
-        request_received(transition, waiting.pop(0), ClaimDecision.GRANTED)
-    else:  # the claimant was cancelled meanwhile; the others claim the key anew
+    if claim is not None and waiting_requests and waiting_requests[0].attempt_id == claim.attempt_id:
+        request_received(transition, waiting_requests.pop(0), ClaimDecision.GRANTED)
+    else:  # the claimant was cancelled meanwhile, so the key is released and the others claim it again
         transition.send_to_peer_process(events.KeyReleased(event.attempt_id))
-    for request in waiting:
+    for request in waiting_requests:
         request_received(transition, request)
 
 
 def retry_pending_claims(transition: Transition) -> None:
-    """Take up all requests that wait for a key anew, after the peer process connected or exited."""
+    """Handle all requests that wait for a key claim again, after the peer process connected or exited."""
     state = transition.state
     claims = state.pending_claims
     state.pending_claims = {}
--- a/snowthread/core/downstream_calls.py
+++ b/snowthread/core/downstream_calls.py
@@ -10,7 +10,7 @@
 
 
 def call_requested(transition: Transition, event: events.CallRequested) -> None:
-    """Ask the controller for the call that a run waits for."""
+    """Record the downstream call that a run requested, and pass it to the admission controller."""
     state = transition.state
     request = state.requests_by_attempt_id.get(event.attempt_id)
     if request is None or request.run is None:
@@ -20,7 +20,7 @@
 
 
 def call_completed(transition: Transition, event: events.CallCompleted) -> None:
-    """Deliver the reply of a call to its run and report to the controller how the call ended."""
+    """Deliver the reply of a successful call to its run, and report the outcome to the controller."""
     state = transition.state
     request = state.requests_by_attempt_id.get(event.attempt_id)
     run = None if request is None else request.run
--- a/snowthread/core/effective_settings.py
+++ b/snowthread/core/effective_settings.py
@@ -1,6 +1,7 @@
-"""The settings in effect while serving: after a reload, and while a peer process uses part of the limits.
+"""Computes the settings in effect after a reload, and while a peer process uses part of the limits.
 
-Pure: the handlers are in :mod:`snowthread.core.settings_changes`.
+These functions have no side effects, except that they update the times of retired classes that are passed in.
+The event handlers are in :mod:`snowthread.core.settings_changes`.
 """
 
 from __future__ import annotations
@@ -11,20 +12,21 @@
 from snowthread.core.events import PeerLoadReported
 from snowthread.core.state import AdmissionClock
 
-MIN_REMAINING_RATIO = 0.01  # of a limit: 0 would mean that there is no limit
+MIN_REMAINING_RATIO = 0.01  # least remaining share of a limit; a limit of 0 would mean "unlimited"
 MIN_COLLAPSE_MULTIPLE = 1.0
 
 
 def retention_ms(request_class: RequestClass) -> float:
-    """Return how long (ms) after its removal attempts of a class may still arrive."""
+    """Return for how many ms after the removal of a class its attempts may still arrive."""
     longest_s = max(request_class.deadline_s, request_class.idempotency_window_s)
     return AdmissionClock.duration_ms(longest_s)
 
 
 def remaining_limits(settings: Settings, peer_load: PeerLoadReported) -> Settings:
-    """Return the settings less what the peer process uses of the runtime's limits.
+    """Return the settings with the limits reduced by what the peer process uses of them.
 
-    The cores, the memory and the downstream calls are shared by both processes: either would fill them alone.
+    Both processes share the cores, the memory and the downstream calls of the runtime. Without the reduction
+    each process would use the limits in full.
     """
     return replace(
         settings,
@@ -39,12 +41,18 @@
 def merge_settings(
     old: Settings, new: Settings, retired_until_ms: dict[str, float], now_ms: float
 ) -> Settings:
-    """Return the new settings with the classes at the positions that they have in the old ones.
+    """Return the new settings, with the classes at the positions that they have in the old settings.
 
-    A class that the new settings lack stays at its position, for balancers learn of the change late and open
-    requests are still of this class. ``retired_until_ms`` says until when (Unix ms) each such class is
-    served; it is updated in place. After that the position is free for another class, so that the list does
-    not grow with each reload. Whether the runtime started cold is not for the configuration to say.
+    A class that the new settings lack is retired: it stays at its position for some time, because balancers
+    learn of the change late and open requests still belong to the class. After that its position can be
+    reused for another class, so that the list does not grow with each reload. ``starts_cold`` is kept from
+    the old settings because the runtime reports it and the configuration can't.
+
+    Args:
+        old: the settings in effect.
+        new: the reloaded settings.
+        retired_until_ms: the Unix time in ms until which each retired class is served; updated in place.
+        now_ms: the current Unix time in ms.
     """
     new_by_name = {c.name: c for c in new.classes}
     _update_retired_classes(old, new_by_name, retired_until_ms, now_ms)
@@ -66,7 +74,7 @@
 def _update_retired_classes(
     old: Settings, new_by_name: dict[str, RequestClass], retired_until_ms: dict[str, float], now_ms: float
 ) -> None:
-    """Retire the classes that the new settings lack, and take those that they have out of retirement."""
+    """Retire the classes that the new settings lack, and reinstate the retired classes that they contain."""
     for name in [name for name in retired_until_ms if name in new_by_name]:
         del retired_until_ms[name]
     for old_class in old.classes:
--- a/snowthread/core/key_claims.py
+++ b/snowthread/core/key_claims.py
@@ -1,17 +1,19 @@
 """Claims of idempotency keys between the two processes of a hot restart.
 
-The successor takes no key without the predecessor's permission, so a request that reaches both processes
-runs in at most one of them. At the successor a request waits until the predecessor has decided:
-
-====================================  ==================================================================
-event at the successor                what becomes of the requests that wait for the key
-====================================  ==================================================================
-``KeyClaimDecided``, granted          the claimant is admitted; later ones are its retries or claim anew
-``KeyClaimDecided``, denied           the owner's result answers them if it is known here, else they fail
-``KeyClaimTimedOut``                  the request it names is rejected
-``RequestCancelled``                  the request it names is dropped
-``PeerProcessConnected``, ``Exited``  all are taken up anew
-====================================  ==================================================================
+The successor uses no key without permission of the predecessor, so a request that reaches both processes
+runs in at most one of them. At the successor a request waits until the predecessor has decided on its claim:
+
+====================================  ===================================================================
+event at the successor                effect on the requests that wait for the key
+====================================  ===================================================================
+``KeyClaimDecided``, granted          the claimant is admitted; the others become its retries or claim
+                                      the key again
+``KeyClaimDecided``, denied           they get the owner's result if the owner is known here, else fail
+``KeyClaimTimedOut``                  the request with this response address is rejected
+``RequestCancelled``                  the request with this response address is dropped
+``PeerProcessConnected``,             all are handled again from the start
+``PeerProcessExited``
+====================================  ===================================================================
 """
 
 from __future__ import annotations
@@ -23,17 +25,19 @@
 from snowthread.core.state import NodeState, PendingClaim
 from snowthread.core.transition import HandlerTable, Transition
 
-KEY_CLAIM_TIMEOUT_MS = 400.0  # the longest wait for a decision
-KEY_CLAIM_WAIT_RATIO = 0.5  # of the time left, at most: the rest is for the run
-MAX_PENDING_KEY_CLAIMS = 256  # keys whose claim may be undecided at once
+KEY_CLAIM_TIMEOUT_MS = 400.0  # how long a request waits at most for the decision on its key claim
+KEY_CLAIM_WAIT_RATIO = (
+    0.5  # share of a request's time left that may be spent waiting; the rest is for its run
+)
+MAX_PENDING_KEY_CLAIMS = 256  # limit of keys with an undecided claim
 
-# Why a request is rejected, for the log.
+# Reasons of a rejection as they are written to the log.
 TOO_MANY_CLAIMS = "too many undecided key claims"
 CLAIM_TIMED_OUT = "key claim not decided in time"
 
 
 class ClaimDecision(Enum):
-    """What the predecessor decided on the key of a request."""
+    """The predecessor's decision on the key claim of a request."""
 
     UNDECIDED = "undecided"
     GRANTED = "granted"
@@ -46,10 +50,16 @@
     claim_request: events.KeyClaimRequested,
     class_deadline_s: float,
 ) -> None:
-    """Make a request wait until the predecessor has decided on its key.
+    """Queue a request until the predecessor has decided on its key, and claim the key if nobody has yet.
 
-    ``class_deadline_s`` is the deadline of its class, from its arrival, which holds where the
-    request has no timeout of its own.
+    The request is rejected if too many claims are undecided.
+
+    Args:
+        transition: the context in which the event is handled.
+        event: the request.
+        claim_request: the claim to send to the predecessor.
+        class_deadline_s: the deadline of the request's class, counted from its arrival, which applies if the
+            request has no timeout of its own.
     """
     state = transition.state
     claim = state.pending_claims.get(claim_request.idempotency_key)
@@ -72,7 +82,10 @@
 def withdraw_claim(
     state: NodeState, response_address: events.ResponseAddress
 ) -> events.RequestReceived | None:
-    """Drop a request that waits for a decision on its key; return it, or None where none waits."""
+    """Remove the request with this response address from its pending claim.
+
+    Return the request, or None if no request with this address waits for a decision on its key.
+    """
     for claim in state.pending_claims.values():
         for request in claim.waiting_requests:
             if request.response_address == response_address:
@@ -82,24 +95,24 @@
 
 
 def key_claim_timed_out(transition: Transition, event: events.KeyClaimTimedOut) -> None:
-    """Reject a request that waited too long for the decision on its key."""
+    """Reject a request that has waited too long for the decision on its key claim."""
     request = withdraw_claim(transition.state, event.response_address)
     if request is not None:
         _reject(transition, request, CLAIM_TIMED_OUT)
 
 
 def _reject(transition: Transition, request: events.RequestReceived, reason: str) -> None:
-    """Reject a request that never reached the controller."""
+    """Reject a request that was not passed to the admission controller."""
     rejected = effects.Rejected(attempt_id=request.attempt_id, reason=reason)
     transition.respond(request.response_address, rejected)
 
 
 def key_claim_requested(transition: Transition, event: events.KeyClaimRequested) -> None:
-    """Decide, as the predecessor, whether the successor may have a key.
+    """Grant or deny the successor's claim of a key; runs in the predecessor.
 
-    A granted key belongs to the successor for the longest window of all classes. The successor reports the
-    window of the request's class once it admits the request; if that report is lost, the run may go on all
-    the same.
+    A granted key belongs to the successor for the longest idempotency window of all classes. The successor
+    reports the window of the request's class when it admits the request. That report may be lost while the
+    run continues, so until it arrives the longest window is assumed.
     """
     state = transition.state
     table = state.idempotency_table
--- a/snowthread/core/key_replication.py
+++ b/snowthread/core/key_replication.py
@@ -1,4 +1,4 @@
-"""Idempotency keys of the peer process, as it reports them during a hot restart."""
+"""Records the idempotency keys that the peer process of a hot restart reports."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def key_replicated(transition: Transition, event: events.KeyReplicated) -> None:
-    """Enter a key that the peer process owns, unless an attempt of this process owns it."""
+    """Record a key that the peer process owns, unless its attempt belongs to this process."""
     state = transition.state
     record = state.idempotency_table.find_by_attempt(event.attempt_id)
     if record is not None and not record.owned_by_peer:
@@ -29,7 +29,7 @@
 
 
 def key_run_completed(transition: Transition, event: events.KeyRunCompleted) -> None:
-    """Answer the retries that wait for a run of the peer process, which ended."""
+    """Record the end of a run of the peer process, and answer the retries that wait for it."""
     table = transition.state.idempotency_table
     record = table.find_by_attempt(event.attempt_id)
     if record is not None and record.owned_by_peer:
@@ -38,7 +38,7 @@
 
 
 def key_released(transition: Transition, event: events.KeyReleased) -> None:
-    """Drop a key of the peer process whose attempt never ran."""
+    """Drop a key of the peer process whose attempt never ran; the retries that wait for it fail."""
     table = transition.state.idempotency_table
     record = table.find_by_attempt(event.attempt_id)
     if record is not None and record.owned_by_peer:
--- a/snowthread/core/load_samples.py
+++ b/snowthread/core/load_samples.py
@@ -1,4 +1,4 @@
-"""Load samples from the runtime, and the controller's timers for which they are requested."""
+"""Load samples from the runtime, and the timers of the admission controller that they are requested for."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from snowthread.core.state import HandoverRole, NodeState
 from snowthread.core.transition import HandlerTable, Transition
 
-LOAD_SAMPLE_LEAD_MS = 20.0  # before the update that it is for, a sample is requested
-LOAD_SAMPLE_MAX_AGE_MS = 1000.0  # an older sample counts as not measured
-UTILIZATION_WINDOW_MS = 500.0  # over which the runtime measures the utilization of its cores
-MAX_SAMPLE_NUMBER_DIGITS = 18  # a tag with more digits was not sent by this node
+LOAD_SAMPLE_LEAD_MS = 20.0  # how long before a controller update its load sample is requested
+LOAD_SAMPLE_MAX_AGE_MS = 1000.0  # older load samples are ignored, as if nothing had been measured
+UTILIZATION_WINDOW_MS = 500.0  # the period over which the runtime averages the utilization of its cores
+MAX_SAMPLE_NUMBER_DIGITS = 18  # longer tags can't be sample numbers that this node has sent
 
-_TIMER_FIELD_BY_GAUGE = {  # gauge of the runtime -> field of TimerFired
+_TIMER_FIELD_BY_GAUGE = {  # name of a runtime gauge -> field of TimerFired
     "core_use": "core_utilization",
     "on_cores": "core_demand",
     "heap_share": "memory_utilization",
@@ -25,7 +25,7 @@
 
 
 def schedule_timer(transition: Transition, delay_ms: float, label: int) -> None:
-    """Schedule a timer of the controller, and a load sample ahead of each update."""
+    """Schedule a timer of the admission controller; before an update timer, also schedule a load sample."""
     due_at_ms = transition.now_ms + delay_ms
     if label == UPDATE_TIMER:
         request_at_ms = max(transition.now_ms, due_at_ms - LOAD_SAMPLE_LEAD_MS)
@@ -34,7 +34,7 @@
 
 
 def timer_expired(transition: Transition, event: events.TimerExpired) -> None:
-    """Hand a due timer to the controller, with the load figures that are known."""
+    """Pass an expired timer to the admission controller, together with the valid load measurements."""
     state = transition.state
     transition.dispatch(admission_events.TimerFired(event.label, **_measured_load(state, transition.now_ms)))
     if event.label != UPDATE_TIMER:
@@ -45,7 +45,7 @@
 
 
 def _measured_load(state: NodeState, now_ms: float) -> dict[str, float]:
-    """Return the figures of the last load sample that are still valid, by field of ``TimerFired``."""
+    """Return the values of the last load sample that are still valid, by field name of ``TimerFired``."""
     if now_ms - state.load_sample_at_ms > LOAD_SAMPLE_MAX_AGE_MS:
         return {}
     figures = {
@@ -53,16 +53,16 @@
         for name, value in zip(state.gauge_names, state.load_sample, strict=False)
         if name in _TIMER_FIELD_BY_GAUGE
     }
-    if state.load_sample_used:  # one sample of idle cores must not count in several updates
+    if state.load_sample_used:  # a single sample of idle cores must not raise the limit in several updates
         figures.pop("core_demand", None)
     if state.load_sample_used or state.load_sample_at_ms < state.reconnected_at_ms + UTILIZATION_WINDOW_MS:
-        # Cores that were idle for want of a link say nothing of how many runs they can take.
+        # Cores that were idle because there was no link do not show how many runs they can take.
         figures.pop("core_utilization", None)
     return figures
 
 
 def load_sample_due(transition: Transition, _: events.LoadSampleDue) -> None:
-    """Request a load sample, while there is a link to the runtime."""
+    """Request a load sample if the runtime is connected."""
     state = transition.state
     if state.runtime_connected:
         state.last_sample_number += 1
@@ -70,7 +70,10 @@
 
 
 def load_sample_received(transition: Transition, event: events.LoadSampleReceived) -> None:
-    """Store a load sample; the one of the resynchronisation also resumes the runs of earlier links."""
+    """Store a load sample, and use its echo to confirm commands.
+
+    The sample that ends the resynchronisation also resumes the runs of earlier links.
+    """
     state = transition.state
     if not _is_stale(state, event.tag):
         state.load_sample = event.values
@@ -84,7 +87,7 @@
 
 
 def _is_stale(state: NodeState, tag: str) -> bool:
-    """Return whether the sample was requested while the gauges had another order."""
+    """Return whether the sample was requested before a reload that changed the order of the gauges."""
     return (
         state.last_stale_sample_number > 0
         and tag.isdecimal()
--- a/snowthread/core/peer_process.py
+++ b/snowthread/core/peer_process.py
@@ -1,16 +1,17 @@
 """The peer process of a hot restart: its connection, its load, the handover and its exit.
 
-While one process of a node replaces another, each knows the idempotency keys of both, and they share the
-runtime's limits. Roles (:class:`~snowthread.core.state.HandoverRole`) and what changes them:
-
-===========  =======================================  ===========
-role         event                                    next
-===========  =======================================  ===========
-any          ``PeerProcessConnected``, as the older   PREDECESSOR
-any          ``PeerProcessConnected``, as the newer   SUCCESSOR
-PREDECESSOR  ``SuccessorReady``                       PREDECESSOR, superseded: it accepts no connections
-any          ``PeerProcessExited``                    STANDALONE, accepting connections
-===========  =======================================  ===========
+While a new process of a node replaces the old one, each process knows the idempotency keys of both, and both
+share the limits of the runtime. The table shows the roles of a process
+(:class:`~snowthread.core.state.HandoverRole`) and the events that change them:
+
+===========  ===========================================  ============================================
+role         event                                        next
+===========  ===========================================  ============================================
+any          ``PeerProcessConnected`` in the old process  PREDECESSOR
+any          ``PeerProcessConnected`` in the new process  SUCCESSOR
+PREDECESSOR  ``SuccessorReady``                           PREDECESSOR; superseded, accepts no connections
+any          ``PeerProcessExited``                        STANDALONE; accepts connections
+===========  ===========================================  ============================================
 """
 
 from __future__ import annotations
@@ -25,10 +26,11 @@
 
 
 def peer_process_connected(transition: Transition, event: events.PeerProcessConnected) -> None:
-    """Enter a role in the handover and send the peer process what it has to know.
+    """Take the role of predecessor or successor, and send the idempotency records to the peer process.
 
-    The predecessor sends all idempotency records, then marks their end. The successor sends its own: it
-    connects again after a break, where messages of either side may be lost.
+    The predecessor sends all records, whether the node is drained and its load, and then marks the end of
+    the records. The successor sends the records that it owns, because it may be reconnecting after a broken
+    connection on which messages of either side were lost.
     """
     state = transition.state
     if event.is_predecessor:
@@ -47,7 +49,7 @@
 
 
 def report_load(transition: Transition) -> None:
-    """Send the peer process what this one uses of the limits that both share."""
+    """Report to the peer process what this process uses of the limits that both share."""
     state = transition.state
     running = 0
     calls = 0
@@ -65,14 +67,14 @@
 
 
 def peer_load_reported(transition: Transition, event: events.PeerLoadReported) -> None:
-    """Leave the peer process its part of the shared limits."""
+    """Reduce the limits of this process by what the peer process uses of them."""
     transition.state.peer_load = event
     apply_settings(transition)
     transition.emit(effects.ReserveDescriptors(event.descriptors))
 
 
 def successor_ready(transition: Transition, _: events.SuccessorReady) -> None:
-    """Leave new connections and the load report to the successor, which speaks for the node from now on."""
+    """Leave new connections and the load report to the successor process."""
     state = transition.state
     state.superseded = True
     state.load_report = None
@@ -81,9 +83,10 @@
 
 
 def peer_process_exited(transition: Transition, _: events.PeerProcessExited) -> None:
-    """Serve alone again.
+    """Serve as the only process of the node again.
 
-    Runs that went on in the peer process will not be heard of: their retries fail, nothing runs again.
+    The outcome of runs that the peer process had in progress will never be reported. The retries that wait
+    for them fail, and none of those requests is run again.
     """
     state = transition.state
     state.handover_role = HandoverRole.STANDALONE
@@ -91,7 +94,7 @@
     state.peer_load = None
     apply_settings(transition)
     if state.controller is not None:
-        # Its runs may go on, and nobody counts them.
+        # Runs of the peer process may still be in progress at the runtime, and no process counts them.
         transition.dispatch(admission_events.RunCountUncertain())
     for record in state.idempotency_table.records():
         if record.owned_by_peer and not record.completed:
--- a/snowthread/core/run_commands.py
+++ b/snowthread/core/run_commands.py
@@ -1,4 +1,4 @@
-"""Commands to the runtime, and the requests for load samples that confirm them."""
+"""Sends commands to the runtime, and the load sample requests whose echoes confirm them."""
 
 from __future__ import annotations
 
@@ -20,6 +20,6 @@
 
 
 def request_load_sample(transition: Transition, tag: str) -> None:
-    """Request a load sample, whose echo also confirms the commands sent before it."""
+    """Request a load sample; its echo also confirms the commands that were sent before the request."""
     transition.state.command_log.record_sample_requested(tag)
     transition.emit(effects.RequestLoadSample(tag))
--- a/snowthread/core/run_completion.py
+++ b/snowthread/core/run_completion.py
@@ -1,9 +1,9 @@
 """Ends of runs: the result is recorded, and the request is answered or queued again.
 
-Limits: a run that the runtime cancels of its own accord goes back to the controller. With ``Preemption.DROP``
-only an idempotent request starts again. With ``NONE`` and ``PAUSE`` the controller takes the run for one that
-continues where it was, and sends its start again for each kind of request. The code does not check that the
-runtime continues it.
+Limitations: a run that the runtime cancels without being asked to is handed back to the admission
+controller. With ``Preemption.DROP`` only an idempotent request is started again. With ``NONE`` and ``PAUSE``
+the controller assumes that the run continues where it was interrupted, and starts requests of every kind
+again. The code does not check that the runtime does continue the run.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def run_completed(transition: Transition, event: events.RunCompleted) -> None:
-    """Finish the request whose run ended, or queue it again where its run was cancelled unasked."""
+    """Finish the request whose run ended, or queue it again if its run was cancelled without a stop."""
     state = transition.state
     result = event.result if event.outcome is Outcome.SUCCESS else None
     if event.outcome is not Outcome.NOT_STARTED:
@@ -28,8 +28,9 @@
     cancel_call(transition, request)
     request.run = None
     if event.outcome is Outcome.CANCELLED and request.response_address is not None:
-        # Cancelled by the runtime of its own accord: the controller stops only runs that are owed no answer.
-        # With Preemption.DROP it fails a keyed attempt now; its followers fail with any preemption.
+        # The runtime cancelled the run without a stop: the controller stops only runs that are owed no
+        # response. With Preemption.DROP it now fails a keyed attempt; the followers of the attempt fail with
+        # every kind of preemption.
         request.phase = RequestPhase.QUEUED
         if request.idempotency_key:
             complete_followers(transition, request, None)
@@ -42,7 +43,7 @@
 
 
 def record_result(transition: Transition, attempt_id: str, result: bytes | None) -> None:
-    """Enter the end of a run into the idempotency table, and notify a peer process of it."""
+    """Record the end of a run in the idempotency table, and report it to the peer process if there is one."""
     state = transition.state
     state.idempotency_table.complete(attempt_id, result)
     if state.handover_role is HandoverRole.STANDALONE:
@@ -53,12 +54,12 @@
 
 
 def command_rejected(transition: Transition, event: events.CommandRejected) -> None:
-    """End a run whose start or stop the runtime rejected."""
+    """End a run whose start or stop command the runtime rejected; other rejections are ignored."""
     request = transition.state.requests_by_attempt_id.get(event.attempt_id)
     if request is None or request.run is None:
         return
     if event.is_start or request.run.stop_requested:
-        # A start that was not carried out proves that nothing ran, so the idempotency key is free again.
+        # A rejected start proves that nothing ran, so the idempotency key is free again.
         outcome = Outcome.NOT_STARTED if event.is_start else Outcome.FAILURE
         run_completed(transition, events.RunCompleted(event.attempt_id, outcome, 0.0, b""))
 
--- a/snowthread/core/settings_changes.py
+++ b/snowthread/core/settings_changes.py
@@ -1,8 +1,9 @@
-"""Changes to what the controller works with while serving.
+"""Handles changes of the admission controller's inputs while the node serves.
 
-Reloaded settings, tenant quotas, the pacing of calls during recovery, and the learned state of an earlier
-incarnation. The settings in effect are computed in :mod:`snowthread.core.effective_settings`. One field is
-changed elsewhere: ``starts_cold``, when the runtime connects (:mod:`snowthread.core.runtime_resync`).
+These are reloaded settings, tenant quotas, the pacing of downstream calls during recovery, and the learned
+state of an earlier incarnation. :mod:`snowthread.core.effective_settings` computes the settings in effect.
+Only the setting ``starts_cold`` is changed elsewhere, when the runtime connects
+(:mod:`snowthread.core.runtime_resync`).
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 def apply_settings(transition: Transition) -> None:
-    """Hand the settings in effect to the controller, if there is one."""
+    """Pass the settings in effect to the admission controller, if it was created already."""
     state = transition.state
     if state.controller is None:
         return
@@ -32,11 +33,11 @@
 
 
 def settings_reloaded(transition: Transition, event: events.SettingsReloaded) -> None:
-    """Replace the settings; open requests stay with their class as it was on arrival."""
+    """Replace the settings; open requests keep the settings that their class had when they arrived."""
     state = transition.state
     old = state.settings
     state.settings = merge_settings(old, event.settings, state.retired_until_ms, transition.now_ms)
-    if event.gauge_names != state.gauge_names:  # samples read or requested so far have the old order
+    if event.gauge_names != state.gauge_names:  # samples requested so far have the old order of gauges
         state.gauge_names = event.gauge_names
         state.load_sample_at_ms = -math.inf
         state.last_stale_sample_number = state.last_sample_number
@@ -46,9 +47,10 @@
 
 
 def _extend_idempotency_windows(state: NodeState, old_classes: tuple[RequestClass, ...]) -> None:
-    """Extend the expiry of the keys of classes whose idempotency window is longer now.
+    """Extend the expiry of the keys of classes whose idempotency window became longer.
 
-    A window that is shorter now leaves the keys as they are: callers retry within the window that they know.
+    A window that became shorter does not change existing keys, because callers still retry within the window
+    that they know.
     """
     old_window_s = {old.name: old.idempotency_window_s for old in old_classes}
     for request_class in state.settings.classes:
@@ -61,7 +63,7 @@
 
 
 def _apply_tenants(transition: Transition, old: Settings, new: Settings) -> None:
-    """Pass on the tenants of the new settings, where they differ from the old."""
+    """Update the tenant quotas if the reload changed the tenants in the settings."""
     if old.tenants == new.tenants and old.over_quota_weight == new.over_quota_weight:
         return
     remaining = {tenant.name for tenant in new.tenants}
@@ -70,7 +72,7 @@
 
 
 def tenant_quotas_changed(transition: Transition, event: events.TenantQuotasChanged) -> None:
-    """Pass tenant quotas on to the controller, or merge them with those that wait for its start."""
+    """Pass tenant quotas to the admission controller, or merge them into those that wait for its creation."""
     state = transition.state
     if state.controller is not None:
         transition.dispatch(
@@ -91,13 +93,13 @@
 
 
 def call_pacing_changed(transition: Transition, event: events.CallPacingChanged) -> None:
-    """Replace the limit of concurrent calls during recovery; 0 restores that of the settings."""
+    """Replace the limit of concurrent calls during recovery; 0 restores the limit of the settings."""
     transition.state.call_pacing = event if event.concurrent_calls else None
     apply_settings(transition)
 
 
 def learned_state_restored(transition: Transition, event: events.LearnedStateRestored) -> None:
-    """Begin with what an earlier incarnation learned; it waits until there is a controller."""
+    """Apply the learned state of an earlier incarnation, or keep it until the controller is created."""
     transition.state.pending_learned_state = event
     apply_learned_state(transition.state)
 
--- a/snowthread/core/shutdown.py
+++ b/snowthread/core/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown, and draining by the operators."""
+"""Graceful shutdown, and draining by operators."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def shutdown_requested(transition: Transition, event: events.ShutdownRequested) -> None:
-    """Begin the graceful shutdown; a second notice changes nothing."""
+    """Begin the graceful shutdown; a repeated notice is ignored."""
     state = transition.state
     if state.shutting_down:
         return
@@ -24,9 +24,9 @@
 
 
 def drain_requested(transition: Transition, event: events.DrainRequested) -> None:
-    """Take the node out of registration, or back into it.
+    """Take the node out of the registry, or register it again.
 
-    Requests are served either way: balancers learn of it late.
+    Requests are served in either case, because balancers learn of the change late.
     """
     state = transition.state
     if event.drain != state.drained and state.handover_role is not HandoverRole.STANDALONE:
--- a/snowthread/core/transition.py
+++ b/snowthread/core/transition.py
@@ -1,8 +1,8 @@
-"""The context in which one event is handled: the state, the time, and the effects caused so far.
+"""The context in which one event is handled: the state, the time, and the effects emitted so far.
 
-The event handlers of the modules around it change the state only through a :class:`Transition`. What is
-admitted, rejected, run or stopped is decided by the admission controller, never here: a handler dispatches
-admission events to the controller, and the action handlers carry out what the controller answers.
+Event handlers change the state only through a :class:`Transition`. They never decide what is admitted,
+rejected, run or stopped: they dispatch admission events to the admission controller, and the action handlers
+carry out the actions that it returns.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from snowthread.core.state import NodeState
 
 Handler = Callable[["Transition", Any], None]
-"""Handles one event, or one action of the admission controller, of the type it is registered for."""
+"""Handles one event or one action of the admission controller, of the type that it is registered for."""
 
 HandlerTable = Mapping[type, Handler]
 
 
 class Transition:
-    """The handling of one event; ``effects`` lists what is to be done, in order."""
+    """The handling of one event; ``effects`` lists the effects to carry out, in order."""
 
     __slots__ = ("_action_handlers", "_dispatching", "_pending_events", "effects", "emit", "now_ms", "state")
 
@@ -52,9 +52,9 @@
         self.emit(effects.SendToPeerProcess(message))
 
     def dispatch(self, *new_events: admission_events.Event) -> None:
-        """Hand events to the controller, in order, and carry out its actions after each.
+        """Pass events to the admission controller in order, and carry out its actions after each event.
 
-        An action handler may dispatch further events: these wait until the actions at hand are carried out.
+        An action handler may dispatch further events, which wait until all current actions are carried out.
         """
         self._pending_events.extend(new_events)
         if self._dispatching:
@@ -69,7 +69,11 @@
         self._dispatching = False
 
     def ensure_controller(self, started_ago_ms: float = 0.0) -> Controller:
-        """Return the controller; where there is none yet, start it as of ``started_ago_ms`` before now."""
+        """Return the admission controller, and create it if there is none yet.
+
+        Args:
+            started_ago_ms: how long ago the start of a new controller is dated, as the runtime's age.
+        """
         controller = self.state.controller
         return self._start_controller(started_ago_ms) if controller is None else controller
 
@@ -86,14 +90,14 @@
             settings = remaining_limits(state.settings, state.peer_load)
             controller.handle(now_s, admission_events.SettingsChanged(settings))
         apply_learned_state(state)
-        if state.pending_quotas is not None:  # nothing is queued yet, so no action can follow
+        if state.pending_quotas is not None:  # no request is queued yet, so the controller returns no actions
             controller.handle(now_s, state.pending_quotas)
             state.pending_quotas = None
         return controller
 
 
 def apply_learned_state(state: NodeState) -> None:
-    """Hand the learned state of an earlier incarnation to the controller, once there are both."""
+    """Restore the learned state of an earlier incarnation once both it and the controller are available."""
     restored = state.pending_learned_state
     if state.controller is not None and restored is not None:
         restore_learned_state(state.controller, restored.learned_state, restored.relative_speed)
