--- a/snowthread/clients/__init__.py
+++ b/snowthread/clients/__init__.py
@@ -1,10 +1,11 @@
 """Clients of the peers that a node calls or reports to: the runtime, the database and the registry.
 
-Each client owns its sockets and tasks; ``*_codec`` modules know bytes and events, no sockets.
+Each client owns its sockets and tasks. The ``*_codec`` modules translate between bytes and events and use no
+sockets.
 
-- :mod:`.runtime`: the link, reconnected and migrated; :mod:`.runtime_link` has its timeouts and
-  :mod:`.command_queue` what is unsent on it.
-- :mod:`.database`: calls and the connections that carry them; :mod:`.database_connection` makes one call,
-  :mod:`.idle_connections` retains connections for the next ones.
-- :mod:`.registry`: reports in datagrams.
+- :mod:`.runtime` connects and migrates the link to the runtime; :mod:`.runtime_link` has the timeouts of one
+  link and :mod:`.command_queue` its unsent commands.
+- :mod:`.database` assigns calls to connections; :mod:`.database_connection` makes one call and
+  :mod:`.idle_connections` keeps connections open for the next calls.
+- :mod:`.registry` sends reports to the registry in datagrams.
 """
--- a/snowthread/clients/command_queue.py
+++ b/snowthread/clients/command_queue.py
@@ -1,4 +1,4 @@
-"""Commands for the runtime that its socket has not taken yet."""
+"""The queue of commands that were not yet written to the socket of the runtime."""
 
 from __future__ import annotations
 
@@ -10,28 +10,32 @@
 
 
 class QueuedLine(NamedTuple):
-    """A line to write, and the command that it is of."""
+    """A line to write, and the command that it encodes."""
 
-    command: RuntimeCommand | None  # None: the first line on a link
+    command: RuntimeCommand | None  # None for the synchronisation line that begins each link
     line: bytes
 
 
 class CommandQueue:
-    """Unsent lines of one link, in order; ``lines`` may be added to, and is otherwise changed here alone."""
+    """Unsent lines of one link, in order. Callers may append to ``lines`` but not change it otherwise."""
 
     def __init__(self) -> None:
         self.lines: deque[QueuedLine] = deque()
         self._first_line_sent_bytes = 0
 
     def flush(self, sock: socket.socket) -> bool:
-        """Send lines; return False where one is left or the link is broken, which its task finds out."""
+        """Send as many lines as the socket accepts.
+
+        Return True if all lines were sent, and False if some are left or the link is broken. The task of the
+        link detects and reports the broken link.
+        """
         while self.lines:
             line = self.lines[0].line
             try:
                 self._first_line_sent_bytes += sock.send(
                     line[self._first_line_sent_bytes :] if self._first_line_sent_bytes else line
                 )
-            except OSError:  # the socket is full, or the link broken
+            except OSError:  # the send buffer is full, or the link is broken
                 return False
             if self._first_line_sent_bytes < len(line):
                 return False
@@ -39,11 +43,11 @@
             self._first_line_sent_bytes = 0
         return True
 
-    def lines_not_begun(self) -> list[QueuedLine]:
-        """Return the lines of which no byte was sent."""
+    def unstarted_lines(self) -> list[QueuedLine]:
+        """Return the queued lines of which no byte was sent."""
         return list(self.lines)[1 if self._first_line_sent_bytes else 0 :]
 
     def clear(self) -> None:
-        """Remove all."""
+        """Remove all lines, including one that was sent in part."""
         self.lines.clear()
         self._first_line_sent_bytes = 0
--- a/snowthread/clients/database.py
+++ b/snowthread/clients/database.py
@@ -1,7 +1,7 @@
-"""The database's client: which connection carries which call, and how each call ends.
+"""The client of the formula database: assigns each call to a connection and reports how the call ended.
 
-:mod:`.database_connection` makes one call, :mod:`.idle_connections` retains connections for the next ones and
-:mod:`.database_codec` has the protocol.
+:mod:`.database_connection` makes one call, :mod:`.idle_connections` keeps connections open for the next calls
+and :mod:`.database_codec` implements the protocol.
 """
 
 from __future__ import annotations
@@ -19,13 +19,15 @@
 from snowthread.net.attempt import Failure
 from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
 
-IDLE_TIMEOUT_MS = 7000.0  # the database closes connections idle for 10 s; a call must not cross that
+# The database closes a connection after 10 s without a call. The node closes it earlier, so that no call is
+# sent while the database closes the connection.
+IDLE_TIMEOUT_MS = 7000.0
 
 
 class DatabaseClient:
-    """Makes the calls of runs; each that is not cancelled is completed exactly once.
+    """Makes downstream calls for runs, and posts exactly one completion for each call that is not cancelled.
 
-    Without an address no call can be made, and each is completed as unreachable.
+    Without a configured address every call is completed as unreachable.
     """
 
     def __init__(
@@ -40,15 +42,15 @@
         self._max_connections = max_connections
         self._post = post
         self._idle = IdleConnections()
-        self._calls: dict[str, DatabaseConnection] = {}  # by the id of the attempt that calls
+        self._calls: dict[str, DatabaseConnection] = {}  # connections with a call in flight, by attempt id
         self._connection_count = 0
 
     def connection_count(self) -> int:
-        """Return the number of connections."""
+        """Return the number of open connections, including those that are being established."""
         return self._connection_count
 
     def set_address(self, address: Address | None) -> None:
-        """Make new calls at a new address; those in flight end where they are."""
+        """Make new calls at a new address; calls in flight finish at the old one."""
         if address != self._address:
             self._address = address
             for connection in self._idle:
@@ -56,10 +58,10 @@
             self._idle.clear()
 
     def start_call(self, call: effects.StartCall) -> None:
-        """Make a call on an idle connection, else on a new one.
+        """Make a call on an idle connection, or on a new one if none is available.
 
-        A call that may not be retried never uses an idle connection: a reset there would leave open whether
-        it ran, and :meth:`.DatabaseConnection.exchange` has it count as never run.
+        A call that must not be retried never uses an idle connection. A reset of an idle connection leaves
+        open whether the call was run, but :meth:`.DatabaseConnection.exchange` reports it as never run.
         """
         self.cancel_call(call.attempt_id)
         if self._address is None:
@@ -77,22 +79,22 @@
         self._calls[call.attempt_id] = connection
         if connection.task is None:
             self._connection_count += 1
-            connection.task = self._loop.spawn(self._steps(connection))
+            connection.task = self._loop.spawn(self._serve_calls(connection))
         else:
             self._loop.wake(connection.task)
 
     def cancel_call(self, attempt_id: str) -> None:
-        """Cancel a call: its connection is closed, and the call is not completed."""
+        """Cancel a call: its connection is closed, and no completion is posted."""
         connection = self._calls.pop(attempt_id, None)
         if connection is not None:
             connection.call = None
             self._wake(connection)
 
     def _close_longest_idle(self) -> None:
-        """Close the longest idle connection in the loop's next round.
+        """Wake the task of the connection that has been idle the longest, so that it closes the connection.
 
-        It may be the one whose task completed its call and so started the next one; a task cannot be ended
-        from within.
+        The connection is not closed here because this code may run inside that task: the task completed its
+        call, which started the next call. A task cannot end itself from within.
         """
         self._wake(self._idle.pop_longest_idle())
 
@@ -100,9 +102,9 @@
         if connection.task is not None:
             self._loop.wake(connection.task)
 
-    # A connection's task.
+    # The task of one connection.
 
-    def _steps(self, connection: DatabaseConnection) -> TaskSteps:
+    def _serve_calls(self, connection: DatabaseConnection) -> TaskSteps:
         try:
             while connection.call is not None:
                 call = connection.call
@@ -111,11 +113,11 @@
                 if address != self._address:
                     connection.is_reusable = False
                 if connection.call is not call:
-                    return  # cancelled meanwhile
+                    return  # the call was cancelled meanwhile
                 self._complete_call(connection, call, result)
                 if not connection.is_reusable or connection.sock is None:
                     return
-                if connection.call is None:  # wait for the next call, for the peer's close or for the timeout
+                if connection.call is None:  # wait for the next call, a close by the database, or the timeout
                     yield Wait(connection.sock.fileno(), READABLE, connection.idle_since_ms + IDLE_TIMEOUT_MS)
         finally:
             self._connection_closed(connection)
@@ -123,7 +125,7 @@
     def _complete_call(
         self, connection: DatabaseConnection, call: effects.StartCall, result: DatabaseReply | Failure
     ) -> None:
-        """Post the end of a call, with its connection idle if it can be used again."""
+        """Post the completion of a call, and before that make its connection idle if it can be reused."""
         connection.call = None
         del self._calls[call.attempt_id]
         now_ms = self._loop.clock.now()
@@ -133,14 +135,15 @@
                 self._close_longest_idle()
         body = result.body if isinstance(result, DatabaseReply) else b""
         if isinstance(result, Failure):
-            logger.debug("database: call of {}: {}", call.attempt_id, result.reason)
+            logger.debug("database: call of attempt {} failed: {}", call.attempt_id, result.reason)
         duration_ms = now_ms - connection.call_started_at_ms
         self._post(events.CallCompleted(call.attempt_id, outcome_of(result), duration_ms, body))
 
     def _connection_closed(self, connection: DatabaseConnection) -> None:
-        """Forget a connection whose task ends."""
+        """Remove a connection whose task ends."""
         self._idle.discard(connection)
-        if connection.call is not None:  # ended by a fault of ours: the run must not wait for ever
+        # An unexpected error in the task leaves its call open. Complete it, or the run would wait forever.
+        if connection.call is not None:
             self._calls.pop(connection.call.attempt_id, None)
             duration_ms = self._loop.clock.now() - connection.call_started_at_ms
             self._post(events.CallCompleted(connection.call.attempt_id, Outcome.DISCONNECTED, duration_ms))
--- a/snowthread/clients/database_connection.py
+++ b/snowthread/clients/database_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the database: connecting, and one call at a time on it."""
+"""One connection to the formula database, which carries one call at a time."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 PEEK_BYTES = 1
 
 CallSteps = Generator[Wait, int, DatabaseReply | Failure]
-"""The coroutine of one call; it returns how the call ended."""
+"""The coroutine of one call; it returns the reply or the failure with which the call ended."""
 
 
 class DatabaseConnection:
-    """A connection and the call that it carries, if any."""
+    """A connection to the database and the call that it carries, if any."""
 
     __slots__ = (
         "_loop",
@@ -40,15 +40,15 @@
         self.call: effects.StartCall | None = None
         self.call_started_at_ms = 0.0
         self.idle_since_ms = 0.0
-        self.is_reusable = False  # whether the last call left it fit for another
+        self.is_reusable = False  # whether the last call left the connection usable for another call
         self.sock: socket.socket | None = None
         self.task: Task | None = None
-        self._unsent = b""  # of the call's request
-        self._progress = Progress.NOT_CONNECTED  # as which a failure would count now
+        self._unsent = b""  # the rest of the request that was not written to the socket yet
+        self._progress = Progress.NOT_CONNECTED  # the progress that a failure at this point would report
         self._reader = ResponseReader()
 
-    def has_nothing_to_read(self) -> bool:
-        """Return whether the connection is open and silent: a close or surplus bytes may lie unread."""
+    def is_open_and_silent(self) -> bool:
+        """Return whether the connection is open and neither a close nor surplus bytes wait to be read."""
         if self.sock is None:
             return False
         try:
@@ -60,10 +60,10 @@
         return False
 
     def exchange(self, call: effects.StartCall, address: Address | None) -> CallSteps:
-        """Connect where needed, make a call and return how it ended."""
+        """Connect if necessary, make a call and return its reply or failure."""
         self.is_reusable = False
-        if address is None:  # removed between the call and its first step
-            return Failure(Progress.NOT_CONNECTED, "no address")
+        if address is None:  # the address was removed after the call was accepted
+            return Failure(Progress.NOT_CONNECTED, "no database address is configured")
         deadline_ms = self.call_started_at_ms + call.timeout_ms
         was_used = self.sock is not None
         if self.sock is None:
@@ -74,12 +74,13 @@
             self.sock = attempt.sock
         now_ms = self._loop.clock.now()
         self._unsent = encode(call, f"{address.host}:{address.port}", deadline_ms - now_ms)
-        # Idle connections are at times dropped and reset at the next call, which then counts as never run.
-        # That is no proof: it holds because DatabaseClient.start_call makes only retryable calls on them.
+        # The database sometimes drops an idle connection and resets it at the next call. Such a call is
+        # reported as never run, which a reset does not prove. It is safe only because
+        # DatabaseClient.start_call makes no calls on idle connections except retryable ones.
         self._progress = Progress.NOT_CONNECTED if was_used else Progress.SENT
         self._reader = ResponseReader()
         if now_ms >= deadline_ms:
-            return _out_of_time()
+            return _timeout_failure()
         return (yield from self._send_and_receive(self.sock, call, deadline_ms))
 
     def _send_and_receive(
@@ -94,13 +95,15 @@
             timed_out = self._loop.clock.now() >= deadline_ms
             if self.call is not call or not (ready & (READABLE | HANGUP) or timed_out):
                 continue
-            result = self._receive(sock, timed_out)  # also when time is up: the reply may be there
+            result = self._receive(
+                sock, timed_out
+            )  # read even after the deadline: the reply may have arrived
             if result is not None:
                 return result
-        return Failure(Progress.SENT, "cancelled")  # its connection is closed and nothing is posted
+        return Failure(Progress.SENT, "call was cancelled")  # the client closes the connection, posts nothing
 
     def _send(self, sock: socket.socket) -> Failure | None:
-        """Send what the socket takes."""
+        """Write as much of the request as the socket accepts; return a failure if the connection broke."""
         try:
             if self._unsent:
                 self._unsent = self._unsent[sock.send(self._unsent) :]
@@ -111,23 +114,23 @@
         return None
 
     def _receive(self, sock: socket.socket, timed_out: bool) -> DatabaseReply | Failure | None:
-        """Read once; return the end of the call, or None where more has to come."""
+        """Read once; return the reply or failure that ends the call, or None if the reply is incomplete."""
         try:
             data = sock.recv(READ_BYTES)
         except BlockingIOError:
-            return _out_of_time() if timed_out else None
+            return _timeout_failure() if timed_out else None
         except OSError as error:
             return Failure(self._progress, str(error))
         if not data:
-            return Failure(self._progress, "closed during the call")
+            return Failure(self._progress, "connection closed by the database during the call")
         self._progress = Progress.REPLY_BEGUN
         reader = self._reader
         reader.feed(data)
         if reader.reply is not None:
-            self.is_reusable = not (self._unsent or reader.has_surplus or reader.closes)
+            self.is_reusable = not (self._unsent or reader.has_surplus or reader.closes_connection)
             return reader.reply
         return None if reader.failure is None else Failure(self._progress, reader.failure)
 
 
-def _out_of_time() -> Failure:
-    return Failure(Progress.SENT, "out of time", timed_out=True)
+def _timeout_failure() -> Failure:
+    return Failure(Progress.SENT, "call timed out", timed_out=True)
--- a/snowthread/clients/idle_connections.py
+++ b/snowthread/clients/idle_connections.py
@@ -1,4 +1,4 @@
-"""The database connections that carry no call now and may carry the next one."""
+"""The pool of idle database connections, which the next calls can reuse."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from snowthread.clients.database_connection import DatabaseConnection
 
 IDLE_CONNECTIONS_MAX = 12
-MIN_IDLE_MS = 30.0  # before a connection's next call: surplus bytes behind a reply have arrived by then
+MIN_IDLE_MS = 30.0  # time before a connection is reused, in which surplus bytes after a reply can arrive
 
 
 class IdleConnections:
-    """Idle connections, the longest idle first."""
+    """Idle database connections, the longest idle first."""
 
     def __init__(self) -> None:
         self._connections: OrderedDict[DatabaseConnection, None] = OrderedDict()
@@ -24,20 +24,20 @@
         return iter(self._connections)
 
     def is_over_limit(self) -> bool:
-        """Return whether more connections are idle than may be."""
+        """Return whether there are more than :data:`IDLE_CONNECTIONS_MAX` idle connections."""
         return len(self._connections) > IDLE_CONNECTIONS_MAX
 
     def add(self, connection: DatabaseConnection, now_ms: float) -> None:
-        """Add a connection that is idle from now on."""
+        """Add a connection that becomes idle at ``now_ms`` (Unix time in ms)."""
         connection.idle_since_ms = now_ms
         self._connections[connection] = None
 
     def discard(self, connection: DatabaseConnection) -> None:
-        """Remove a connection, if it is here."""
+        """Remove a connection if it is in the pool."""
         self._connections.pop(connection, None)
 
     def clear(self) -> None:
-        """Remove all."""
+        """Remove all connections without closing them."""
         self._connections.clear()
 
     def pop_longest_idle(self) -> DatabaseConnection:
@@ -46,15 +46,16 @@
         return connection
 
     def take(self, now_ms: float) -> DatabaseConnection | None:
-        """Remove and return the longest idle connection that is still open; None where there is none.
+        """Remove and return the longest idle connection that can carry a call, or None if there is none.
 
-        Connections with something to read are removed on the way: their tasks close them.
+        Connections that were closed by the database or have surplus bytes to read are removed from the pool;
+        their own tasks close them.
         """
         while self._connections:
             connection = next(iter(self._connections))
             if now_ms - connection.idle_since_ms < MIN_IDLE_MS:
                 return None
             del self._connections[connection]
-            if connection.has_nothing_to_read():
+            if connection.is_open_and_silent():
                 return connection
         return None
--- a/snowthread/clients/runtime.py
+++ b/snowthread/clients/runtime.py
@@ -1,7 +1,7 @@
-"""The runtime's client: reconnects, sends commands in order and posts each notice once.
+"""The client of the runtime: keeps a link open, sends commands in order and posts each notice once.
 
-:mod:`.runtime_link` has the timeouts of one link, :mod:`.command_queue` what is unsent on it and
-:mod:`.runtime_codec` the protocol.
+:mod:`.runtime_link` has the timeouts of one link, :mod:`.command_queue` its unsent commands and
+:mod:`.runtime_codec` implements the protocol.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, TaskSteps, Wait
 
 READ_BYTES = 64 * 1024
-LOAD_SAMPLE_QUEUE_LIMIT = 64  # unsent commands from which no load samples are requested
+LOAD_SAMPLE_QUEUE_LIMIT = 64  # with this many unsent commands, load sample requests are dropped
 CONNECT_TIMEOUT_MS = 1000.0
 RECONNECT_DELAY_MIN_MS = 20.0
 RECONNECT_DELAY_MAX_MS = 500.0
-RECONNECT_BACKOFF_RATIO = 2.0  # of the next delay to the last, while attempts fail
+RECONNECT_BACKOFF_RATIO = 2.0  # ratio of each reconnection delay to the one before, while attempts fail
 KEEPALIVE_TAG = "alive"
 MIGRATION_TAG_PREFIX = "move-"
 
 
 class RuntimeClient:
-    """Owns the link to the runtime and migrates it to another address without losing a command.
+    """Owns the link to the runtime, and migrates it to another address without losing a command.
 
-    Before a migration a marker is sent, a load sample request whose echo proves that the runtime has read all
-    that was written before it. Commands sent from then on are queued for the next link.
+    A migration begins with a marker: a load sample request whose echo proves that the runtime has read
+    everything that was written before it. Commands sent after the marker are queued for the next link.
     """
 
     def __init__(
@@ -44,37 +44,52 @@
         post: Callable[[events.Event], None],
         reconnect_delay_ms: Callable[[], float] | None = None,
     ) -> None:
-        """``reconnect_delay_ms``: the pause before the next attempt, in place of exponential backoff."""
+        """Start to connect.
+
+        Args:
+            loop: the event loop on which the client runs.
+            address: the address of the runtime.
+            post: called with each event.
+            reconnect_delay_ms: returns the delay before the next connection attempt, in place of exponential
+                backoff.
+        """
         self._loop = loop
         self._address = address
         self._post = post
         self._reconnect_delay_ms = reconnect_delay_ms
         self._sock: socket.socket | None = None
         self._is_ready = False
-        self._was_ready = False  # on any link; before that a silent runtime has not started
+        # Whether any link was ready. Before that, a silent runtime is one that is still starting.
+        self._was_ready = False
         self._commands = CommandQueue()
-        self._last_notice = 0  # the highest number of a notice that was read
+        self._last_notice = 0  # the highest notice number that was read
         self._migration_count = 0
-        self._migration_marker = ""  # the tag whose echo is waited for before the link migrates
-        self._is_between_links = False  # a link was left for another with all commands read
+        self._migration_marker = ""  # tag whose echo ends the old link; empty outside a migration
+        # Whether a migration closed the old link, with all commands read, and the new link is not ready yet.
+        self._is_between_links = False
         self._queued_for_next_link: list[QueuedLine] = []
-        self._task = loop.spawn(self._steps())
+        self._task = loop.spawn(self._maintain_link())
 
     def send(self, command: RuntimeCommand) -> None:
-        """Write a command as far as the socket takes it, or queue it; without a link it is dropped."""
+        """Write a command to the socket as far as possible and queue the rest.
+
+        During a migration the command is queued for the next link, except that load sample requests are
+        dropped. Without a link, and with no migration in progress, the command is dropped.
+        """
         if self._migration_marker or (self._is_between_links and self._sock is None):
             if not isinstance(command, effects.RequestLoadSample):
                 self._queued_for_next_link.append(QueuedLine(command, encode(command)))
         elif self._sock is not None:
             is_sample_request = isinstance(command, effects.RequestLoadSample)
             if is_sample_request and len(self._commands.lines) >= LOAD_SAMPLE_QUEUE_LIMIT:
-                return  # a runtime that does not read now needs no more requests
+                return  # the runtime does not keep up with reading, so another request is of no use
             self._write(self._sock, command)
 
     def set_address(self, address: Address) -> None:
-        """Migrate the link to a new address, after all that was written is known to have been read.
+        """Migrate the link to a new address, once the runtime has read everything that was written so far.
 
-        A start lost between two links could not be sent again, and its client would wait in vain.
+        A start command that was lost between the two links could not always be sent again, and its client
+        would wait in vain.
         """
         if address == self._address:
             return
@@ -82,7 +97,8 @@
         if self._sock is not None and not self._migration_marker:
             self._migration_count += 1
             marker = f"{MIGRATION_TAG_PREFIX}{self._migration_count}"
-            self._write(self._sock, effects.RequestLoadSample(marker))  # however many commands are queued
+            # The marker is sent even if the queue is so long that other load sample requests are dropped.
+            self._write(self._sock, effects.RequestLoadSample(marker))
             self._migration_marker = marker
         self._loop.wake(self._task)
 
@@ -91,9 +107,9 @@
         if len(self._commands.lines) == 1 and not self._commands.flush(sock):
             self._loop.wake(self._task)
 
-    # Links, one after another.
+    # The sequence of links.
 
-    def _steps(self) -> TaskSteps:
+    def _maintain_link(self) -> TaskSteps:
         backoff_ms = RECONNECT_DELAY_MIN_MS
         while True:
             attempt = ConnectAttempt(self._address, self._loop, self._loop.clock.now() + CONNECT_TIMEOUT_MS)
@@ -102,33 +118,33 @@
                 self._sock = attempt.sock
                 failure = yield from self._run_link(attempt.sock)
                 if failure is None:
-                    self._leave_link()
+                    self._close_migrated_link()
                     backoff_ms = RECONNECT_DELAY_MIN_MS
                     continue
                 if failure.progress is Progress.REPLY_BEGUN:
                     backoff_ms = RECONNECT_DELAY_MIN_MS
                     logger.bind(event="runtime.link_lost", peer="runtime").warning(
-                        "runtime: link lost: {}", failure.reason
+                        "runtime: link lost, reconnecting: {}", failure.reason
                     )
-                self._lose_link()
+                self._close_failed_link()
             elif attempt.failure is not None:
-                logger.debug("runtime: no link: {}", attempt.failure.reason)
+                logger.debug("runtime: connection attempt failed, retrying: {}", attempt.failure.reason)
             delay_ms = backoff_ms if self._reconnect_delay_ms is None else self._reconnect_delay_ms()
             yield Wait(until_ms=self._loop.clock.now() + delay_ms)
             backoff_ms = min(RECONNECT_DELAY_MAX_MS, backoff_ms * RECONNECT_BACKOFF_RATIO)
 
-    def _leave_link(self) -> None:
-        """Close a link on which all commands were read; the next one continues it."""
+    def _close_migrated_link(self) -> None:
+        """Close the old link of a migration, on which all commands were read; the next link continues it."""
         logger.bind(event="runtime.link_moved", peer="runtime").info(
-            "runtime: link moves to {}:{}", *self._address
+            "runtime: all commands were read; the link moves to {}:{}", *self._address
         )
         self._migration_marker = ""
         self._is_between_links = True
         self._close()
 
-    def _lose_link(self) -> None:
-        """Close a failed link and post which commands were not begun: they may be sent on the next one."""
-        unsent = self._commands.lines_not_begun() + self._queued_for_next_link
+    def _close_failed_link(self) -> None:
+        """Close a failed link, and post the commands of which no byte was sent so that they can be resent."""
+        unsent = self._commands.unstarted_lines() + self._queued_for_next_link
         self._queued_for_next_link = []
         self._close()
         self._migration_marker = ""
@@ -144,12 +160,13 @@
             self._loop.close(sock)
         self._commands.clear()
 
-    # One link.
+    # A single link.
 
     def _run_link(self, sock: socket.socket) -> Generator[Wait, int, Failure | None]:
-        """Use a link until it fails; return None where it may be left for another address.
+        """Use a link until it fails, or until it can be closed because its migration marker was echoed.
 
-        A failure with REPLY_BEGUN means that the link had been ready.
+        Return the failure, or None for a migration. A failure with the progress REPLY_BEGUN means that the
+        link had been ready.
         """
         self._commands.lines.append(QueuedLine(None, encode_sync(self._last_notice)))
         self._commands.lines.extend(self._queued_for_next_link)
@@ -161,31 +178,37 @@
             deadline_ms = link.deadline_ms(clock.now(), bool(self._migration_marker), self._was_ready)
             mask = READABLE | WRITABLE if self._commands.lines else READABLE
             ready = yield Wait(sock.fileno(), mask, deadline_ms)
-            is_due = clock.now() >= deadline_ms
-            if not ready & (READABLE | HANGUP) and not is_due:
+            is_deadline_reached = clock.now() >= deadline_ms
+            if not ready & (READABLE | HANGUP) and not is_deadline_reached:
                 continue
-            result = self._receive(sock, link, is_due)  # also when due: the loop may be late, an echo there
+            # Read even if the deadline has passed: the loop may be late, and the echo may have arrived.
+            result = self._receive(sock, link, is_deadline_reached)
             if isinstance(result, Failure):
                 return result
             if self._handle_lines(result):
                 return None
 
-    def _receive(self, sock: socket.socket, link: RuntimeLink, is_due: bool) -> list[bytes] | Failure:
-        """Read once; return the lines that are complete, or why the link is given up."""
+    def _receive(
+        self, sock: socket.socket, link: RuntimeLink, is_deadline_reached: bool
+    ) -> list[bytes] | Failure:
+        """Read once; return the lines that are complete, or the failure for which the link is closed."""
         try:
             data = sock.recv(READ_BYTES)
         except BlockingIOError:
-            failure = self._check_silence(sock, link) if is_due else None
+            failure = self._check_silence(sock, link) if is_deadline_reached else None
             return [] if failure is None else failure
         except OSError as error:
             return self._failure(str(error))
         if not data:
-            return self._failure("closed by the runtime")
+            return self._failure("connection closed by the runtime")
         lines = link.split_lines(data, self._loop.clock.now())
-        return self._failure("a line above the limit") if lines is None else lines
+        return self._failure("received a line above the size limit") if lines is None else lines
 
     def _check_silence(self, sock: socket.socket, link: RuntimeLink) -> Failure | None:
-        """Give up a link that is due with nothing to read, or send a keepalive request."""
+        """Send a keepalive request, or return a failure if an echo is overdue.
+
+        Called when the deadline of the link has passed and there is nothing to read.
+        """
         now_ms = self._loop.clock.now()
         reason = link.overdue_reason(now_ms)
         if reason is not None:
@@ -198,7 +221,7 @@
         return Failure(Progress.REPLY_BEGUN if self._is_ready else Progress.SENT, reason, timed_out)
 
     def _handle_lines(self, lines: list[bytes]) -> bool:
-        """Handle complete lines; return True at the echo of the migration marker, after which none is."""
+        """Handle lines up to the echo of the migration marker; return whether that echo was among them."""
         for line in lines:
             if not line.strip():
                 continue
@@ -206,7 +229,7 @@
                 number, event = decode(line)
             except NoticeError as error:
                 logger.bind(event="peer.protocol_error", peer="runtime").warning(
-                    "runtime: not a notice: {}", error
+                    "runtime: ignored an invalid notice: {}", error
                 )
                 continue
             self._handle_notice(number, event)
@@ -219,7 +242,7 @@
         return False
 
     def _handle_notice(self, number: int | None, event: events.Event | None) -> None:
-        """Post a notice once: after a new link those not known to have been read are repeated."""
+        """Post the event of a notice, unless its number was read before: a new link may repeat notices."""
         if number is not None:
             if number <= self._last_notice:
                 return
@@ -227,7 +250,7 @@
         if isinstance(event, events.RuntimeConnected):
             self._is_ready = True
             self._was_ready = True
-            if self._is_between_links:  # nothing was lost: to the node it is the same link
+            if self._is_between_links:  # a migration loses nothing, so the node sees no new link
                 self._is_between_links = False
                 return
         if event is not None:
--- a/snowthread/clients/runtime_codec.py
+++ b/snowthread/clients/runtime_codec.py
@@ -1,4 +1,4 @@
-"""The runtime's protocol: commands and notices, one JSON object per line in each direction. Sans-I/O."""
+"""The protocol of the runtime: commands and notices, one JSON object per line. Sans-I/O."""
 
 from __future__ import annotations
 
@@ -21,16 +21,18 @@
 
 
 Notice = tuple[int | None, events.Event | None]
-"""A line from the runtime: its number, if it has one, and its event, if its kind is known. A plain tuple,
-because one is made for each notice of each run."""
+"""A line from the runtime: its number, if it has one, and its event, if its kind is known.
+
+A plain tuple is cheaper than a class; one is created for each notice of each run.
+"""
 
 
 class NoticeError(ValueError):
-    """A line that is not a notice."""
+    """A line from the runtime is not a valid notice."""
 
 
 def encode(command: RuntimeCommand) -> bytes:
-    """Return a command as a line."""
+    """Return the line that sends a command."""
     fields: dict[str, Any]
     match command:
         case effects.StartRun():
@@ -56,25 +58,25 @@
 
 
 def encode_sync(last_notice: int) -> bytes:
-    """Return the first line on a link: the runtime repeats the notices after this one."""
+    """Return the first line on a link, which asks the runtime to repeat all notices after ``last_notice``."""
     return orjson.dumps({"action": "sync", "pos": last_notice}) + b"\n"
 
 
 def decode(line: bytes) -> Notice:
-    """Return what a line from the runtime says.
+    """Return the number and the event of a line from the runtime.
 
     Raises:
-        NoticeError: it is no notice.
+        NoticeError: the line is not a valid notice.
     """
     try:
         fields = orjson.loads(line)
     except orjson.JSONDecodeError as error:
         raise NoticeError(str(error)) from None
     if not isinstance(fields, dict):
-        raise NoticeError("not an object")
+        raise NoticeError("notice is not a JSON object")
     number = fields.get("pos")
     if number is not None and (not isinstance(number, int) or number < 0):
-        raise NoticeError("pos is not a number")
+        raise NoticeError("notice field pos is not a non-negative integer")
     try:
         return number, _event(fields)
     except (KeyError, TypeError, ValueError) as error:
@@ -82,10 +84,10 @@
 
 
 def _event(fields: dict[str, Any]) -> events.Event | None:
-    """Return the event of a notice, or None for a kind that is not known.
+    """Return the event of a notice, or None if the kind of the notice is unknown.
 
     Raises:
-        TypeError: a field has another type; KeyError and ValueError are possible, too.
+        TypeError: a field has a wrong type. A missing field raises KeyError and an invalid value ValueError.
     """
     match fields.get("action"):
         case "ready":
@@ -97,7 +99,7 @@
             return events.RunCompleted(str(fields["uid"]), outcome, duration_ms, _decode_content(fields))
         case "wants":
             if not isinstance(fields["pos"], int):
-                raise TypeError("a call without a number could never be skipped")
+                raise TypeError("notice field pos is not an integer, so the call could never be skipped")
             return events.CallRequested(str(fields["uid"]), fields["pos"], _decode_content(fields))
         case "load":
             values = tuple(float(value) for value in fields["meters"])
