--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -136,7 +136,7 @@
         assert "moves to" in next_log_line(process)
         first.kill()
         # Cached results are still there, and the new runtime does the work. (The toy's notices are numbered
-        # anew and the node ignores them for that: tests/exchanges/moved.txt goes on from there.)
+        # anew and the node ignores them for that: tests/exchanges/address-migration.txt goes on from there.)
         assert ask(listen_address(other), "dispense", b"grey", "k1") == GREY_DISPENSE
         ask(listen_address(other), "match", b"grey")
         assert second.stdout is not None
