--- a/tests/clients/test_database_codec.py
+++ b/tests/clients/test_database_codec.py
@@ -1,4 +1,4 @@
-"""The database's replies: read in chunks of any size, limited, and what each end of a call proves."""
+"""Replies of the database: parsing in chunks of any size, size limits, and the outcome that each proves."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n"
 
 
-def read(*chunks: bytes) -> ResponseReader:
+def parse(*chunks: bytes) -> ResponseReader:
     reader = ResponseReader()
     for chunk in chunks:
         reader.feed(chunk)
@@ -45,19 +45,19 @@
 def test_reply_is_read_in_chunks_of_any_size(
     data: bytes, reply: DatabaseReply | None, chunk_bytes: int
 ) -> None:
-    reader = read(*(data[start : start + chunk_bytes] for start in range(0, len(data), chunk_bytes)))
+    reader = parse(*(data[start : start + chunk_bytes] for start in range(0, len(data), chunk_bytes)))
     assert reader.reply == reply
     assert reader.failure is None and not reader.has_surplus and not reader.closes_connection
 
 
 @pytest.mark.parametrize("surplus", [OK, b"x", b"HTTP/1.1 2"])
-def test_bytes_behind_a_reply_leave_it_valid_and_are_noticed(surplus: bytes) -> None:
-    reader = read(OK, surplus)
+def test_surplus_bytes_after_a_reply_are_detected_and_leave_it_valid(surplus: bytes) -> None:
+    reader = parse(OK, surplus)
     assert reader.reply == DatabaseReply(200, False, b"ok") and reader.has_surplus
 
 
-def test_announced_close_is_noticed() -> None:
-    assert read(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").closes_connection
+def test_announced_close_is_detected() -> None:
+    assert parse(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").closes_connection
 
 
 @pytest.mark.parametrize(
@@ -65,21 +65,21 @@
     [
         b"not HTTP\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nX: " + b"x" * MAX_HEAD_BYTES,
-        b"HTTP/1.1 200 OK\r\n\r\n",  # no length
+        b"HTTP/1.1 200 OK\r\n\r\n",  # neither Content-Length nor Transfer-Encoding
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_REPLY_BYTES + 1),
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11000\r\n" + b"x" * 0x11000 + b"\r\n0\r\n\r\n",
     ],
     ids=["not HTTP", "long head", "no length", "long body announced", "long body in chunks"],
 )
 def test_invalid_or_too_long_reply_fails(data: bytes) -> None:
-    reader = read(data)
+    reader = parse(data)
     assert reader.failure is not None and reader.reply is None
 
 
 @given(st.lists(st.binary(max_size=40) | st.sampled_from([OK, INTERIM, SHED, OK[:30]]), max_size=6))
 @settings(max_examples=300, deadline=None)
 def test_no_bytes_raise_an_error(chunks: list[bytes]) -> None:
-    reader = read(*chunks)
+    reader = parse(*chunks)
     assert reader.reply is None or reader.reply.status >= 200
 
 
@@ -95,8 +95,8 @@
         (DatabaseReply(504, True, b""), Outcome.TIMED_OUT),
         (DatabaseReply(500, True, b""), Outcome.FAILURE),
         (Failure(Progress.NOT_CONNECTED, "refused"), Outcome.UNREACHABLE),
-        (Failure(Progress.NOT_CONNECTED, "out of time", timed_out=True), Outcome.UNREACHABLE),
-        (Failure(Progress.SENT, "out of time", timed_out=True), Outcome.TIMED_OUT),
+        (Failure(Progress.NOT_CONNECTED, "timed out", timed_out=True), Outcome.UNREACHABLE),
+        (Failure(Progress.SENT, "timed out", timed_out=True), Outcome.TIMED_OUT),
         (Failure(Progress.SENT, "reset"), Outcome.DISCONNECTED),
         (Failure(Progress.REPLY_BEGUN, "reset"), Outcome.DISCONNECTED),
     ],
--- a/tests/clients/test_runtime_codec.py
+++ b/tests/clients/test_runtime_codec.py
@@ -1,4 +1,4 @@
-"""The runtime's lines: notices that are valid, incomplete or no notices at all."""
+"""The lines of the runtime's protocol: valid notices, invalid lines, and encoded commands."""
 
 from __future__ import annotations
 
--- a/tests/clients/test_runtime_link.py
+++ b/tests/clients/test_runtime_link.py
@@ -1,4 +1,4 @@
-"""One link to the runtime: lines in pieces, and when the link is checked or given up."""
+"""One link to the runtime: how it splits lines, and when it is checked with a keepalive or closed."""
 
 from __future__ import annotations
 
--- a/tests/core/conftest.py
+++ b/tests/core/conftest.py
@@ -16,13 +16,13 @@
 
 @pytest.fixture(autouse=True)
 def checked_run_states(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Make an illegal transition of a run's state an error."""
+    """Make every illegal transition between the states of a run an error."""
     monkeypatch.setattr(Run, "state", CheckedRunState(Run.__dict__["state"]))
 
 
 @pytest.fixture(autouse=True)
 def response_log(monkeypatch: pytest.MonkeyPatch) -> Iterator[ResponseLog]:
-    """Check what the log says of each response without a result: its attempt and why it was rejected."""
+    """Check that each response without a result names its attempt, and each rejection its reason."""
     log = collect_responses(monkeypatch)
     yield log
     log.check()
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def player() -> Iterator[ExchangePlayer]:
-    """Yield a node with the example configuration and peers that it can reach."""
+    """Yield a node with the example configuration and reachable peers."""
     player = ExchangePlayer()
     yield player
     player.node.loop.end_all_tasks()
@@ -43,13 +43,13 @@
 
 
 @pytest.fixture
-def unstoppable_state() -> NodeState:
-    """Return the same at a site that can't stop runs."""
+def state_without_preemption() -> NodeState:
+    """Return the state of such a node at a site that can't stop runs."""
     return make_state(Preemption.NONE)
 
 
 def make_state(preemption: Preemption) -> NodeState:
-    """Return the state of a node at a site that does this to runs it stops."""
+    """Return the state of a node with one class of each kind of idempotency and this kind of preemption."""
     classes = (
         RequestClass("idempotent", 1.0, 3.0),
         RequestClass("keyed", 1.0, 3.0, idempotency=Idempotency.KEYED, idempotency_window_s=9.0),
--- a/tests/core/test_command_log.py
+++ b/tests/core/test_command_log.py
@@ -1,4 +1,4 @@
-"""Which commands an echo proves to be read."""
+"""Which commands the echo of a load sample request proves to have been read by the runtime."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     assert not log.was_read(command)
 
 
-def test_requests_that_are_never_answered_are_bounded_and_the_latest_still_count() -> None:
+def test_tracked_sample_requests_are_bounded_and_the_latest_is_kept() -> None:
     log = CommandLog()
     log.begin_link()
     for number in range(10 * OUTSTANDING_SAMPLES_MAX):
--- a/tests/core/test_configuration_file.py
+++ b/tests/core/test_configuration_file.py
@@ -1,4 +1,4 @@
-"""Configuration files with missing or invalid values are rejected completely: the node goes on as before."""
+"""Configuration files with missing or invalid values are rejected as a whole, and the node is not changed."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def load_fields(path: Path, fields: object, previous: Config | None = None) -> Config:
-    """Write a file with these fields, or with these bytes, and load it."""
+    """Write a configuration file with these fields, or with these raw bytes, and load it."""
     path.write_bytes(fields if isinstance(fields, bytes) else orjson.dumps(fields))
     return load({"NODE_CONFIG": str(path)}, previous)
 
 
 def key_paths(value: object, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """Return the path of every key of a file."""
+    """Return the path of every key in the fields of a configuration file."""
     found: list[tuple[Any, ...]] = []
     if isinstance(value, dict):
         for key, inner in value.items():
--- a/tests/core/test_key_claims.py
+++ b/tests/core/test_key_claims.py
@@ -1,4 +1,4 @@
-"""At the successor of a hot restart a request waits until the predecessor has decided on its key."""
+"""Key claims at the successor of a hot restart: requests wait for the predecessor's decision on their key."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return [effect.message for effect in emitted if isinstance(effect, effects.SendToPeerProcess)]
 
 
-def started(emitted: list[effects.Effect]) -> list[str]:
+def started_attempts(emitted: list[effects.Effect]) -> list[str]:
     return [effect.attempt_id for effect in emitted if isinstance(effect, effects.StartRun)]
 
 
@@ -38,10 +38,10 @@
     request = make_request(1, "keyed", START, idempotency_key=KEY)
     emitted = reduce(successor, request, START)
     assert [type(message) for message in sent_to_peer(emitted)] == [events.KeyClaimRequested]
-    assert started(emitted) == []
+    assert started_attempts(emitted) == []
     assert successor.pending_claims[KEY].waiting_requests == [request]
     emitted = reduce(successor, events.KeyClaimDecided(KEY, request.attempt_id, granted=True), START)
-    assert started(emitted) == [request.attempt_id]
+    assert started_attempts(emitted) == [request.attempt_id]
     assert successor.pending_claims == {}
 
 
@@ -54,7 +54,7 @@
     assert [response.attempt_id for _, response in response_log.without_result] == [
         f"{number:016x}" for number in (1, 2)
     ]
-    assert started(emitted) == []
+    assert started_attempts(emitted) == []
 
 
 def test_a_granted_key_is_released_where_the_claimant_was_cancelled(successor: NodeState) -> None:
@@ -66,7 +66,7 @@
     released, claimed = sent_to_peer(emitted)
     assert released == events.KeyReleased(claimant.attempt_id)
     assert isinstance(claimed, events.KeyClaimRequested) and claimed.attempt_id == other.attempt_id
-    assert started(emitted) == []
+    assert started_attempts(emitted) == []
 
 
 def test_a_request_is_rejected_where_the_decision_takes_too_long(successor: NodeState) -> None:
--- a/tests/core/test_load_samples.py
+++ b/tests/core/test_load_samples.py
@@ -1,4 +1,4 @@
-"""Which figures of a load sample reach the controller, and for how long they are valid."""
+"""Which values of a load sample are passed to the admission controller, and for how long they are valid."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 GAUGES = ("core_use", "on_cores", "heap_share", "links")
 
 
-class Controllers:
-    """Records the timer events that controllers are given."""
+class TimerRecorder:
+    """Records the timer events that are passed to controllers."""
 
     def __init__(self) -> None:
         self.timers: list[admission_events.TimerFired] = []
 
 
 @pytest.fixture
-def seen(monkeypatch: pytest.MonkeyPatch) -> Iterator[Controllers]:
-    controllers = Controllers()
+def timer_recorder(monkeypatch: pytest.MonkeyPatch) -> Iterator[TimerRecorder]:
+    recorder = TimerRecorder()
     handle = Controller.handle
 
     def record(self: Controller, now: float, event: admission_events.Event) -> Any:
         if isinstance(event, admission_events.TimerFired):
-            controllers.timers.append(event)
+            recorder.timers.append(event)
         return handle(self, now, event)
 
     monkeypatch.setattr(Controller, "handle", record)
-    yield controllers
+    yield recorder
 
 
 @pytest.fixture
@@ -62,31 +62,32 @@
 
 
 def test_all_figures_of_a_sample_on_an_unbroken_link_are_passed_on(
-    connected: NodeState, seen: Controllers
+    connected: NodeState, timer_recorder: TimerRecorder
 ) -> None:
     sample(connected, 240.0)
     update(connected, 250.0)
-    assert seen.timers == [admission_events.TimerFired(UPDATE_TIMER, 0.5, 3.0, 0.1, 2.0)]
+    assert timer_recorder.timers == [admission_events.TimerFired(UPDATE_TIMER, 0.5, 3.0, 0.1, 2.0)]
 
 
-def test_sample_serves_one_update_only(connected: NodeState, seen: Controllers) -> None:
-    """Idle cores that one sample shows would otherwise let the concurrency limit grow in each update."""
+def test_sample_serves_one_update_only(connected: NodeState, timer_recorder: TimerRecorder) -> None:
+    """Otherwise one sample with idle cores would raise the concurrency limit in each following update."""
     sample(connected, 240.0)
     update(connected, 250.0)
     update(connected, 500.0)
-    assert seen.timers[1] == admission_events.TimerFired(UPDATE_TIMER, None, None, 0.1, 2.0)
+    assert timer_recorder.timers[1] == admission_events.TimerFired(UPDATE_TIMER, None, None, 0.1, 2.0)
 
 
-def test_old_sample_is_not_passed_on(connected: NodeState, seen: Controllers) -> None:
+def test_old_sample_is_not_passed_on(connected: NodeState, timer_recorder: TimerRecorder) -> None:
     sample(connected, 0.0)
     update(connected, LOAD_SAMPLE_MAX_AGE_MS + 1.0)
-    assert seen.timers == [admission_events.TimerFired(UPDATE_TIMER)]
+    assert timer_recorder.timers == [admission_events.TimerFired(UPDATE_TIMER)]
 
 
 def test_each_update_has_a_sample_of_its_own_however_long_other_timers_are_set(state: NodeState) -> None:
-    """The sample of a timer seconds ahead does not serve the updates before it."""
+    """A sample requested for a timer that is seconds away can't be used for the updates before it."""
     emitted = reduce(state, events.RuntimeConnected(False, 0.0), START)
-    emitted += reduce(state, make_request(1, "idempotent", START), START)  # due in three seconds
+    # The deadline of this request sets a timer three seconds ahead.
+    emitted += reduce(state, make_request(1, "idempotent", START), START)
     emitted += reduce(state, events.TimerExpired(UPDATE_TIMER), START + 250.0)
     updates = []
     samples = []
@@ -100,14 +101,14 @@
 
 
 def test_utilization_of_a_time_without_a_link_is_not_passed_on(
-    connected: NodeState, seen: Controllers
+    connected: NodeState, timer_recorder: TimerRecorder
 ) -> None:
-    """Cores that were idle because no start could reach them do not justify a higher concurrency limit."""
+    """Cores that were idle only because no start command could reach them must not raise the limit."""
     reduce(connected, events.RuntimeDisconnected(), START + 100.0)
     reduce(connected, events.RuntimeConnected(False, 0.0), START + 400.0)
     sample(connected, 401.0, sync_tag(2))
     update(connected, 500.0)
-    assert seen.timers == [admission_events.TimerFired(UPDATE_TIMER, None, 3.0, 0.1, 2.0)]
+    assert timer_recorder.timers == [admission_events.TimerFired(UPDATE_TIMER, None, 3.0, 0.1, 2.0)]
     sample(connected, 400.0 + UTILIZATION_WINDOW_MS)
     update(connected, 1000.0)
-    assert seen.timers[1] == admission_events.TimerFired(UPDATE_TIMER, 0.5, 3.0, 0.1, 2.0)
+    assert timer_recorder.timers[1] == admission_events.TimerFired(UPDATE_TIMER, 0.5, 3.0, 0.1, 2.0)
--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -1,4 +1,4 @@
-"""The handler tables of the reducer are complete, and each type is registered once."""
+"""The handler tables of the reducer are complete, and no event type is registered twice."""
 
 from __future__ import annotations
 
--- a/tests/core/test_responses.py
+++ b/tests/core/test_responses.py
@@ -1,4 +1,4 @@
-"""The log can name the attempt of each response without a result, and why it was rejected."""
+"""Responses without a result name their attempt, and rejections also their reason, for the log."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from snowthread.core.reducer import reduce
 from snowthread.core.state import NodeState
 
-RECORDED = sorted((Path(__file__).parents[1] / "exchanges").glob("*.txt"))
+EXCHANGE_PATHS = sorted((Path(__file__).parents[1] / "exchanges").glob("*.txt"))
 
 
 def test_responses_of_the_recorded_exchanges_carry_their_attempt(response_log: ResponseLog) -> None:
-    for path in RECORDED:
+    for path in EXCHANGE_PATHS:
         ExchangePlayer().play(path.read_text())
     response_log.check()
     types = {type(response) for _, response in response_log.without_result}
@@ -41,7 +41,7 @@
 def test_a_retry_that_fails_does_so_under_its_own_attempt(
     state: NodeState, response_log: ResponseLog, body: bytes
 ) -> None:
-    """It follows an original that fails, or has its key and another body."""
+    """The retry waits for an original that fails, or has the key of the original and another body."""
     reduce(state, events.RuntimeConnected(starts_cold=False, runtime_age_ms=0.0), START)
     original = make_request(1, "keyed", START, idempotency_key="k")
     reduce(state, original, START)
--- a/tests/core/test_run.py
+++ b/tests/core/test_run.py
@@ -1,7 +1,7 @@
-"""The states of a run and the transitions between them: the table of :mod:`snowthread.core.run`.
+"""The states of a run and the transitions between them, as documented in :mod:`snowthread.core.run`.
 
-Every test of this package runs with the checked states of ``conftest.py``: a transition that the table does
-not have raises :class:`IllegalRunTransitionError`.
+The fixtures in ``conftest.py`` check the transitions in every test of this package: one that the documented
+table lacks raises :class:`IllegalRunTransitionError`.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 QUEUED = RunState.START_QUEUED
 SENT = RunState.START_SENT
 STARTED = RunState.STARTED
-START_LOST = RunState.START_INDETERMINATE
-REPLY_LOST = RunState.REPLY_INDETERMINATE
+START_INDETERMINATE = RunState.START_INDETERMINATE
+REPLY_INDETERMINATE = RunState.REPLY_INDETERMINATE
 
 
-def rows_of_the_table() -> dict[str, set[str]]:
-    """Return the states of the docstring's table, each with those that may follow."""
+def documented_transitions() -> dict[str, set[str]]:
+    """Return the states in the table of the docstring, each with the states that may follow it."""
     rows: dict[str, set[str]] = {}
     for line in (run.__doc__ or "").splitlines():
         columns = [column.strip() for column in line.split("  ") if column.strip()]
@@ -46,13 +46,13 @@
         "(none)" if before is None else before.name: {after.name for after in following}
         for before, following in RUN_TRANSITIONS.items()
     }
-    assert rows_of_the_table() == legal
+    assert documented_transitions() == legal
 
 
 @pytest.mark.parametrize(("before", "after"), list(product(RunState, RunState)))
 def test_a_transition_that_the_table_lacks_is_an_error(before: RunState, after: RunState) -> None:
     begun = Run()
-    for state in _shortest_way(before):
+    for state in _shortest_path(before):
         begun.state = state
     if after in RUN_TRANSITIONS[before]:
         begun.state = after
@@ -63,17 +63,17 @@
         assert begun.state is before
 
 
-def _shortest_way(target: RunState) -> list[RunState]:
-    """Return the states after START_QUEUED on a legal way to the target."""
-    ways: dict[RunState, list[RunState]] = {RunState.START_QUEUED: []}
+def _shortest_path(target: RunState) -> list[RunState]:
+    """Return the states after START_QUEUED on the shortest legal path to the target."""
+    paths: dict[RunState, list[RunState]] = {RunState.START_QUEUED: []}
     pending = [RunState.START_QUEUED]
-    while target not in ways:
+    while target not in paths:
         state = pending.pop(0)
         for following in sorted(RUN_TRANSITIONS[state], key=lambda s: s.value):
-            if following not in ways:
-                ways[following] = [*ways[state], following]
+            if following not in paths:
+                paths[following] = [*paths[state], following]
                 pending.append(following)
-    return ways[target]
+    return paths[target]
 
 
 def break_with_all_unsent(state: NodeState, now_ms: float) -> None:
@@ -102,12 +102,14 @@
     "start rejected": lambda state, now_ms: reduce(state, events.CommandRejected(ATTEMPT, True), now_ms),
 }
 
-Walk = list[tuple[str, RunState | None]]
+Scenario = list[tuple[str, RunState | None]]
 
-WALKS = [
-    pytest.param("keyed", [("succeeded", NO_RUN)], id="ends before anything shows that it started"),
+SCENARIOS = [
+    pytest.param("keyed", [("succeeded", NO_RUN)], id="ends before anything confirms its start"),
     pytest.param("keyed", [("start rejected", NO_RUN)], id="start rejected"),
-    pytest.param("keyed", [("call requested", STARTED), ("succeeded", NO_RUN)], id="a call shows the start"),
+    pytest.param(
+        "keyed", [("call requested", STARTED), ("succeeded", NO_RUN)], id="a call confirms the start"
+    ),
     pytest.param(
         "keyed",
         [
@@ -116,7 +118,7 @@
             ("link ready", STARTED),
             ("resynchronised", STARTED),
         ],
-        id="a start known to have been read at the break",
+        id="a start that was confirmed before the link broke",
     ),
     pytest.param(
         "keyed",
@@ -138,10 +140,10 @@
         [
             ("link broken", SENT),
             ("link ready", SENT),
-            ("resynchronised", START_LOST),
-            ("link broken", START_LOST),
-            ("link ready", START_LOST),
-            ("resynchronised", START_LOST),
+            ("resynchronised", START_INDETERMINATE),
+            ("link broken", START_INDETERMINATE),
+            ("link ready", START_INDETERMINATE),
+            ("resynchronised", START_INDETERMINATE),
             ("call requested", STARTED),
             ("succeeded", NO_RUN),
         ],
@@ -149,7 +151,12 @@
     ),
     pytest.param(
         "keyed",
-        [("link broken", SENT), ("link ready", SENT), ("resynchronised", START_LOST), ("succeeded", NO_RUN)],
+        [
+            ("link broken", SENT),
+            ("link ready", SENT),
+            ("resynchronised", START_INDETERMINATE),
+            ("succeeded", NO_RUN),
+        ],
         id="a keyed start that may be lost, until its end",
     ),
     pytest.param(
@@ -169,7 +176,7 @@
             ("call answered", STARTED),
             ("link broken", STARTED),
             ("link ready", STARTED),
-            ("resynchronised", REPLY_LOST),
+            ("resynchronised", REPLY_INDETERMINATE),
             ("call requested", STARTED),
         ],
         id="a reply that may be lost, until the next call",
@@ -181,10 +188,10 @@
             ("call answered", STARTED),
             ("link broken", STARTED),
             ("link ready", STARTED),
-            ("resynchronised", REPLY_LOST),
+            ("resynchronised", REPLY_INDETERMINATE),
             ("aborted", SENT),
         ],
-        id="aborted unasked: a new run starts anew",
+        id="aborted without a stop: the request is run again",
     ),
     pytest.param(
         "keyed",
@@ -195,7 +202,7 @@
             ("resynchronised", SENT),
             ("commands confirmed", NO_RUN),
         ],
-        id="a stop read on the new link shows that the start was lost",
+        id="a stop read on the new link proves that the start was lost",
     ),
     pytest.param(
         "keyed",
@@ -208,18 +215,18 @@
             ("commands confirmed", STARTED),
             ("aborted", NO_RUN),
         ],
-        id="a started run goes on until the runtime reports its end",
+        id="a started run continues until the runtime reports its end",
     ),
 ]
 
 
-@pytest.mark.parametrize(("class_name", "walk"), WALKS)
-def test_the_states_of_a_run(state: NodeState, class_name: str, walk: Walk) -> None:
+@pytest.mark.parametrize(("class_name", "scenario"), SCENARIOS)
+def test_the_states_of_a_run(state: NodeState, class_name: str, scenario: Scenario) -> None:
     connect(state, START)
     reduce(state, make_request(1, class_name, START), START)
     request = state.requests_by_attempt_id[ATTEMPT]
     assert run_of(request).state is SENT
-    for number, (step, expected) in enumerate(walk, start=1):
+    for number, (step, expected) in enumerate(scenario, start=1):
         STEPS[step](state, START + number)
         assert (request.run.state if request.run is not None else NO_RUN) is expected, step
 
@@ -233,7 +240,10 @@
 
 
 class RandomRuntime:
-    """Sends a reducer random events that a runtime on unreliable links may cause, and follows its effects."""
+    """Passes random events to a reducer, as a runtime on unreliable links may cause them.
+
+    It also carries out the effects that the reducer returns.
+    """
 
     def __init__(self, state: NodeState, seed: int) -> None:
         self.state = state
@@ -243,13 +253,14 @@
         self._requests = 0
         self._notices = 0
         self._is_linked = False
-        self._sent: list[effects.Command | effects.RequestLoadSample] = []  # on this link, not yet read
-        self._runs: set[str] = set()  # whose start was read
-        self._calls: set[str] = set()  # calls in flight
+        # Commands that were sent on the current link and not read by the runtime yet.
+        self._sent: list[effects.Command | effects.RequestLoadSample] = []
+        self._runs: set[str] = set()  # attempt ids of the runs whose start the runtime has read
+        self._calls: set[str] = set()  # attempt ids of the downstream calls in flight
         self._timers: list[effects.ScheduleTimer] = []
 
     def step(self) -> None:
-        """Send one random event, and the timers that are due."""
+        """Pass the timers that are due and then one random event to the reducer."""
         self._now_ms += self._random.choice((0.0, 1.0, 10.0, 50.0))
         due = [timer for timer in self._timers if timer.at_ms <= self._now_ms]
         self._timers = [timer for timer in self._timers if timer.at_ms > self._now_ms]
@@ -301,7 +312,7 @@
             self._post(events.RequestCancelled(self._random.choice(addresses)))
 
     def _read(self) -> None:
-        """Read the next command."""
+        """Let the runtime read the next command and react to it."""
         if not self._is_linked or not self._sent:
             return
         command = self._sent.pop(0)
@@ -314,7 +325,7 @@
                 self._post(events.LoadSampleReceived(command.tag, ()))
 
     def _notify(self) -> None:
-        """Report the end of a run, or its need of a call."""
+        """Report the end of a random run, or request a downstream call for it."""
         if not self._is_linked or not self._runs:
             return
         attempt_id = self._random.choice(sorted(self._runs))
@@ -336,11 +347,11 @@
             self._post(events.CallCompleted(attempt_id, outcome, 5.0, b"r"))
 
     def _change_link(self) -> None:
-        """Break the link, where some commands may be lost and some unsent, or accept a new one."""
+        """Accept a new link, or break the present one with some commands lost and others unsent."""
         if not self._is_linked:
             self._is_linked = True
-            connect_effects = events.RuntimeConnected(starts_cold=False, runtime_age_ms=0.0)
-            self._post(connect_effects)
+            connected = events.RuntimeConnected(starts_cold=False, runtime_age_ms=0.0)
+            self._post(connected)
         elif self._random.random() < 0.5:
             self._is_linked = False
             unread = self._sent
@@ -350,10 +361,10 @@
 
 
 def test_no_event_causes_a_transition_that_the_table_lacks(
-    state: NodeState, unstoppable_state: NodeState
+    state: NodeState, state_without_preemption: NodeState
 ) -> None:
     visited: set[RunState] = set()
-    for seed, each_state in enumerate((state, unstoppable_state)):
+    for seed, each_state in enumerate((state, state_without_preemption)):
         runtime = RandomRuntime(each_state, seed)
         for _ in range(4000):
             runtime.step()
--- a/tests/core/test_runtime_resync.py
+++ b/tests/core/test_runtime_resync.py
@@ -1,4 +1,4 @@
-"""What becomes of a run whose last command may be lost with a broken link to the runtime."""
+"""Runs whose last command may have been lost with a broken link: how they continue, end and are counted."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 from snowthread.core.state import NodeState, Request
 
 
-def start(state: NodeState, request: events.RequestReceived) -> Request:
-    """Connect and start the run of a request."""
+def start_run(state: NodeState, request: events.RequestReceived) -> Request:
+    """Connect the runtime and start the run of a request."""
     connect(state, START)
     assert any(isinstance(effect, effects.StartRun) for effect in reduce(state, request, START))
     return state.requests_by_attempt_id[request.attempt_id]
 
 
-def start_second(state: NodeState, now_ms: float) -> Request:
-    """Start the run of another keyed request on the present link."""
+def start_second_run(state: NodeState, now_ms: float) -> Request:
+    """Start the run of a second request, of the keyed class, on the current link."""
     reduce(state, make_request(2, "keyed", now_ms), now_ms)
     return state.requests_by_attempt_id[f"{2:016x}"]
 
 
 def counted_runs(state: NodeState) -> int:
-    """Return how many runs the controller takes to be on the cores."""
+    """Return how many runs the admission controller counts as running."""
     assert state.controller is not None
     return state.controller.run_load().running
 
 
 @pytest.mark.parametrize("class_name", ["idempotent", "keyed", "non-idempotent"])
 def test_a_run_whose_start_was_read_before_the_break_goes_on(state: NodeState, class_name: str) -> None:
-    request = start(state, make_request(1, class_name, START))
+    request = start_run(state, make_request(1, class_name, START))
     confirm_commands(state, START + 1.0)
     assert resynchronise(state, START + 1.0) == []
     assert run_of(request).link_number == state.link_number
@@ -47,8 +47,8 @@
 def test_a_start_that_nothing_shows_to_be_read_may_be_lost_however_old_it_is(
     state: NodeState, class_name: str
 ) -> None:
-    """A link that is slow or silent delays what was sent long before it breaks."""
-    request = start(state, make_request(1, class_name, START))
+    """A slow or silent link may still hold commands that were sent long before it breaks."""
+    request = start_run(state, make_request(1, class_name, START))
     emitted = resynchronise(state, START + 900.0)
     assert run_of(request).is_indeterminate is (class_name != "idempotent")
     resent = [effect for effect in emitted if isinstance(effect, effects.StartRun)]
@@ -56,16 +56,16 @@
 
 
 def test_an_echo_of_an_earlier_link_confirms_nothing_of_a_later_one(state: NodeState) -> None:
-    request = start(state, make_request(1, "keyed", START))
+    request = start_run(state, make_request(1, "keyed", START))
     confirm_commands(state, START + 1.0)
     resynchronise(state, START + 2.0)
-    late = start_second(state, START + 3.0)
+    late = start_second_run(state, START + 3.0)
     assert resynchronise(state, START + 4.0) == []
     assert run_of(late).is_indeterminate and not run_of(request).is_indeterminate
 
 
 def test_a_start_that_may_be_lost_is_sent_again_where_the_class_is_idempotent(state: NodeState) -> None:
-    request = start(state, make_request(1, "idempotent", START))
+    request = start_run(state, make_request(1, "idempotent", START))
     assert resynchronise(state, START + 1.0) == [
         effects.StartRun(request.attempt_id, "idempotent", request.body)
     ]
@@ -75,14 +75,14 @@
 def test_a_start_that_may_be_lost_is_never_sent_again_where_it_has_side_effects(
     state: NodeState, class_name: str
 ) -> None:
-    request = start(state, make_request(1, class_name, START))
+    request = start_run(state, make_request(1, class_name, START))
     emitted = resynchronise(state, START + 1.0)
     assert not any(isinstance(effect, effects.StartRun) for effect in emitted)
     assert run_of(request).is_indeterminate
 
 
 def test_an_indeterminate_run_counts_until_its_end_is_reported(state: NodeState) -> None:
-    request = start(state, make_request(1, "keyed", START))
+    request = start_run(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
     assert counted_runs(state) == 1
     reduce(state, events.RunCompleted(request.attempt_id, Outcome.SUCCESS, 1.0, b"r"), START + 2.0)
@@ -92,7 +92,7 @@
 def test_a_run_to_which_no_answer_is_owed_is_stopped_and_counts_until_its_end_is_reported(
     state: NodeState,
 ) -> None:
-    request = start(state, make_request(1, "non-idempotent", START))
+    request = start_run(state, make_request(1, "non-idempotent", START))
     confirm_commands(state, START)
     reduce(state, events.RequestCancelled((1, 1)), START)
     emitted = resynchronise(state, START + 1.0)
@@ -104,8 +104,8 @@
 
 
 def test_a_stop_that_has_to_wait_for_a_link_is_sent_on_the_next(state: NodeState) -> None:
-    """Were it dropped, the run would go on uncounted."""
-    request = start(state, make_request(1, "keyed", START))
+    """If the stop were dropped, the run would continue at the runtime without being counted."""
+    request = start_run(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
     reduce(state, events.RuntimeDisconnected(), START + 2.0)
     reduce(state, events.RequestCancelled((1, 1)), START + 3.0)
@@ -115,21 +115,22 @@
 
 
 def test_a_run_whose_stop_was_read_before_any_notice_of_it_is_over(state: NodeState) -> None:
-    start(state, make_request(1, "keyed", START))
+    start_run(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
     reduce(state, events.RequestCancelled((1, 1)), START + 2.0)
     assert counted_runs(state) == 1
     confirm_commands(state, START + 3.0)
     assert counted_runs(state) == 0 and state.requests == {}
     record = state.idempotency_table.find_by_attempt(f"{1:016x}")
-    assert record is not None and record.completed  # it may have run all the same: never again
+    # The request may have run after all, so its key stays recorded and is never run again.
+    assert record is not None and record.completed
 
 
 def test_a_run_that_the_site_cannot_stop_counts_until_its_end_is_reported(
-    unstoppable_state: NodeState,
+    state_without_preemption: NodeState,
 ) -> None:
-    state = unstoppable_state
-    request = start(state, make_request(1, "idempotent", START))
+    state = state_without_preemption
+    request = start_run(state, make_request(1, "idempotent", START))
     confirm_commands(state, START)
     reduce(state, events.RequestCancelled((1, 1)), START)
     assert not any(isinstance(e, effects.StopRun) for e in resynchronise(state, START + 1.0))
@@ -139,9 +140,9 @@
     assert counted_runs(state) == 0
 
 
-def test_a_run_without_any_notice_frees_its_place_in_the_end(unstoppable_state: NodeState) -> None:
-    state = unstoppable_state
-    start(state, make_request(1, "keyed", START))
+def test_a_run_without_any_notice_is_presumed_lost_in_the_end(state_without_preemption: NodeState) -> None:
+    state = state_without_preemption
+    start_run(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
     for step in range(1, 60):
         reduce(state, events.TimerExpired(DEADLINE_TIMER), START + 100.0 * step)
@@ -149,7 +150,7 @@
 
 
 def test_a_reply_sent_on_the_new_link_does_not_count_as_lost_with_the_old_one(state: NodeState) -> None:
-    request = start(state, make_request(1, "keyed", START))
+    request = start_run(state, make_request(1, "keyed", START))
     reduce(state, events.CallRequested(request.attempt_id, 1, b"c"), START + 1.0)
     reduce(state, events.RuntimeDisconnected(), START + 2.0)
     reduce(state, events.RuntimeConnected(False, 0.0), START + 3.0)
@@ -165,8 +166,10 @@
         pytest.param(events.RuntimeDisconnected(), id="link broke"),
     ],
 )
-def test_more_runs_than_are_counted_are_measured_after(state: NodeState, event: events.Event) -> None:
-    """Runs of a process that has exited go on at the runtime, and so may those that a broken link hides."""
+def test_excess_runs_are_measured_after_a_peer_exits_or_a_link_breaks(
+    state: NodeState, event: events.Event
+) -> None:
+    """Runs of a peer process that exited, and runs hidden by a broken link, may continue at the runtime."""
     state.gauge_names = ("on_cores",)
     reduce(state, events.RuntimeConnected(False, 0.0), START)
     later = START + 1000.0 * (RUN_COUNT_UNCERTAIN_S + 1.0)
@@ -185,6 +188,6 @@
 
 
 def test_exit_of_a_peer_process_before_the_runtime_is_there_starts_no_controller(state: NodeState) -> None:
-    """The controller would take a machine for warm whose age is not known yet."""
+    """Otherwise the controller would assume a warm machine before the age of the runtime is known."""
     reduce(state, events.PeerProcessExited(), START)
     assert state.controller is None
--- a/tests/support/core_events.py
+++ b/tests/support/core_events.py
@@ -1,4 +1,4 @@
-"""Events for tests of the reducer, one by one and in sequences that several tests need."""
+"""Helpers for tests of the reducer: single events, and sequences of events that several tests need."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def make_request(
     number: int, class_name: str, arrived_at_ms: float, idempotency_key: str | None = None
 ) -> events.RequestReceived:
-    """Return a request whose number stands in its attempt id, response address and key."""
+    """Return a request whose attempt id, response address and default key are derived from ``number``."""
     return events.RequestReceived(
         response_address=(1, number),
         attempt_id=f"{number:016x}",
@@ -28,12 +28,15 @@
 
 
 def connect(state: NodeState, now_ms: float) -> list[effects.Effect]:
-    """Have the runtime accept a link; return the effects."""
+    """Establish a link to the runtime and return the effects."""
     return reduce(state, events.RuntimeConnected(starts_cold=False, runtime_age_ms=0.0), now_ms)
 
 
 def confirm_commands(state: NodeState, now_ms: float) -> list[effects.Effect]:
-    """Have the runtime echo a load sample request, which shows that it read all that was sent before."""
+    """Let the runtime echo a load sample request, which proves that it read all commands sent before.
+
+    Return the effects without log messages.
+    """
     reduce(state, events.LoadSampleDue(), now_ms)
     tag = str(state.last_sample_number)
     emitted = reduce(state, events.LoadSampleReceived(tag, ()), now_ms)
@@ -41,7 +44,10 @@
 
 
 def resynchronise(state: NodeState, now_ms: float) -> list[effects.Effect]:
-    """Break the link and connect again; return the effects, the log and load samples apart."""
+    """Break the link, connect again and resynchronise.
+
+    Return the effects without log messages and load sample requests.
+    """
     reduce(state, events.RuntimeDisconnected(), now_ms)
     emitted = connect(state, now_ms)
     emitted += reduce(state, events.LoadSampleReceived(sync_tag(state.link_number), ()), now_ms)
@@ -49,6 +55,6 @@
 
 
 def run_of(request: Request) -> Run:
-    """Return the run of a request that is known to run."""
+    """Return the run of a request that must have one."""
     assert request.run is not None
     return request.run
--- a/tests/support/response_log.py
+++ b/tests/support/response_log.py
@@ -1,4 +1,4 @@
-"""Collects the responses without a result that the reducer emits, for tests of what the log says of them."""
+"""Collects the responses without a result that the reducer emits, for tests of how they are logged."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 
 @dataclass(slots=True)
 class ResponseLog:
-    """The responses without a result that the reducer emitted, each with the attempt it is due to."""
+    """The responses without a result that the reducer emitted, each with the attempt that it answers."""
 
-    attempt_ids: dict[events.ResponseAddress, str] = field(default_factory=dict)  # as read last
+    # The attempt id of the last request received for each response address.
+    attempt_ids: dict[events.ResponseAddress, str] = field(default_factory=dict)
     without_result: list[tuple[str, effects.Rejected | effects.Failed]] = field(default_factory=list)
 
     def check(self) -> None:
-        """Assert that the log can name the attempt of each, and why it was rejected."""
+        """Assert that each response names its attempt for the log, and each rejection its reason."""
         for attempt_id, response in self.without_result:
             assert response.attempt_id == attempt_id
             assert isinstance(response, effects.Failed) or response.reason
 
 
 def collect_responses(monkeypatch: pytest.MonkeyPatch) -> ResponseLog:
-    """Have the reducer's responses collected until the end of the test."""
+    """Collect the reducer's responses without a result until the end of the test."""
     log = ResponseLog()
     handle_request = reducer.EVENT_HANDLERS[events.RequestReceived]
     respond = Transition.respond
