--- a/snowthread/clients/command_queue.py
+++ b/snowthread/clients/command_queue.py
@@ -12,7 +12,7 @@
 class QueuedLine(NamedTuple):
     """A line to write, and the command that it encodes."""
 
-    command: RuntimeCommand | None  # None for the synchronisation line that begins each link
+    command: RuntimeCommand | None  # the encoded command; None for the first line of a link, a sync request
     line: bytes
 
 
--- a/snowthread/clients/database_connection.py
+++ b/snowthread/clients/database_connection.py
@@ -95,9 +95,8 @@
             timed_out = self._loop.clock.now() >= deadline_ms
             if self.call is not call or not (ready & (READABLE | HANGUP) or timed_out):
                 continue
-            result = self._receive(
-                sock, timed_out
-            )  # read even after the deadline: the reply may have arrived
+            # Read even after the deadline: the reply may have arrived.
+            result = self._receive(sock, timed_out)
             if result is not None:
                 return result
         return Failure(Progress.SENT, "call was cancelled")  # the client closes the connection, posts nothing
--- a/snowthread/clients/runtime_link.py
+++ b/snowthread/clients/runtime_link.py
@@ -16,7 +16,7 @@
     """The state of one link to the runtime; times are Unix times in milliseconds."""
 
     last_data_at_ms: float
-    keepalive_sent_at_ms: float | None = None  # None unless the echo of a keepalive request is outstanding
+    keepalive_sent_at_ms: float | None = None  # when an unanswered keepalive request was sent, or None
     migration_deadline_ms: float = math.inf  # when the link is closed even without the marker's echo
     _partial_line: bytes = field(default=b"", init=False)
 
--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -26,7 +26,7 @@
     original_number: int | None  # number of the request that owns the key; None unless this one is a retry
 
 
-_NO_KEY = _KeyMatch(None, b"", None)  # for requests whose class is not keyed
+_NO_KEY = _KeyMatch(None, b"", None)  # the result for a request whose class is not keyed
 
 
 def request_digest(event: events.RequestReceived) -> bytes:
--- a/snowthread/core/effects.py
+++ b/snowthread/core/effects.py
@@ -36,16 +36,16 @@
 
     retry_after_ms: float = 0.0  # how long the balancer should not use this node; 0 if not specified
     do_not_retry: bool = False  # whether the balancer should not retry the request on another node either
-    attempt_id: str = field(default="", compare=False)  # logged only, not sent to the balancer
-    reason: str = field(default="", compare=False)  # logged only, not sent to the balancer
+    attempt_id: str = field(default="", compare=False)  # id of the attempt; logged, not sent to the balancer
+    reason: str = field(default="", compare=False)  # why it was rejected; logged, not sent to the balancer
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
     """The response without a result that leaves open whether the request has run."""
 
-    attempt_id: str = field(default="", compare=False)  # logged only, not sent to the balancer
-    reason: str = field(default="", compare=False)  # logged only; empty unless an admission rule failed it
+    attempt_id: str = field(default="", compare=False)  # id of the attempt; logged, not sent to the balancer
+    reason: str = field(default="", compare=False)  # the admission rule that failed it, or empty; logged only
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
 
     response_address: ResponseAddress
     response: Served | Rejected | Failed | HealthStatus
-    load_report: float | None  # None if the node has no load to report yet
+    load_report: float | None  # load of the node; None if there is no report yet
 
 
 @dataclass(frozen=True, slots=True)
@@ -189,7 +189,7 @@
 
     text: str
     event: str = "decision.note"  # name of the log event
-    is_detail: bool = False  # log at the level DEBUG instead of INFO
+    is_detail: bool = False  # whether to log at the level DEBUG instead of INFO
 
 
 Command = StartRun | StopRun | DeliverReply | SkipCall
--- a/snowthread/core/events.py
+++ b/snowthread/core/events.py
@@ -100,7 +100,7 @@
     attempt_id: str
     outcome: Outcome
     duration_ms: float
-    result: bytes  # the result if the run succeeded, else ignored
+    result: bytes  # the result of a successful run; not used for other outcomes
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +108,7 @@
     """The runtime rejected a command for a run."""
 
     attempt_id: str
-    is_start: bool  # whether it rejected the start command, and not a later one
+    is_start: bool  # whether the rejected command is the start of the run, and not a later command
 
 
 @dataclass(frozen=True, slots=True)
@@ -148,7 +148,7 @@
 class TimerExpired:
     """A timer of the admission controller expired."""
 
-    label: int  # identifies the timer to the controller
+    label: int  # the label by which the admission controller identifies its timer
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,7 +171,7 @@
 class DrainRequested:
     """An operator drained the node or resumed it. Requests are served in either case."""
 
-    drain: bool  # True to take the node out of the registry, False to register it again
+    drain: bool  # whether to take the node out of the registry; False registers it again
 
 
 @dataclass(frozen=True, slots=True)
@@ -201,7 +201,7 @@
     Calls beyond the limit wait to be sent.
     """
 
-    concurrent_calls: float = 0.0  # 0 ends the pacing, so that the configured limit applies again
+    concurrent_calls: float = 0.0  # limit of concurrent downstream calls; 0 restores the configured limit
 
 
 @dataclass(frozen=True, slots=True)
@@ -251,7 +251,7 @@
     expires_at_ms: float
     body_digest: bytes
     completed: bool
-    result: bytes | None  # None if there is no result or it was dropped
+    result: bytes | None  # the result of the run; None if there is none or it was dropped
 
 
 @dataclass(frozen=True, slots=True)
@@ -259,7 +259,7 @@
     """The run of an attempt of the peer process ended."""
 
     attempt_id: str
-    result: bytes | None  # None if the run failed
+    result: bytes | None  # the result of the run; None if the run failed
 
 
 @dataclass(frozen=True, slots=True)
--- a/snowthread/core/idempotency.py
+++ b/snowthread/core/idempotency.py
@@ -37,8 +37,9 @@
     completed: bool = False
     result: bytes | None = None
     owned_by_peer: bool = False  # whether the peer process of a hot restart owns the key
-    class_name: str = ""  # empty for a key of the peer process, which does not report the class
-    followers: list[int] = field(default_factory=list)  # retries here that wait for a run of the peer process
+    class_name: str = ""  # class of the request; empty for a key that the peer process reported
+    # Numbers of the requests in this process that are retries and wait for a run of the peer process.
+    followers: list[int] = field(default_factory=list)
 
 
 class IndeterminateKeys:
--- a/snowthread/core/key_claims.py
+++ b/snowthread/core/key_claims.py
@@ -26,9 +26,8 @@
 from snowthread.core.transition import HandlerTable, Transition
 
 KEY_CLAIM_TIMEOUT_MS = 400.0  # how long a request waits at most for the decision on its key claim
-KEY_CLAIM_WAIT_RATIO = (
-    0.5  # share of a request's time left that may be spent waiting; the rest is for its run
-)
+# At most this share of a request's time left is spent waiting for the decision; the rest is for its run.
+KEY_CLAIM_WAIT_RATIO = 0.5
 MAX_PENDING_KEY_CLAIMS = 256  # limit of keys with an undecided claim
 
 # Reasons of a rejection as they are written to the log.
--- a/snowthread/core/run.py
+++ b/snowthread/core/run.py
@@ -59,13 +59,13 @@
     state: RunState = RunState.START_QUEUED
     link_number: int = NO_LINK  # the link on which the run was last started or resynchronised
     last_command: SentCommand | None = None  # the last start, reply or skip that was sent, but not a stop
-    last_command_may_be_lost: bool = False  # its link broke before the runtime was known to have read it
+    last_command_may_be_lost: bool = False  # whether its link broke before it was known to be read
     stop_command: SentCommand | None = None  # the last stop command that was sent
-    stop_requested: bool = False  # a stop command was sent or is queued until the runtime connects
+    stop_requested: bool = False  # whether a stop command was sent or is queued until a link is ready
     pending_call_notice: int | None = None  # number of the notice that requested the current downstream call
     answered_call_notice: int = 0  # number of the notice whose downstream call was replied to last
     call_body: bytes = b""  # the request body of the current downstream call
-    call_in_flight: bool = False  # the current downstream call was sent to the database
+    call_in_flight: bool = False  # whether the current downstream call was sent to the database
 
     @property
     def is_indeterminate(self) -> bool:
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -61,7 +61,7 @@
     memory_kb: float  # memory booked while queued; multiplied by the running memory factor while running
     body_digest: bytes = b""  # digest of class name and body; empty unless the class is keyed
     phase: RequestPhase = RequestPhase.QUEUED
-    run: Run | None = None  # set only while the request is running
+    run: Run | None = None  # the run at the runtime; None unless the request is running
     followers: list[int] = field(default_factory=list)  # numbers of the retries that wait for this result
 
     @property
@@ -115,7 +115,8 @@
     gauge_names: tuple[str, ...]
     admission_clock: AdmissionClock
     controller: Controller | None = None
-    pending_quotas: admission_events.TenantsChanged | None = None  # held until the controller is created
+    # Tenant quotas that arrived before the admission controller was created.
+    pending_quotas: admission_events.TenantsChanged | None = None
     idempotency_table: IdempotencyTable = field(default_factory=IdempotencyTable)
     requests: dict[int, Request] = field(default_factory=dict)
     requests_by_attempt_id: dict[str, Request] = field(default_factory=dict)
@@ -134,14 +135,14 @@
     load_report: float | None = None  # the load value that is sent with each response
     healthy: bool = True
     shutting_down: bool = False
-    retired_until_ms: dict[str, float] = field(default_factory=dict)  # removed class -> end of its service
+    retired_until_ms: dict[str, float] = field(default_factory=dict)  # end of service of each removed class
     drained: bool = False  # set by an operator's drain call and cleared by a resume call
     handover_role: HandoverRole = HandoverRole.STANDALONE
     peer_load: PeerLoadReported | None = None  # what the peer process uses of the shared limits
     indeterminate_keys: IndeterminateKeys | None = None  # keys that an earlier incarnation may have run
     call_pacing: CallPacingChanged | None = None  # limit of concurrent downstream calls during recovery
-    pending_learned_state: LearnedStateRestored | None = None  # held until the controller is created
-    superseded: bool = False  # the successor process accepts the new connections
+    pending_learned_state: LearnedStateRestored | None = None  # learned state for a controller to be created
+    superseded: bool = False  # whether the successor process accepts the new connections
     pending_claims: dict[str, PendingClaim] = field(default_factory=dict)  # undecided claims by their key
 
     @property
--- a/snowthread/core/transition.py
+++ b/snowthread/core/transition.py
@@ -72,7 +72,7 @@
         """Return the admission controller, and create it if there is none yet.
 
         Args:
-            started_ago_ms: how long ago the start of a new controller is dated, as the runtime's age.
+            started_ago_ms: how many ms before now a new controller counts as started.
         """
         controller = self.state.controller
         return self._start_controller(started_ago_ms) if controller is None else controller
