--- a/tests/admission/test_idle_connections.py
+++ b/tests/admission/test_idle_connections.py
@@ -17,10 +17,11 @@
     ("caller_count", "idle_timeout_s", "closes_early"),
     [(1000, 30.0, True), (4, 30.0, False), (1000, 0.0, False)],
 )
-def test_idle_connections_close_early_where_callers_hardly_come_back(
+def test_idle_connections_close_early_where_callers_rarely_send_again(
     caller_count: int, idle_timeout_s: float, closes_early: bool
 ) -> None:
-    # A thousand callers on a hundred slots: open for their full idle time they fill the table.
+    # If a thousand callers keep their connections open for the full idle timeout, they fill a table of a
+    # hundred connections.
     controller = started_controller(caller_count=caller_count, idle_timeout_s=idle_timeout_s)
     timeouts_s: list[float] = []
     for n in range(1, 120):
@@ -33,8 +34,9 @@
     assert (0.0 < timeouts_s[-1] < idle_timeout_s if timeouts_s else False) is closes_early
 
 
-def test_idle_connections_stay_while_requests_lie_unread() -> None:
-    # A storm of retries: with connections closed early each retry opens one; only a full table limits them.
+def test_idle_connections_stay_open_while_requests_wait_unread() -> None:
+    # In a retry storm each retry would open a new connection if idle ones were closed early. Only a full
+    # connection table limits the retries.
     timeouts_s: list[float] = []
     controller = started_controller(caller_count=1000, idle_timeout_s=30.0)
     for n in range(1, 240):
@@ -52,7 +54,7 @@
     assert timeouts_s[-1] < 2.0
 
 
-def test_idle_connections_close_early_where_their_number_stays_at_its_most() -> None:
+def test_idle_connections_close_early_where_their_number_stays_at_its_peak() -> None:
     cases: tuple[tuple[Callable[[int], int], bool], ...] = (
         (lambda n: min(90, 3 * n), True),
         (lambda n: 60 + n % 30, False),
--- a/tests/admission/test_learned_state.py
+++ b/tests/admission/test_learned_state.py
@@ -1,4 +1,4 @@
-"""Learned state: what is restored at a start, and what is given up once too old."""
+"""Learned state: what is restored at a start, and what is discarded when it is too old."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return now_s
 
 
-def test_restored_run_times_are_slower_by_the_cold_machines_speed() -> None:
+def test_restored_run_times_are_scaled_by_the_speed_of_the_cold_machine() -> None:
     warm = new_controller()
     complete_runs(warm, 0.3, 30)
     learned = learned_state.export_learned_state(warm)
@@ -46,7 +46,7 @@
     assert estimates.core_time_s[0] * estimates.work_units(0, None) == pytest.approx(
         4 * learned.times["match"].core_time_s
     )
-    # Those of a warm machine would be stale here.
+    # The rates of the warm machine do not apply to a cold one and are not restored.
     assert (
         estimates.service_rate == 0.0
         and estimates.best_work_speed == 0.0
@@ -64,7 +64,7 @@
     assert other.estimates.core_time_s == before
 
 
-def test_run_times_that_nothing_confirms_are_given_up_after_their_bound() -> None:
+def test_run_times_that_no_run_confirms_are_discarded_at_their_maximum_age() -> None:
     controller = new_controller()
     end = complete_runs(controller, 1.8, 5)
     aging = learned_state.LearnedStateAging(learned_state.LearnedState({}))
@@ -76,7 +76,7 @@
     assert learned_state.confirmation_ages_s(controller, end + 9.0) == {}
 
 
-def test_run_times_age_towards_what_was_recalled() -> None:
+def test_run_times_age_towards_the_restored_times() -> None:
     controller = new_controller()
     end = complete_runs(controller, 1.8, 5)
     aging = learned_state.LearnedStateAging(
@@ -89,7 +89,7 @@
     assert controller.estimates.run_time_s[0] * work == pytest.approx(0.5)
 
 
-def test_a_service_rate_of_the_cold_machine_is_given_up_once_runs_are_quicker() -> None:
+def test_a_service_rate_of_the_cold_machine_is_replaced_once_runs_are_faster() -> None:
     controller = new_controller()
     end = complete_runs(controller, 0.3, 30)
     controller.estimates.service_rate = 0.5
--- a/tests/admission/test_load_report.py
+++ b/tests/admission/test_load_report.py
@@ -1,4 +1,4 @@
-"""What callers are notified of: the published share, Retry-After and not to retry."""
+"""What callers are told under overload: the published share, Retry-After, and not to retry."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 @pytest.mark.parametrize(
-    ("load_report_kind", "said"), [(LoadReportKind.NONE, 1.0), (LoadReportKind.LEVEL, 0.2)]
+    ("load_report_kind", "retry_after_s"), [(LoadReportKind.NONE, 1.0), (LoadReportKind.LEVEL, 0.2)]
 )
 def test_retry_after_carries_the_blocking_probability_where_no_load_report_does(
-    load_report_kind: LoadReportKind, said: float
+    load_report_kind: LoadReportKind, retry_after_s: float
 ) -> None:
     controller = started_controller(
         supports_retry_after=True, max_retry_after_s=1.0, caller_count=4, load_report_kind=load_report_kind
@@ -26,26 +26,27 @@
         arrive(controller, 0.1, n)
     controller.state.blocking.probability, controller.estimates.request_rate = 1.0 - 1e-9, 20.0
     (rejection,) = [a for a in arrive(controller, 0.2, 4) if isinstance(a, Reject)]
-    assert rejection.retry_after_s == said
+    assert rejection.retry_after_s == retry_after_s
 
 
-def test_the_published_share_settles_instead_of_running_on() -> None:
-    # Callers hear a share a second late: computed without that lag it would climb to the end meanwhile.
+def test_the_published_share_converges_without_overshooting() -> None:
+    # Callers apply a share one second late. If the computation ignored this lag, the share would rise to its
+    # maximum in the meantime.
     controller = started_controller(load_report_kind=LoadReportKind.LEVEL, cores=4, memory_kb=1e6)
     now = 0.0
-    said: list[float] = []
+    published_shares: list[float] = []
     for n in range(80):
         now += UPDATE_PERIOD_S
-        passed_ratio = 1.0 - (said[n - 4] if n >= 4 else 0.0)
+        passed_ratio = 1.0 - (published_shares[n - 4] if n >= 4 else 0.0)
         controller.estimates.work_arrived = 14.0 * passed_ratio * UPDATE_PERIOD_S
         controller.estimates.requests_read = round(40 * passed_ratio * UPDATE_PERIOD_S)
         controller.estimates.work_done = 10.0 * UPDATE_PERIOD_S
         controller.handle(now, TimerFired(UPDATE_TIMER, core_utilization=1.0))
-        said.append(controller.state.load_report.published_share)
+        published_shares.append(controller.state.load_report.published_share)
     target_share = (
         1.0 - target_utilization(99.0, 10.0, controller.estimates.abandonment_ratio()) * 10.0 / 14.0
     )
-    assert max(said) < target_share + 0.12 and abs(said[-1] - target_share) < 0.05
+    assert max(published_shares) < target_share + 0.12 and abs(published_shares[-1] - target_share) < 0.05
 
 
 @pytest.mark.parametrize(
@@ -58,7 +59,7 @@
         (0.5, 10.0, 10.0, True, 0.0, 0.0),
     ],
 )
-def test_do_not_retry_is_drawn_with_what_a_server_at_its_best_rate_would_block(
+def test_do_not_retry_is_drawn_with_the_blocking_probability_at_the_best_speed(
     blocking_probability: float,
     service_rate: float,
     best_work_speed: float,
@@ -66,7 +67,7 @@
     low: float,
     high: float,
 ) -> None:
-    # 20 arrivals a second: as many as a healthy server can take twice over, or just what it can take.
+    # 20 units of work arrive per second: twice what a server can do at a best speed of 10, less than at 30.
     controller = started_controller(starts_cold=is_cold, warmup_s=10.0)
     arrive(controller, 0.1, 1)
     controller.handle(0.5, RunFinished(1, Outcome.SUCCESS, 0.4))
@@ -76,16 +77,20 @@
         controller.estimates.best_work_speed,
         controller.estimates.arrival_rate,
     ) = blocking_probability, service_rate, best_work_speed, 20.0
-    said = []
+    do_not_retry = []
     for n in range(2, 402):
-        said += [a.do_not_retry for a in arrive(controller, 1.0, n, unread_s=0.65) if isinstance(a, Reject)]
-    assert len(said) > 300 and low <= sum(said) / len(said) <= high
+        do_not_retry += [
+            a.do_not_retry for a in arrive(controller, 1.0, n, unread_s=0.65) if isinstance(a, Reject)
+        ]
+    assert len(do_not_retry) > 300 and low <= sum(do_not_retry) / len(do_not_retry) <= high
 
 
 @pytest.mark.parametrize(
     "load_report_kind", [LoadReportKind.LEVEL, LoadReportKind.CREDIT, LoadReportKind.WEIGHT]
 )
-def test_each_kind_of_load_report_asks_for_less_in_an_overload(load_report_kind: LoadReportKind) -> None:
+def test_each_kind_of_load_report_asks_for_fewer_requests_in_an_overload(
+    load_report_kind: LoadReportKind,
+) -> None:
     controller = started_controller(load_report_kind=load_report_kind, caller_count=2)
     values: list[float] = []
     for n in range(1, 30):
@@ -96,9 +101,10 @@
     assert (values[-1] > values[0]) is (load_report_kind is LoadReportKind.LEVEL)
 
 
-def test_a_published_share_that_hardly_anyone_hears_is_not_taken_for_heard() -> None:
-    # Hundreds of callers come back here once a minute and keep a value for a second: the rate that comes in
-    # has passed no share, so b carries it and the share stays at b instead of running to its end.
+def test_a_published_share_that_few_callers_receive_does_not_count_as_applied() -> None:
+    # Hundreds of callers send one request per minute and keep a load report for one second, so the arrivals
+    # are not reduced by the share. Blocking limits the load, and the share must stay at the blocking
+    # probability instead of rising to its maximum.
     shares = []
     for caller_count in (1, 400):
         controller = started_controller(
--- a/tests/admission/test_policy_bounds.py
+++ b/tests/admission/test_policy_bounds.py
@@ -12,7 +12,7 @@
 
 ROOT = Path(__file__).parents[2]
 POLICY = [ROOT / name for name in tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]]
-TYPES = [  # types, tables and generic arithmetic: they decide nothing
+TYPES = [  # types, tables and generic arithmetic, which make no decisions
     ROOT / "snowthread/admission" / name
     for name in (
         "settings.py",
@@ -32,10 +32,10 @@
         "timer_queue.py",
     )
 ]
-STATE = [  # the state that rules share: it decides nothing, and holds parts of the policy
+STATE = [  # the state that the rules share; it makes no decisions but holds parts of the policy
     ROOT / "snowthread/admission" / name for name in ("controller_context.py", "state.py")
 ]
-OTHER = {  # of the package, but no part of the decision module
+OTHER = {  # modules of the package that are not part of the decision module
     "__init__.py",
     "backoff.py",
     "call_budget.py",
@@ -58,7 +58,7 @@
         tokenize.NL,
     }
 )
-PURE_MODULES = frozenset(  # of the standard library: none of them does I/O or reads a clock
+PURE_MODULES = frozenset(  # modules of the standard library that do no I/O and read no clock
     {
         "__future__",
         "bisect",
@@ -109,14 +109,14 @@
     return lines - docstring_lines
 
 
-def test_each_file_fits_one_head() -> None:
+def test_each_file_of_the_module_is_short() -> None:
     assert Path(controller.__file__) in POLICY
     for path in POLICY + STATE + TYPES:
         lines = path.read_text().splitlines()
         assert len(lines) <= FILE_LINES_MAX and max(map(len, lines)) <= LINE_LENGTH_MAX, path
 
 
-def test_each_file_of_the_package_is_on_one_list() -> None:
+def test_each_file_of_the_package_is_on_exactly_one_list() -> None:
     listed = [path.name for path in POLICY + STATE + TYPES] + list(OTHER)
     assert sorted(listed) == sorted(path.name for path in Path(controller.__file__).parent.glob("*.py"))
 
@@ -132,9 +132,9 @@
 
 
 def test_module_and_its_types_import_nothing_else_of_the_program_and_do_no_io() -> None:
-    everything = POLICY + STATE + TYPES
-    for paths, ours in ((POLICY + STATE, everything), (TYPES, TYPES)):
-        allowed = set(map(module_name, ours))
+    module_files = POLICY + STATE + TYPES
+    for paths, allowed_files in ((POLICY + STATE, module_files), (TYPES, TYPES)):
+        allowed = set(map(module_name, allowed_files))
         for path in paths:
             for name in imported(path):
                 assert name in allowed or name.split(".")[0] in PURE_MODULES, (path, name)
--- a/tests/admission/test_properties.py
+++ b/tests/admission/test_properties.py
@@ -36,14 +36,14 @@
 
 
 class Operation(Enum):
-    """What happens next, where it is possible."""
+    """What happens next, if it is possible."""
 
     ARRIVE = auto()
     FINISH_RUN = auto()
     FINISH_AWAITING = auto()
     NEED_CALL = auto()
     FINISH_CALL = auto()
-    ABANDON = auto()
+    CANCEL = auto()
     NOTICE_SHUTDOWN = auto()
 
 
@@ -104,7 +104,7 @@
         need_call(host, choice)
     elif operation is Operation.FINISH_CALL:
         finish_call(host, choice)
-    elif operation is Operation.ABANDON:
+    elif operation is Operation.CANCEL:
         cancel(host, choice)
     else:
         host.notice_shutdown()
@@ -116,7 +116,7 @@
     Operation.FINISH_AWAITING,
     *[Operation.NEED_CALL] * 3,
     Operation.FINISH_CALL,
-    Operation.ABANDON,
+    Operation.CANCEL,
 )
 SITES = st.builds(
     Settings,
--- a/tests/admission/test_quotas.py
+++ b/tests/admission/test_quotas.py
@@ -9,11 +9,11 @@
 
 
 @pytest.mark.parametrize(("run_interval", "low", "high"), [(1, 0.04, 0.2), (5, 0.8, 1.0)])
-def test_a_tenant_is_over_its_quota_by_what_ran_not_by_what_it_sends(
+def test_a_tenant_is_over_its_quota_by_its_runs_not_by_its_requests(
     run_interval: int, low: float, high: float
 ) -> None:
-    # A share of one request a second at this server, four sent: where all of them run the next is over the
-    # share, where one in five runs it has its full weight.
+    # The tenant's quota at this node is one request per second, and it sends four. If all of them run, the
+    # next one is over the quota; if one in five runs, the next one keeps its full weight.
     controller = started_controller(
         tenants=(Tenant("t", 100.0), Tenant("none", 0.0)), node_count=100, over_quota_weight=0.05
     )
--- a/tests/admission/test_recovery_pacer.py
+++ b/tests/admission/test_recovery_pacer.py
@@ -1,4 +1,4 @@
-"""The pace of a recovering node's calls and runs."""
+"""The pacing of a recovering node's calls and runs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return pacer
 
 
-def test_calls_in_flight_stay_within_the_nodes_part_of_the_slots() -> None:
+def test_calls_in_flight_stay_within_the_slots_of_the_node() -> None:
     pacer = recovery_pacer(sharing_nodes=1, slots=2.0)
     permissions = [pacer.request_call(1000.0, f"u{n}", 0, False, 2000.0) for n in range(4)]
     assert permissions == [
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("nodes", [3, 7, 40])
-def test_fleets_of_any_size_together_keep_to_the_slots_in_the_mean(nodes: int) -> None:
+def test_fleets_of_any_size_keep_to_the_slots_on_average(nodes: int) -> None:
     pacers = [recovery_pacer(sharing_nodes=nodes, slots=60.0) for _ in range(nodes)]
     in_flight = []
     for step in range(50):
@@ -50,7 +50,7 @@
     assert max(in_flight) <= 60.0 * 1.5 + nodes
 
 
-def test_a_call_that_was_given_up_takes_its_slot_for_as_long_as_calls_take() -> None:
+def test_a_call_that_was_given_up_keeps_its_slot_for_the_usual_call_time() -> None:
     pacer = recovery_pacer(slots=1.0)
     assert pacer.request_call(0.0, "a", 0, False, 500.0) is CallPermission.GRANTED
     pacer.call_cancelled(2.0, "a")
@@ -67,13 +67,13 @@
     assert pacer.release_calls(30.0) == (["far"], ["late"]) and pacer.denied_calls == 1
 
 
-def test_skippable_calls_never_wait_and_never_pass_those_that_do() -> None:
+def test_skippable_calls_are_never_queued_and_never_overtake_queued_calls() -> None:
     pacer = recovery_pacer(slots=1.0)
     pacer.request_call(0.0, "a", 0, False, 500.0)
     assert pacer.request_call(1.0, "s", 0, True, 500.0) is CallPermission.DENIED
     pacer.request_call(1.0, "b", 0, False, 500.0)
     pacer.call_ended(2.0, "a", True, True)
-    assert pacer.request_call(2.0, "t", 0, True, 500.0) is CallPermission.DENIED  # b waits
+    assert pacer.request_call(2.0, "t", 0, True, 500.0) is CallPermission.DENIED  # the call of b is queued
     for n in range(MAX_QUEUED_CALLS + 5):
         pacer.request_call(2.0, f"w{n}", 0, False, 500.0)
     assert len(pacer.queued_calls) == MAX_QUEUED_CALLS
@@ -86,7 +86,7 @@
             attempts += 1
             pacer.call_ended(now, f"u{now}", False, False)
         now += 10.0
-    assert 12 <= attempts <= 120  # of 6,000 moments
+    assert 12 <= attempts <= 120  # out of 6,000 possible attempts
 
 
 def test_a_warm_node_paces_nothing_until_others_are_cold() -> None:
@@ -100,7 +100,7 @@
     assert pacer.is_pacing and pacer.request_call(0.0, "more", 0, True, 1.0) is CallPermission.DENIED
 
 
-def test_losses_of_one_moment_cut_the_window_once() -> None:
+def test_losses_at_the_same_time_cut_the_window_once() -> None:
     pacer = recovery_pacer()
     pacer.slow_start = SlowStart(16.0, 2.0, window=16.0)
     for _ in range(5):
@@ -110,7 +110,7 @@
     assert pacer.slow_start.window == 4.0
 
 
-def test_calls_given_up_by_a_warm_node_leave_nothing_behind() -> None:
+def test_calls_given_up_by_a_warm_node_are_not_kept_in_memory() -> None:
     pacer = recovery_pacer()
     pacer.slow_start.is_complete = True
     for n in range(5000):
--- a/tests/admission/test_reject_reasons.py
+++ b/tests/admission/test_reject_reasons.py
@@ -1,4 +1,4 @@
-"""Each reason for a rejection, brought about by what its rule is for."""
+"""Each reason for a rejection, caused by the situation that its rule is for."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def controller_with_full_cores(**changes: object) -> Controller:
-    """Return a controller both of whose cores are taken until 1 s, with one request queued."""
+    """Return a controller with a run on both cores and one request queued."""
     controller = started_controller(memory_kb=1e6, **changes)
     for request in (1, 2, 3):
         arrive(controller, 0.1, request)
@@ -76,7 +76,9 @@
 def original_without_memory() -> list[Action]:
     controller = started_controller(memory_kb=130.0)
     arrive(controller, 0.1, 1, memory_kb=25.0)
-    arrive(controller, 0.1, 2, "keyed", memory_kb=5.0)  # queued: a start would take more memory
+    arrive(
+        controller, 0.1, 2, "keyed", memory_kb=5.0
+    )  # it stays queued, because its run would need more memory
     return arrive(controller, 0.2, 3, "keyed", memory_kb=20.0, original_id=2)
 
 
--- a/tests/admission/test_run_count.py
+++ b/tests/admission/test_run_count.py
@@ -1,4 +1,4 @@
-"""The count of runs while the host has lost sight of some, against what is measured on the cores."""
+"""The count of runs while the host has lost sight of some, compared with the runs measured on the cores."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def controller_without_link(runs: int) -> Controller:
-    """Return a controller of two cores with keyed runs that are indeterminate since the link broke."""
+    """Return a controller of two cores whose keyed runs are indeterminate after a broken link."""
     controller = started_controller()
     controller.concurrency.limit = float(runs)
     for number in range(1, runs + 1):
@@ -28,20 +28,20 @@
     controller.handle(at_s, TimerFired(UPDATE_TIMER, core_utilization=1.0, core_demand=on_cores))
 
 
-def test_indeterminate_runs_that_are_measured_keep_their_places() -> None:
+def test_indeterminate_runs_that_are_measured_keep_their_cores() -> None:
     controller = controller_without_link(2)
     measure(controller, 0.25, 2.0)
     assert not request_ids(arrive(controller, 0.3, 9), StartRun)
 
 
-def test_indeterminate_runs_that_are_not_there_leave_their_places_to_others() -> None:
+def test_indeterminate_runs_that_are_not_measured_leave_their_cores_to_others() -> None:
     controller = controller_without_link(2)
     measure(controller, 0.25, 0.0)
     assert request_ids(arrive(controller, 0.3, 9), StartRun) == [9]
-    assert controller.run_load().running == 3  # all of them may come to run
+    assert controller.run_load().running == 3  # all of them may still run
 
 
-def test_indeterminate_runs_keep_their_places_where_nothing_is_measured() -> None:
+def test_indeterminate_runs_keep_their_cores_where_nothing_is_measured() -> None:
     controller = controller_without_link(2)
     measure(controller, 0.25, None)
     assert not request_ids(arrive(controller, 0.3, 9), StartRun)
@@ -50,7 +50,9 @@
 def test_excess_runs_measured_count_for_a_while_after_a_broken_link() -> None:
     controller = started_controller()
     measure(controller, 0.25, 7.0)
-    assert request_ids(arrive(controller, 0.3, 1), StartRun) == [1]  # reading, say: no link was lost
+    assert request_ids(arrive(controller, 0.3, 1), StartRun) == [
+        1
+    ]  # no link was lost, so the load may be from reading requests
     controller.handle(0.4, RunFinished(1, Outcome.SUCCESS))
     controller.handle(0.4, RunCountUncertain())
     measure(controller, 0.5, 7.0)
@@ -68,18 +70,18 @@
     assert (load.running, load.indeterminate) == (1, 1)
 
 
-def test_all_that_may_run_stays_below_what_the_machine_survives() -> None:
-    """Whatever was measured: runs that seem not to be there may have been waiting to begin."""
+def test_all_runs_that_may_be_active_stay_below_what_the_machine_survives() -> None:
+    """Runs that were not measured still count, because they may have been waiting to start."""
     controller = controller_without_link(6)
     ceiling = controller.run_load().ceiling
     measure(controller, 0.25, 0.0)
     started = sum(bool(request_ids(arrive(controller, 0.3, n), StartRun)) for n in range(10, 20))
-    assert 6 + started < 8  # two cores, and four runs a core that it survives
+    assert 6 + started < 8  # the machine survives four runs per core, on two cores
     assert 6 + started < ceiling + 1.0
 
 
 def test_cold_machine_of_few_cores_gets_no_more_runs_than_it_survives() -> None:
-    """The ceiling is not an integer: rounded up it was above what the machine survives."""
+    """The ceiling is not an integer, and rounding it up allowed more runs than the machine survives."""
     controller = started_controller(
         cores=2, collapse_multiple=5.0, starts_cold=True, cold_speed=0.23, warmup_s=17.0
     )
--- a/tests/admission/test_settings.py
+++ b/tests/admission/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that a controller cannot work with."""
+"""Settings that a controller can't work with."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_shutdown.py
+++ b/tests/admission/test_shutdown.py
@@ -1,4 +1,4 @@
-"""What is taken and answered between the notice and the stop."""
+"""Which requests are admitted and answered between the shutdown notice and the stop."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 @pytest.mark.parametrize("busy", [0, 6])
 def test_a_request_read_just_before_the_stop_is_answered_at_once(busy: int) -> None:
-    # It reached the machine within the grace and lay unread until all else was answered; no timer of its own
-    # comes before the stop.
+    # The request reached the machine within the grace period and waited unread until all others were
+    # answered. No timer of its own fires before the stop.
     controller = started_controller(propagates_deadline=True)
     for n in range(busy):
         arrive(controller, 0.5, 10 + n, time_left_s=9.0)
@@ -21,7 +21,8 @@
     controller.handle(3.3, TimerFired(DEADLINE_TIMER))
     actions = arrive(controller, 3.4, 1, time_left_s=2.0, unread_s=1.9)
     assert request_ids(actions, Reject) == [1] and request_ids(actions, StartRun) == []
-    # A request that holds a key but is known no more has run: its retry fails and is never rejected.
+    # An original whose key is remembered but which is no longer open has run, so its retry is failed and
+    # never rejected.
     again = arrive(controller, 3.4, 2, "keyed", time_left_s=2.0, unread_s=1.9, original_id=99)
     assert (
         request_ids(again, Fail) == [2]
@@ -32,7 +33,7 @@
     )
 
 
-def test_nothing_runs_that_arrived_after_the_grace() -> None:
+def test_no_request_runs_that_arrived_after_the_grace_period() -> None:
     controller = started_controller()
     actions = controller.handle(1.0, ShutdownNotice(5.0))
     assert any(isinstance(a, SetHealth) and not a.healthy for a in actions)
--- a/tests/admission/test_simulator_adapter.py
+++ b/tests/admission/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: translation, faults, end of input."""
+"""The simulator's messages: translation, faults, and the end of the input."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     assert "classes" in out[0]["bug"]["words"]
 
 
-def test_settings_of_sites_that_say_less_are_taken_plainly() -> None:
+def test_settings_that_are_absent_or_unknown_get_defaults() -> None:
     classes = [{"name": "a", "goal_time_s": 1.0, "deadline_s": 3.0, "effect": "novel"}]
     domain = {
         "cores": 2,
--- a/tests/admission/test_slow_start.py
+++ b/tests/admission/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The window of a slow start: its growth, its cuts and its end."""
+"""The window of a slow start: how it grows, how it is cut, and when the slow start is complete."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
     assert slow_start.window == 8.0 and slow_start.loss_count == 1
     for _ in range(8):
         slow_start.success(0.0)
-    assert 8.9 < slow_start.window < 9.1  # one a round over the threshold
+    assert 8.9 < slow_start.window < 9.1  # one per round above the threshold
     for _ in range(10):
         slow_start.loss()
     assert slow_start.window == 1.0 and slow_start.admits(0)
 
 
-def test_complete_only_after_the_full_window_has_held() -> None:
+def test_complete_only_after_the_settling_time_at_the_full_window() -> None:
     slow_start = SlowStart(max_window=2.0, settle_ms=1000.0)
     slow_start.success(0.0)
     slow_start.success(500.0)
--- a/tests/admission/test_start_rule.py
+++ b/tests/admission/test_start_rule.py
@@ -1,4 +1,4 @@
-"""What starts next, and what happens to requests in its course."""
+"""Which request starts next, and which events have no effect."""
 
 from __future__ import annotations
 
