--- a/snowthread/admission/class_times.py
+++ b/snowthread/admission/class_times.py
@@ -1,6 +1,7 @@
 """The run and call times of each request class, and the arithmetic on them.
 
-A table only: :mod:`snowthread.admission.estimators` learns the times. A time of 0 is unknown.
+A table only: :mod:`snowthread.admission.estimators` learns the times. A baseline time is the time under
+normal conditions. A time of 0 is unknown.
 """
 
 from __future__ import annotations
--- a/snowthread/admission/estimators.py
+++ b/snowthread/admission/estimators.py
@@ -1,7 +1,8 @@
 """Estimates of the load and of this server's speed, learned from requests, runs and calls.
 
-A unit of work is the baseline core time of a mean request; for requests with work hints it is one second of
-hinted core time. Work rates are units per second.
+Baseline times are those under normal conditions: slow averages on which overlong runs and calls have little
+effect. A unit of work is the baseline core time of a mean request; for requests with work hints it is one
+second of hinted core time. Work rates are units per second.
 """
 
 import math
--- a/snowthread/admission/learned_state.py
+++ b/snowthread/admission/learned_state.py
@@ -27,7 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedClassTimes:
-    """The baseline times of a class: of a run on a core, of a run with its calls, and of a call."""
+    """The times of a class under normal conditions.
+
+    They are the time of a run on a core, of a run from start to end with its calls, and of a call, in
+    seconds.
+    """
 
     core_time_s: float = 0.0
     run_time_s: float = 0.0
