--- a/tests/admission/test_reject_reasons.py
+++ b/tests/admission/test_reject_reasons.py
@@ -18,7 +18,7 @@
 
 
 def controller_with_full_cores(**changes: object) -> Controller:
-    """Return a controller with a run on both cores and one request queued."""
+    """Return a controller both of whose cores are busy until 1 s, with one request queued."""
     controller = started_controller(memory_kb=1e6, **changes)
     for request in (1, 2, 3):
         arrive(controller, 0.1, request)
