--- a/tests/admission/test_run_count.py
+++ b/tests/admission/test_run_count.py
@@ -34,7 +34,7 @@
     assert not request_ids(arrive(controller, 0.3, 9), StartRun)
 
 
-def test_indeterminate_runs_that_are_not_measured_leave_their_cores_to_others() -> None:
+def test_indeterminate_runs_measured_as_absent_leave_their_cores_to_others() -> None:
     controller = controller_without_link(2)
     measure(controller, 0.25, 0.0)
     assert request_ids(arrive(controller, 0.3, 9), StartRun) == [9]
