--- a/snowthread/clients/runtime.py
+++ b/snowthread/clients/runtime.py
@@ -89,7 +89,7 @@
         """Migrate the link to a new address, once the runtime has read everything that was written so far.
 
         A start command that was lost between the two links could not always be sent again, and its client
-        would wait in vain.
+        would wait for a response that never comes.
         """
         if address == self._address:
             return
--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -58,7 +58,7 @@
         finish_request(transition, request, None)
 
 
-def respond_finally(transition: Transition, action: actions.Reject | actions.Fail) -> None:
+def respond_without_result(transition: Transition, action: actions.Reject | actions.Fail) -> None:
     """Send the final response to a request that gets no result."""
     state = transition.state
     request = state.requests.get(action.request_id)
@@ -188,8 +188,8 @@
     actions.StartRun: start_run,
     actions.StopRun: stop_run,
     actions.ForgetLostRun: forget_lost_run,
-    actions.Reject: respond_finally,
-    actions.Fail: respond_finally,
+    actions.Reject: respond_without_result,
+    actions.Fail: respond_without_result,
     actions.AwaitOriginal: await_original,
     actions.RememberKey: remember_key,
     actions.ForgetKey: forget_key,
--- a/snowthread/core/run.py
+++ b/snowthread/core/run.py
@@ -59,7 +59,7 @@
     state: RunState = RunState.START_QUEUED
     link_number: int = NO_LINK  # the link on which the run was last started or resynchronised
     last_command: SentCommand | None = None  # the last start, reply or skip that was sent, but not a stop
-    last_command_may_be_lost: bool = False  # whether its link broke before it was known to be read
+    last_command_may_be_lost: bool = False  # whether the last command is unconfirmed and its link was lost
     stop_command: SentCommand | None = None  # the last stop command that was sent
     stop_requested: bool = False  # whether a stop command was sent or is queued until a link is ready
     pending_call_notice: int | None = None  # number of the notice that requested the current downstream call
--- a/tests/clients/test_database_codec.py
+++ b/tests/clients/test_database_codec.py
@@ -107,7 +107,7 @@
     assert outcome_of(result) is outcome
 
 
-def test_call_announces_at_least_a_millisecond() -> None:
+def test_call_announces_at_least_one_millisecond_left() -> None:
     call = effects.StartCall("00000000000000a1", b"?", 100.0)
     assert encode(call, "127.0.0.1:9", 0.2) == (
         b"POST /lookup HTTP/1.1\r\nHost: 127.0.0.1:9\r\nX-Parent-Id: 00000000000000a1\r\n"
--- a/tests/core/test_configuration_file.py
+++ b/tests/core/test_configuration_file.py
@@ -50,7 +50,11 @@
     old = load_fields(path, example)
     assert load_fields(path, example, old) == old
     common = set.intersection(*(set(c) for c in example["settings"]["classes"]))
-    required = [at for at in key_paths(example) if "classes" not in at[:-1] or at[-1] in common]
+    required = [
+        key_path
+        for key_path in key_paths(example)
+        if "classes" not in key_path[:-1] or key_path[-1] in common
+    ]
     assert len(required) > 30
     for *parents, key in required:
         fields = copy.deepcopy(example)
--- a/tests/core/test_load_samples.py
+++ b/tests/core/test_load_samples.py
@@ -69,7 +69,7 @@
     assert timer_recorder.timers == [admission_events.TimerFired(UPDATE_TIMER, 0.5, 3.0, 0.1, 2.0)]
 
 
-def test_sample_serves_one_update_only(connected: NodeState, timer_recorder: TimerRecorder) -> None:
+def test_sample_is_used_for_one_update_only(connected: NodeState, timer_recorder: TimerRecorder) -> None:
     """Otherwise one sample with idle cores would raise the concurrency limit in each following update."""
     sample(connected, 240.0)
     update(connected, 250.0)
--- a/tests/core/test_run.py
+++ b/tests/core/test_run.py
@@ -51,16 +51,16 @@
 
 @pytest.mark.parametrize(("before", "after"), list(product(RunState, RunState)))
 def test_a_transition_that_the_table_lacks_is_an_error(before: RunState, after: RunState) -> None:
-    begun = Run()
+    new_run = Run()
     for state in _shortest_path(before):
-        begun.state = state
+        new_run.state = state
     if after in RUN_TRANSITIONS[before]:
-        begun.state = after
-        assert begun.state is after
+        new_run.state = after
+        assert new_run.state is after
     else:
         with pytest.raises(IllegalRunTransitionError):
-            begun.state = after
-        assert begun.state is before
+            new_run.state = after
+        assert new_run.state is before
 
 
 def _shortest_path(target: RunState) -> list[RunState]:
--- a/tests/core/test_runtime_resync.py
+++ b/tests/core/test_runtime_resync.py
@@ -44,9 +44,7 @@
 
 
 @pytest.mark.parametrize("class_name", ["idempotent", "keyed", "non-idempotent"])
-def test_a_start_that_nothing_shows_to_be_read_may_be_lost_however_old_it_is(
-    state: NodeState, class_name: str
-) -> None:
+def test_an_unconfirmed_start_may_be_lost_however_old_it_is(state: NodeState, class_name: str) -> None:
     """A slow or silent link may still hold commands that were sent long before it breaks."""
     request = start_run(state, make_request(1, class_name, START))
     emitted = resynchronise(state, START + 900.0)
@@ -114,7 +112,7 @@
     assert effects.StopRun(request.attempt_id) in emitted
 
 
-def test_a_run_whose_stop_was_read_before_any_notice_of_it_is_over(state: NodeState) -> None:
+def test_a_run_has_ended_if_its_stop_was_read_before_any_notice_of_it(state: NodeState) -> None:
     start_run(state, make_request(1, "keyed", START))
     resynchronise(state, START + 1.0)
     reduce(state, events.RequestCancelled((1, 1)), START + 2.0)
@@ -172,10 +170,10 @@
     """Runs of a peer process that exited, and runs hidden by a broken link, may continue at the runtime."""
     state.gauge_names = ("on_cores",)
     reduce(state, events.RuntimeConnected(False, 0.0), START)
-    later = START + 1000.0 * (RUN_COUNT_UNCERTAIN_S + 1.0)
-    reduce(state, event, later)
-    reduce(state, events.LoadSampleReceived("x", (6.0,)), later)
-    reduce(state, events.TimerExpired(UPDATE_TIMER), later)
+    later_ms = START + 1000.0 * (RUN_COUNT_UNCERTAIN_S + 1.0)
+    reduce(state, event, later_ms)
+    reduce(state, events.LoadSampleReceived("x", (6.0,)), later_ms)
+    reduce(state, events.TimerExpired(UPDATE_TIMER), later_ms)
     assert state.controller is not None and state.controller.run_load().excess_runs == 6.0
 
 
