--- a/tests/ldap/test_ldap_tls.py
+++ b/tests/ldap/test_ldap_tls.py
@@ -8,12 +8,12 @@
 
 import pytest
 import trustme
-from support.directory_world import DirectoryWorld
+from support.directory_harness import DirectoryHarness
 
 from emulators.directory import Capabilities
 
 PASSWORD = "hunter2"
-NewWorld = Callable[..., DirectoryWorld]
+NewHarness = Callable[..., DirectoryHarness]
 
 
 @pytest.fixture(scope="module")
@@ -31,26 +31,26 @@
 
 
 @pytest.fixture
-def start(tmp_path: Path, authority: trustme.CA, monkeypatch: pytest.MonkeyPatch) -> Iterator[NewWorld]:
-    monkeypatch.setenv("WORLD_PASSWORD", PASSWORD)
-    worlds: list[DirectoryWorld] = []
+def start(tmp_path: Path, authority: trustme.CA, monkeypatch: pytest.MonkeyPatch) -> Iterator[NewHarness]:
+    monkeypatch.setenv("DIRECTORY_PASSWORD", PASSWORD)
+    harnesses: list[DirectoryHarness] = []
 
     def begin(
         context: ssl.SSLContext | None,
         ldaps: bool,
         trusted: trustme.CA | None = None,
         more: str = "",
-        bind: str = 'dn = "cn=node"\n password_env = "WORLD_PASSWORD"\n',
+        bind: str = 'dn = "cn=node"\n password_env = "DIRECTORY_PASSWORD"\n',
         tls: str = "",
-    ) -> DirectoryWorld:
+    ) -> DirectoryHarness:
         ca = tmp_path / "ca.pem"
         (trusted or authority).cert_pem.write_to_path(str(ca))
-        world = DirectoryWorld(
+        harness = DirectoryHarness(
             capabilities=Capabilities(passwords={"cn=node": PASSWORD}, tls=context, ldaps=ldaps)
         )
-        worlds.append(world)
-        urls = [u.replace("ldap:", "ldaps:") for u in world.urls] if ldaps else world.urls
-        return world.start(
+        harnesses.append(harness)
+        urls = [u.replace("ldap:", "ldaps:") for u in harness.urls] if ldaps else harness.urls
+        return harness.start(
             f"""operation = "2s"
           {"" if ldaps else "start_tls = true"}
           tls {{
@@ -65,70 +65,70 @@
         )
 
     yield begin
-    for world in worlds:
-        world.close()
+    for harness in harnesses:
+        harness.close()
 
 
 @pytest.mark.parametrize("ldaps", [True, False])
-def test_a_valid_certificate_is_accepted(start: NewWorld, authority: trustme.CA, ldaps: bool) -> None:
-    world = start(server_context(authority, "127.0.0.1"), ldaps)
-    world.wait_for_refresh()
-    world.directories[0].put("later", snowthreadQuota=1)
-    world.run(200.0)
-    assert len(world.tenant_names) == 11
+def test_a_valid_certificate_is_accepted(start: NewHarness, authority: trustme.CA, ldaps: bool) -> None:
+    harness = start(server_context(authority, "127.0.0.1"), ldaps)
+    harness.wait_for_refresh()
+    harness.directories[0].put("later", snowthreadQuota=1)
+    harness.run(200.0)
+    assert len(harness.tenant_names) == 11
 
 
 @pytest.mark.parametrize("ldaps", [True, False])
 @pytest.mark.parametrize("kind", ["wrong name", "wrong authority", "no TLS at all"])
 def test_an_invalid_certificate_is_an_error_and_no_password_is_sent(
-    start: NewWorld, authority: trustme.CA, ldaps: bool, kind: str
+    start: NewHarness, authority: trustme.CA, ldaps: bool, kind: str
 ) -> None:
     from loguru import logger
 
     logged: list[str] = []
     sink = logger.add(lambda m: logged.append(str(m)), level=0)
     if kind == "no TLS at all":
-        world = start(None, False) if not ldaps else start(None, True)
+        harness = start(None, False) if not ldaps else start(None, True)
     else:
         name = "10.9.9.9" if kind == "wrong name" else "127.0.0.1"
-        world = start(
+        harness = start(
             server_context(authority, name), ldaps, trustme.CA() if kind == "wrong authority" else None
         )
-    world.run(15_000.0)
+    harness.run(15_000.0)
     logger.remove(sink)
-    assert not world.tenant_names and world.directories[0].binds == 0
+    assert not harness.tenant_names and harness.directories[0].binds == 0
     words = ["certificate"] if kind.startswith("wrong") else ["closed", "reset"] if ldaps else ["code 2"]
     assert any(word in line for line in logged for word in words), logged
-    assert world.replicator.connection_failures <= 8 and not any(PASSWORD in line for line in logged)
+    assert harness.replicator.connection_failures <= 8 and not any(PASSWORD in line for line in logged)
 
 
-def test_the_certificate_may_prove_a_configured_name(start: NewWorld, authority: trustme.CA) -> None:
-    world = start(
+def test_the_certificate_may_prove_a_configured_name(start: NewHarness, authority: trustme.CA) -> None:
+    harness = start(
         server_context(authority, "directory.example"), True, tls='server_name = "directory.example"'
     )
-    world.wait_for_refresh()
+    harness.wait_for_refresh()
 
 
 def test_an_external_bind_uses_the_clients_certificate(
-    start: NewWorld, authority: trustme.CA, tmp_path: Path
+    start: NewHarness, authority: trustme.CA, tmp_path: Path
 ) -> None:
     clients = trustme.CA()
     pem = tmp_path / "client.pem"
     clients.issue_cert("node.example").private_key_and_cert_chain_pem.write_to_path(str(pem))
     context = server_context(authority, "127.0.0.1", clients)
-    world = start(context, True, bind='method = "external"', tls=f'cert_file = "{pem}"')
-    world.wait_for_refresh()
-    assert world.directories[0].binds == 1
+    harness = start(context, True, bind='method = "external"', tls=f'cert_file = "{pem}"')
+    harness.wait_for_refresh()
+    assert harness.directories[0].binds == 1
 
 
 @pytest.mark.parametrize("at", [1, 200, 1500])
-def test_a_stall_in_the_handshake_times_out(start: NewWorld, authority: trustme.CA, at: int) -> None:
-    world = start(
+def test_a_stall_in_the_handshake_times_out(start: NewHarness, authority: trustme.CA, at: int) -> None:
+    harness = start(
         server_context(authority, "127.0.0.1"), True, more='bind_within = "1s"\n retry { open = "1s" }'
     )
-    world.directories[0].faults.stall_at = at
-    world.run(10_000.0)
-    assert not world.tenant_names and world.replicator.connection_failures >= 2
-    world.directories[0].faults.stall_at = None
-    world.directories[0].wake_connections()
-    world.wait_for_refresh()
+    harness.directories[0].faults.stall_at = at
+    harness.run(10_000.0)
+    assert not harness.tenant_names and harness.replicator.connection_failures >= 2
+    harness.directories[0].faults.stall_at = None
+    harness.directories[0].wake_connections()
+    harness.wait_for_refresh()
--- a/tests/operator/test_hcl.py
+++ b/tests/operator/test_hcl.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from support.directory_world import EXAMPLE, settings
+from support.directory_harness import EXAMPLE, settings
 
 from snowthread import config
 from snowthread.config import ConfigError
--- a/tests/support/directory_world.py
+++ b/tests/support/directory_harness.py
@@ -36,7 +36,7 @@
     return TenantSettings.read(block, config.load({"NODE_CONFIG": str(EXAMPLE)}))
 
 
-class DirectoryWorld:
+class DirectoryHarness:
     """Directories with the same content and, once started, a replicator."""
 
     def __init__(
@@ -69,7 +69,7 @@
     def tenant_names(self) -> set[str]:
         return {tenant.name for tenant in self.tenants.table.tenants.values()}
 
-    def start(self, more: str = "", seed: int = 1, servers: list[str] | None = None) -> DirectoryWorld:
+    def start(self, more: str = "", seed: int = 1, servers: list[str] | None = None) -> DirectoryHarness:
         """Start the replicator, with these keys in its block."""
         made = settings(servers or self.urls, more)
         self.tenants = TenantState(made.rules)
--- a/tests/tenants/test_tenant_identification.py
+++ b/tests/tenants/test_tenant_identification.py
@@ -8,7 +8,7 @@
 
 import pytest
 from loguru import logger
-from support.directory_world import START, settings
+from support.directory_harness import START, settings
 
 from snowthread.core import events
 from snowthread.net.clock import ManualClock
