--- a/snowthread/ldap/ber.py
+++ b/snowthread/ldap/ber.py
@@ -17,28 +17,28 @@
 MIN_HEAD_BYTES = 2  # a tag and a length
 
 
-class MalformedError(ValueError):
+class MalformedMessageError(ValueError):
     """Bytes are no LDAP message; nothing after them can be read."""
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class MessageLimits:
     """The limits of one message: bytes, levels of nesting, elements."""
 
-    frame_bytes: int = 512 * 1024
-    depth: int = 24
-    elements: int = 20_000
+    max_frame_bytes: int = 512 * 1024
+    max_depth: int = 24
+    max_elements: int = 20_000
 
 
-def frame_length(data: bytes | bytearray | memoryview, bounds: Bounds) -> int | None:
+def frame_length(data: bytes | bytearray | memoryview, limits: MessageLimits) -> int | None:
     """Return the length of the first message with its head, or None if the head is not complete yet.
 
     Raises:
-        MalformedError: No message starts with these bytes, or it is longer than the bounds.
+        MalformedMessageError: No message starts with these bytes, or it is longer than the bounds.
     """
     size = len(data)
     if size and data[0] != SEQUENCE:
-        raise MalformedError(f"a message starts with 0x30, not 0x{data[0]:02x}")
+        raise MalformedMessageError(f"a message starts with 0x30, not 0x{data[0]:02x}")
     if size < MIN_HEAD_BYTES:
         return None
     first = data[1]
@@ -46,56 +46,56 @@
         return MIN_HEAD_BYTES + first
     octets = first & ~LONG_FORM
     if octets == 0:
-        raise MalformedError("an indefinite length")
+        raise MalformedMessageError("an indefinite length")
     if octets > MAX_LENGTH_OCTETS:
-        raise MalformedError(f"a length of {octets} octets")
+        raise MalformedMessageError(f"a length of {octets} octets")
     head_bytes = MIN_HEAD_BYTES + octets
     if size < head_bytes:
         return None
     length = int.from_bytes(data[MIN_HEAD_BYTES:head_bytes])
-    if length > bounds.frame_bytes:
-        raise MalformedError(f"a message of {length} bytes, at most {bounds.frame_bytes} are read")
+    if length > limits.max_frame_bytes:
+        raise MalformedMessageError(f"a message of {length} bytes, at most {limits.max_frame_bytes} are read")
     return head_bytes + length
 
 
-def check(frame: bytes, bounds: Bounds) -> None:
+def check(frame: bytes, limits: MessageLimits) -> None:
     """Check the structure of a frame in one pass.
 
     Raises:
-        MalformedError: A length is not definite, an element reaches out of its parent, or the depth or the
-            number of elements exceeds the bounds.
+        MalformedMessageError: A length is indefinite, an element extends beyond its parent, or the nesting
+            depth or the number of elements exceeds the limits.
     """
     size = len(frame)
     position = 0
     end = size  # of the element that contains the position
     outer_ends: list[int] = []  # of the elements around it, the innermost last
     elements = 0
-    max_depth = bounds.depth
-    max_elements = bounds.elements
+    max_depth = limits.max_depth
+    max_elements = limits.max_elements
     while position < size:
         while position == end:
             end = outer_ends.pop()
         if end - position < MIN_HEAD_BYTES:
-            raise MalformedError("an element cut short")
+            raise MalformedMessageError("an element cut short")
         tag = frame[position]
         length = frame[position + 1]
         position += MIN_HEAD_BYTES
         if tag & LONG_TAG == LONG_TAG:
-            raise MalformedError("a tag of several octets")
+            raise MalformedMessageError("a tag of several octets")
         if length >= LONG_FORM:
             octets = _length_octets(length, end - position)
             length = int.from_bytes(frame[position : position + octets])
             position += octets
         if length > end - position:
-            raise MalformedError("an element reaches out of its parent")
+            raise MalformedMessageError("an element reaches out of its parent")
         elements += 1
         if elements > max_elements:
-            raise MalformedError(f"more than {max_elements} elements")
+            raise MalformedMessageError(f"more than {max_elements} elements")
         if tag & CONSTRUCTED:
             outer_ends.append(end)
             end = position + length
             if len(outer_ends) > max_depth:
-                raise MalformedError(f"nested deeper than {max_depth}")
+                raise MalformedMessageError(f"nested deeper than {max_depth}")
         else:
             position += length
 
@@ -104,9 +104,9 @@
     """Return how many octets of a long form follow its first one.
 
     Raises:
-        MalformedError: There are none, too many, or fewer than that are left.
+        MalformedMessageError: There are none, too many, or fewer than that are left.
     """
     octets = first & ~LONG_FORM
     if not 1 <= octets <= MAX_LENGTH_OCTETS or available < octets:
-        raise MalformedError("a length that can't be read")
+        raise MalformedMessageError("a length that can't be read")
     return octets
--- a/snowthread/ldap/client.py
+++ b/snowthread/ldap/client.py
@@ -9,7 +9,7 @@
 from collections.abc import Generator
 from dataclasses import dataclass, field
 
-from snowthread.ldap.ber import Bounds
+from snowthread.ldap.ber import MessageLimits
 from snowthread.ldap.health import Reaction, reaction_to
 from snowthread.ldap.messages import (
     START_TLS_OID,
@@ -31,8 +31,8 @@
 from snowthread.net.loop import EventLoop, Wait
 from snowthread.net.tls_stream import Stream
 
-NO_CODE = -1  # the response was of another kind
-CLIENT_FORBIDDEN = (ResultCode.STRONGER_AUTH_REQUIRED, ResultCode.CONFIDENTIALITY_REQUIRED)
+NO_RESULT_CODE = -1  # the response was of another kind
+CLIENT_REJECTED_CODES = (ResultCode.STRONGER_AUTH_REQUIRED, ResultCode.CONFIDENTIALITY_REQUIRED)
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
     server_name: str = ""  # that the certificate must prove; empty: the host of the URL
     connect_timeout_ms: float = 2_000.0
     bind_timeout_ms: float = 3_000.0
-    bounds: Bounds = field(default_factory=Bounds)
+    message_limits: MessageLimits = field(default_factory=MessageLimits)
 
 
 class LdapConnection:
@@ -68,7 +68,7 @@
         self.server = url.server
         self._loop = loop
         self._settings = settings
-        self._session = Session(settings.bounds)
+        self._session = Session(settings.message_limits)
         self._stream: Stream | None = None
         self._failure = CLOSED
 
@@ -108,7 +108,7 @@
         for item in self._session.receive(data):
             if isinstance(item, SessionEnded):
                 # The messages before the end count; the next call finds the session closed.
-                self._failure = _failure_of(item)
+                self._failure = _failure_from(item)
                 return messages or self._failure
             messages.append(item)
         return messages
@@ -145,7 +145,7 @@
         response = yield from self._receive_response(message_id, "StartTLS")
         if isinstance(response, ConnectionFailure):
             return response
-        code = response.result.result_code if isinstance(response, ExtendedResponse) else NO_CODE
+        code = response.result.result_code if isinstance(response, ExtendedResponse) else NO_RESULT_CODE
         if code != ResultCode.SUCCESS:
             return ConnectionFailure(Progress.REPLY_BEGUN, f"StartTLS: code {code}", Reaction.NEEDS_OPERATOR)
         failure = yield from self._secure(stream)
@@ -160,7 +160,7 @@
         response = yield from self._receive_response(message_id, "bind")
         if isinstance(response, ConnectionFailure):
             return response
-        code = response.result.result_code if isinstance(response, BindResponse) else NO_CODE
+        code = response.result.result_code if isinstance(response, BindResponse) else NO_RESULT_CODE
         if code != ResultCode.SUCCESS:
             return ConnectionFailure(Progress.REPLY_BEGUN, f"bind: code {code}", reaction_to(code))
         return None
@@ -184,10 +184,10 @@
         return ConnectionFailure(Progress.SENT, f"{operation}: no answer in time")
 
 
-def _failure_of(ended: SessionEnded) -> ConnectionFailure:
+def _failure_from(ended: SessionEnded) -> ConnectionFailure:
     # A notice says that the server shuts down, whatever its code, unless it forbids this client
     # (RFC 4511, section 4.4.1).
     code = ended.notice.result_code if ended.notice is not None else None
-    needs_operator = code in CLIENT_FORBIDDEN
+    needs_operator = code in CLIENT_REJECTED_CODES
     reaction = Reaction.NEEDS_OPERATOR if needs_operator else Reaction.FAIL_OVER
     return ConnectionFailure(Progress.REPLY_BEGUN, ended.reason, reaction)
--- a/snowthread/ldap/controls.py
+++ b/snowthread/ldap/controls.py
@@ -1,6 +1,7 @@
-"""Encode and decode the controls of paged results (RFC 2696) and content synchronisation (RFC 4533).
+"""Encode and decode the controls for paged results (RFC 2696) and content synchronisation (RFC 4533).
 
-Sections without a document are those of RFC 4533. Errors in what a server sends are ``MalformedError``.
+Section numbers without a document refer to RFC 4533. A control that a server encoded incorrectly raises
+``MalformedMessageError``.
 """
 
 from __future__ import annotations
@@ -11,9 +12,9 @@
 
 import asn1tools
 
-from snowthread.ldap.ber import Bounds, MalformedError, check
+from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check
 from snowthread.ldap.messages import Control
-from snowthread.ldap.schema import MODULE
+from snowthread.ldap.schema import LDAP_MODULE
 
 PAGED_RESULTS_OID = "1.2.840.113556.1.4.319"
 SYNC_REQUEST_OID = "1.3.6.1.4.1.4203.1.9.1.1"
@@ -22,7 +23,7 @@
 SYNC_INFO_OID = "1.3.6.1.4.1.4203.1.9.1.4"
 MAX_COOKIE_BYTES = 4096  # a server may make its cookies of any length (section 2.1.2)
 UUID_BYTES = 16  # section 2.1.1
-_VALUE_BOUNDS = Bounds(frame_bytes=512 * 1024, depth=6, elements=20_000)
+_VALUE_LIMITS = MessageLimits(max_frame_bytes=512 * 1024, max_depth=6, max_elements=20_000)
 
 
 class SyncMode(IntEnum):
@@ -88,7 +89,7 @@
 
 def paged_results_control(size: int, cookie: bytes = b"") -> Control:
     """Return the control that asks for a page, from a cookie on."""
-    value = MODULE.types["RealSearchControlValue"].encode({"size": size, "cookie": cookie})
+    value = LDAP_MODULE.types["RealSearchControlValue"].encode({"size": size, "cookie": cookie})
     return Control(PAGED_RESULTS_OID, True, bytes(value))
 
 
@@ -97,7 +98,7 @@
     fields: dict[str, Any] = {"mode": "refreshOnly" if mode is SyncMode.REFRESH_ONLY else "refreshAndPersist"}
     if cookie is not None:
         fields["cookie"] = cookie
-    return Control(SYNC_REQUEST_OID, True, bytes(MODULE.types["SyncRequestValue"].encode(fields)))
+    return Control(SYNC_REQUEST_OID, True, bytes(LDAP_MODULE.types["SyncRequestValue"].encode(fields)))
 
 
 def find_control(controls: tuple[Control, ...], control_type: str) -> Control | None:
@@ -110,7 +111,7 @@
     control = find_control(controls, PAGED_RESULTS_OID)
     if control is None:
         return None
-    return _cookie(_decode("RealSearchControlValue", control.control_value)["cookie"])
+    return _checked_cookie(_decode("RealSearchControlValue", control.control_value)["cookie"])
 
 
 def read_sync_state(controls: tuple[Control, ...]) -> SyncState | None:
@@ -120,7 +121,7 @@
         return None
     fields = _decode("SyncStateValue", control.control_value)
     state = EntryState[fields["state"].upper()]
-    return SyncState(state, _uuid(fields["entryUUID"]), _cookie(fields.get("cookie")))
+    return SyncState(state, _uuid_hex(fields["entryUUID"]), _checked_cookie(fields.get("cookie")))
 
 
 def read_sync_done(controls: tuple[Control, ...]) -> SyncDone | None:
@@ -129,36 +130,36 @@
     if control is None:
         return None
     fields = _decode("SyncDoneValue", control.control_value)
-    return SyncDone(_cookie(fields.get("cookie")), fields.get("refreshDeletes", False))
+    return SyncDone(_checked_cookie(fields.get("cookie")), fields.get("refreshDeletes", False))
 
 
 def read_sync_info(value: bytes) -> SyncInfo:
     """Return the content of a sync info message, the value of an intermediate response."""
     kind, fields = _decode("SyncInfoValue", value)
     if kind == "newcookie":
-        return NewCookie(_cookie(fields) or b"")
-    cookie = _cookie(fields.get("cookie"))
+        return NewCookie(_checked_cookie(fields) or b"")
+    cookie = _checked_cookie(fields.get("cookie"))
     if kind == "syncIdSet":
-        sync_uuids = tuple(_uuid(uuid) for uuid in fields["syncUUIDs"])
+        sync_uuids = tuple(_uuid_hex(uuid) for uuid in fields["syncUUIDs"])
         return SyncIdSet(fields.get("refreshDeletes", False), sync_uuids, cookie)
     return RefreshPhase(kind == "refreshDelete", cookie, fields.get("refreshDone", True))
 
 
 def _decode(kind: str, value: bytes | None) -> Any:
     try:
-        check(value or b"", _VALUE_BOUNDS)
-        return MODULE.types[kind].decode(value or b"")
+        check(value or b"", _VALUE_LIMITS)
+        return LDAP_MODULE.types[kind].decode(value or b"")
     except (asn1tools.Error, KeyError, IndexError) as error:
-        raise MalformedError(f"{kind}: {type(error).__name__}") from None
+        raise MalformedMessageError(f"{kind}: {type(error).__name__}") from None
 
 
-def _uuid(value: bytes) -> str:
+def _uuid_hex(value: bytes) -> str:
     if len(value) != UUID_BYTES:
-        raise MalformedError(f"a UUID of {len(value)} octets")
+        raise MalformedMessageError(f"a UUID of {len(value)} octets")
     return value.hex()
 
 
-def _cookie(value: bytes | None) -> bytes | None:
+def _checked_cookie(value: bytes | None) -> bytes | None:
     if value is not None and len(value) > MAX_COOKIE_BYTES:
-        raise MalformedError(f"a cookie of {len(value)} octets")
+        raise MalformedMessageError(f"a cookie of {len(value)} octets")
     return value
--- a/snowthread/ldap/dn.py
+++ b/snowthread/ldap/dn.py
@@ -27,10 +27,10 @@
 VALUE: /#(?:[0-9A-Fa-f]{2})+|(?:[^",+;<>\\\x00#]|\\[ "#+,;<=>\\]|\\[0-9A-Fa-f]{2})(?:[^",+;<>\\\x00]|\\[ "#+,;<=>\\]|\\[0-9A-Fa-f]{2})*/
 """  # noqa: E501
 _ESCAPE = re.compile(rb"\\(?:([0-9A-Fa-f]{2})|(.))", re.DOTALL)
-_SPACES = re.compile(r"\s+")
+_WHITESPACE = re.compile(r"\s+")
 
 
-class _Attribute(NamedTuple):
+class _AttributeValue(NamedTuple):
     """One attribute of a part of a name."""
 
     type: str
@@ -41,7 +41,7 @@
 class DistinguishedName:
     """A name, normalised: its parts, the nearest first, each a set of attributes."""
 
-    parts: tuple[frozenset[_Attribute], ...]
+    parts: tuple[frozenset[_AttributeValue], ...]
 
     def is_below(self, base: DistinguishedName) -> bool:
         """Return whether this is the base or lies below it."""
@@ -56,7 +56,7 @@
         )
 
 
-def is_plainly_below(text: str, base: DistinguishedName) -> bool:
+def ends_with_base(text: str, base: DistinguishedName) -> bool:
     """Return whether the text ends in the base as it is usually written.
 
     True is certain; after False the name has to be parsed. For thousands of entries the parser would
@@ -97,9 +97,9 @@
     )
 
 
-def _read_attribute(part: Tree[Token]) -> _Attribute:
+def _read_attribute(part: Tree[Token]) -> _AttributeValue:
     attribute_type, *values = (str(child) for child in part.children)
-    return _Attribute(attribute_type.strip(" =").lower(), _normalise(values[0]) if values else "")
+    return _AttributeValue(attribute_type.strip(" =").lower(), _normalise(values[0]) if values else "")
 
 
 def _normalise(text: str) -> str:
@@ -107,11 +107,11 @@
         return text.lower()
     if text.endswith(" ") and not text.endswith("\\ "):
         text = text.rstrip(" ")
-    octets = _ESCAPE.sub(_unescape, text.encode())
-    return _SPACES.sub(" ", octets.decode(errors="surrogateescape")).strip().casefold()
+    octets = _ESCAPE.sub(_unescape_octet, text.encode())
+    return _WHITESPACE.sub(" ", octets.decode(errors="surrogateescape")).strip().casefold()
 
 
-def _unescape(match: re.Match[bytes]) -> bytes:
+def _unescape_octet(match: re.Match[bytes]) -> bytes:
     return bytes([int(match[1], 16)]) if match[1] else match[2]
 
 
--- a/snowthread/ldap/filters.py
+++ b/snowthread/ldap/filters.py
@@ -43,7 +43,7 @@
 VALUE: /(?:[^()*\\\x00]|\\[0-9A-Fa-f]{2})+/
 """
 _ESCAPED = re.compile(rb"\\([0-9A-Fa-f]{2})")
-_KIND = {
+_COMPARISON_KINDS = {
     "~=": ComparisonKind.APPROX,
     ">=": ComparisonKind.GREATER_OR_EQUAL,
     "<=": ComparisonKind.LESS_OR_EQUAL,
@@ -122,11 +122,11 @@
     def test(self, parts: list[Any]) -> Filter:
         head = str(parts[0])
         rest = parts[1:]
-        sign = head[-2:] if head[-2:] in _KIND else "="
+        sign = head[-2:] if head[-2:] in _COMPARISON_KINDS else "="
         attribute = head[: -len(sign)].encode()
         if not any(token.type == "STAR" for token in rest):
             value = _unescape("".join(rest))
-            return Comparison(_KIND[sign], attribute, value)
+            return Comparison(_COMPARISON_KINDS[sign], attribute, value)
         if sign != "=":
             raise FilterError(f"a star behind {sign}")
         if len(rest) == 1:
--- a/snowthread/ldap/message_codec.py
+++ b/snowthread/ldap/message_codec.py
@@ -6,7 +6,7 @@
 
 import asn1tools
 
-from snowthread.ldap.ber import Bounds, MalformedError, check
+from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check
 from snowthread.ldap.messages import (
     AbandonRequest,
     BindResponse,
@@ -26,7 +26,7 @@
     SimpleBindRequest,
     UnbindRequest,
 )
-from snowthread.ldap.schema import MODULE
+from snowthread.ldap.schema import LDAP_MODULE
 from snowthread.ldap.search_filter import (
     And,
     Comparison,
@@ -38,7 +38,7 @@
     Substrings,
 )
 
-_MESSAGE = MODULE.types["LDAPMessage"]
+_MESSAGE = LDAP_MODULE.types["LDAPMessage"]
 LDAP_VERSION = 3  # RFC 4511, section 4.2
 NEVER_DEREF_ALIASES = 0  # RFC 4511, section 4.5.1.3
 
@@ -51,13 +51,13 @@
     return bytes(_MESSAGE.encode(fields))
 
 
-def decode(frame: bytes, bounds: Bounds) -> Message:
+def decode(frame: bytes, limits: MessageLimits) -> Message:
     """Return the response in one complete frame.
 
     Raises:
-        MalformedError: The frame is no response, or exceeds the bounds.
+        MalformedMessageError: The frame is no response, or exceeds the bounds.
     """
-    check(frame, bounds)
+    check(frame, limits)
     try:
         fields = _MESSAGE.decode(frame)
         controls = tuple(
@@ -71,7 +71,7 @@
         kind, content = fields["protocolOp"]
         return Message(fields["messageID"], _decode_response(kind, content, controls))
     except (asn1tools.Error, UnicodeDecodeError, KeyError, IndexError, OverflowError) as error:
-        raise MalformedError(f"not a message: {type(error).__name__}") from None
+        raise MalformedMessageError(f"not a message: {type(error).__name__}") from None
 
 
 def _encode_control(control: Control) -> dict[str, Any]:
@@ -170,7 +170,7 @@
         case "intermediateResponse":
             name = content.get("responseName", b"").decode()
             return IntermediateResponse(name, content.get("responseValue", b""))
-    raise MalformedError(f"{kind} is nothing that a server sends")
+    raise MalformedMessageError(f"{kind} is nothing that a server sends")
 
 
 def _decode_attributes(fields: Any) -> dict[str, tuple[bytes, ...]]:
--- a/snowthread/ldap/retry_budget.py
+++ b/snowthread/ldap/retry_budget.py
@@ -41,12 +41,12 @@
 
     def record_success(self) -> None:
         """Earn a share of a retry."""
-        self._earn(self._policy.budget_share)
+        self._deposit(self._policy.budget_share)
 
     def take_retry(self, now: float) -> float:
         """Take a retry out of the budget and return 0, or else return the milliseconds until there is one."""
         floor_per_s = self._policy.budget_floor_per_s
-        self._earn(max(0.0, now - self._refilled_at_ms) / MS_PER_S * floor_per_s)
+        self._deposit(max(0.0, now - self._refilled_at_ms) / MS_PER_S * floor_per_s)
         self._refilled_at_ms = now
         if self.retries_left >= 1.0:
             self.retries_left -= 1.0
@@ -56,5 +56,5 @@
             return math.inf
         return (1.0 - self.retries_left) / floor_per_s * MS_PER_S
 
-    def _earn(self, retries: float) -> None:
+    def _deposit(self, retries: float) -> None:
         self.retries_left = min(self._policy.max_saved_retries, self.retries_left + retries)
--- a/snowthread/ldap/schema.py
+++ b/snowthread/ldap/schema.py
@@ -8,7 +8,7 @@
 
 import asn1tools
 
-LDAP = """
+LDAP_ASN1 = """
 Ldap DEFINITIONS IMPLICIT TAGS ::= BEGIN
 
 -- An ENUMERATED that also takes numbers with no name here, since servers send codes of later documents.
@@ -91,4 +91,4 @@
 END
 """
 
-MODULE = asn1tools.compile_string(LDAP, "ber")
+LDAP_MODULE = asn1tools.compile_string(LDAP_ASN1, "ber")
--- a/snowthread/ldap/session.py
+++ b/snowthread/ldap/session.py
@@ -20,7 +20,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from snowthread.ldap.ber import Bounds, MalformedError, frame_length
+from snowthread.ldap.ber import MalformedMessageError, MessageLimits, frame_length
 from snowthread.ldap.message_codec import decode, encode
 from snowthread.ldap.messages import (
     NOTICE_OF_DISCONNECTION_OID,
@@ -91,8 +91,8 @@
 class Session:
     """Numbers requests, matches responses, and buffers no more than one bounded message."""
 
-    def __init__(self, bounds: Bounds | None = None) -> None:
-        self.bounds = bounds or Bounds()
+    def __init__(self, limits: MessageLimits | None = None) -> None:
+        self.limits = limits or MessageLimits()
         self.state = SessionState.READY
         self._open: dict[int, type] = {}  # message id -> type of the request
         self._abandoned: OrderedDict[int, None] = OrderedDict()
@@ -136,14 +136,14 @@
                 frame = self._next_frame(view, position)
                 if frame is None:
                     break
-                message = decode(frame, self.bounds)
+                message = decode(frame, self.limits)
                 position += len(frame)
-                ended = self._account_response(message)
+                ended = self._match_response(message)
                 if ended is not None:
                     return [*received, self._close(ended)]
                 if not self._is_abandoned(message):
                     received.append(message)
-        except MalformedError as error:
+        except MalformedMessageError as error:
             return [*received, self._close(SessionEnded(str(error)))]
         del self._buffer[:position]
         return received
@@ -162,11 +162,11 @@
         """Return the complete message at a position, or None if some of it is still to come.
 
         Raises:
-            MalformedError: There must be no clear text between the response to StartTLS and the handshake.
+            MalformedMessageError: Clear text arrived between the StartTLS response and the TLS handshake.
         """
         if self.state is SessionState.HANDSHAKE:
-            raise MalformedError("clear text behind the response to StartTLS")
-        length = frame_length(data[position : position + MAX_HEAD_BYTES], self.bounds)
+            raise MalformedMessageError("clear text behind the response to StartTLS")
+        length = frame_length(data[position : position + MAX_HEAD_BYTES], self.limits)
         if length is None or position + length > len(data):
             return None
         return data[position : position + length]
@@ -195,12 +195,12 @@
             del self._abandoned[message.message_id]
         return True
 
-    def _account_response(self, message: Message) -> SessionEnded | None:
+    def _match_response(self, message: Message) -> SessionEnded | None:
         """Match a response with its request, and change the state if it is the final one."""
         message_id = message.message_id
         response = message.response
         if message_id == UNSOLICITED:
-            return _end_by_notification(message)
+            return _session_end_from(message)
         if message_id in self._abandoned:
             return None
         request_type = self._open.get(message_id)
@@ -224,7 +224,7 @@
         return ended
 
 
-def _end_by_notification(message: Message) -> SessionEnded:
+def _session_end_from(message: Message) -> SessionEnded:
     response = message.response
     if isinstance(response, ExtendedResponse) and response.response_name == NOTICE_OF_DISCONNECTION_OID:
         return SessionEnded(f"notice of disconnection, code {response.result.result_code}", response.result)
--- a/snowthread/ldap/url.py
+++ b/snowthread/ldap/url.py
@@ -11,7 +11,7 @@
 from snowthread.ldap.messages import Scope
 from snowthread.ldap.text_errors import UrlError
 
-PORTS = {"ldap": 389, "ldaps": 636}
+DEFAULT_PORTS = {"ldap": 389, "ldaps": 636}
 MAX_QUERY_PARTS = 4  # attributes, scope, filter, extensions (RFC 4516, section 2)
 _SCOPES = {"": None, "base": Scope.BASE, "one": Scope.ONE, "sub": Scope.SUB}
 
@@ -60,7 +60,7 @@
         port = split.port
     except ValueError as error:
         raise UrlError(f"{text!r}: {error}") from None
-    if split.scheme not in PORTS:
+    if split.scheme not in DEFAULT_PORTS:
         raise UrlError(f"{text!r}: the scheme must be ldap or ldaps")
     if split.fragment or split.username is not None:
         raise UrlError(f"{text!r}: neither a user nor a fragment may stand in it")
@@ -75,7 +75,7 @@
     return LdapUrl(
         split.scheme,
         split.hostname or "",
-        PORTS[split.scheme] if port is None else port,
+        DEFAULT_PORTS[split.scheme] if port is None else port,
         base,
         tuple(name for name in query.attributes.split(",") if name),
         query.scope,
--- a/snowthread/tenants/balancer_ranges.py
+++ b/snowthread/tenants/balancer_ranges.py
@@ -9,7 +9,7 @@
 from snowthread.tenants.model import Tenant
 
 
-class _OwnedRange(NamedTuple):
+class _ClaimedRange(NamedTuple):
     """A range of balancers' numbers and the tenant that claims it; ordered by its first number."""
 
     first: int
@@ -21,22 +21,22 @@
     """The ranges of balancers' numbers of all tenants."""
 
     def __init__(self) -> None:
-        self._ranges: list[_OwnedRange] = []  # sorted
-        self._widest = 0  # last number minus first
+        self._ranges: list[_ClaimedRange] = []  # sorted
+        self._max_span = 0  # last number minus first
 
     def add(self, tenant: Tenant) -> None:
         """Add the ranges of a tenant that has none here."""
         for first, last in tenant.balancers:
-            insort(self._ranges, _OwnedRange(first, last, tenant.id))
-            self._widest = max(self._widest, last - first)
+            insort(self._ranges, _ClaimedRange(first, last, tenant.id))
+            self._max_span = max(self._max_span, last - first)
 
     def remove(self, tenant_id: str) -> None:
         """Remove the ranges of a tenant."""
         self._ranges = [owned for owned in self._ranges if owned.tenant_id != tenant_id]
-        self._widest = max((owned.last - owned.first for owned in self._ranges), default=0)
+        self._max_span = max((owned.last - owned.first for owned in self._ranges), default=0)
 
-    def owners(self, number: int) -> list[str]:
+    def claimants(self, number: int) -> list[str]:
         """Return the tenants whose ranges contain the number, the least id first."""
         end = bisect_right(self._ranges, (number, math.inf, ""))
-        start = bisect_right(self._ranges, (number - self._widest, -1, ""))
+        start = bisect_right(self._ranges, (number - self._max_span, -1, ""))
         return sorted({owned.tenant_id for owned in self._ranges[start:end] if number <= owned.last})
--- a/snowthread/tenants/changes.py
+++ b/snowthread/tenants/changes.py
@@ -25,7 +25,7 @@
     text: str
 
 
-MORE_LINES = TenantLogLine("tenants.more", "and more of the kind")
+LINES_OMITTED = TenantLogLine("tenants.more", "and more of the kind")
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
         if len(self.log_lines) < MAX_LOG_LINES:
             self.log_lines.append(TenantLogLine(event, text))
         elif len(self.log_lines) == MAX_LOG_LINES:
-            self.log_lines.append(MORE_LINES)
+            self.log_lines.append(LINES_OMITTED)
 
     def add_upsert(self, tenant: Tenant, old: Tenant | None) -> None:
         """Add a tenant that is new, if ``old`` is None, or has changed."""
@@ -76,7 +76,7 @@
         """Add an entry that describes no tenant."""
         self.add_log_line("tenants.bad_entry", f"{entry.dn!r} can't be used: {entry.reason}")
 
-    def add_stage(self, stage: StalenessStage, age_ms: float) -> None:
+    def add_staleness_stage(self, stage: StalenessStage, age_ms: float) -> None:
         """Add the stage of staleness that was reached."""
         age = "" if stage is StalenessStage.NONE else f", {age_ms / MS_PER_S:.0f} s old"
         self.add_log_line("tenants.age", f"what is known of tenants is {stage.value}{age}")
--- a/snowthread/tenants/conflicts.py
+++ b/snowthread/tenants/conflicts.py
@@ -27,11 +27,11 @@
     def __init__(self) -> None:
         self._by_resource: dict[str, tuple[Conflict, ...]] = {}
 
-    def present(self) -> list[Conflict]:
+    def current(self) -> list[Conflict]:
         """Return the present conflicts."""
         return [conflict for group in self._by_resource.values() for conflict in group]
 
-    def review(self, resource: str, claimants: Sequence[str]) -> list[Conflict]:
+    def record_claimants(self, resource: str, claimants: Sequence[str]) -> list[Conflict]:
         """Record the present claimants of a resource, its owner first, and return the new conflicts."""
         old = self._by_resource.pop(resource, ())
         present = tuple(Conflict(resource, claimants[0], other) for other in claimants[1:])
--- a/snowthread/tenants/connection_settings.py
+++ b/snowthread/tenants/connection_settings.py
@@ -9,14 +9,16 @@
 
 from snowthread.hcl import Block
 from snowthread.ldap import dn, url
-from snowthread.ldap.ber import Bounds
+from snowthread.ldap.ber import MessageLimits
 from snowthread.ldap.client import ConnectionSettings
 from snowthread.ldap.messages import ExternalBindRequest, Secret, SimpleBindRequest
 
 Servers = tuple[url.LdapUrl, ...]
 
 
-def read_connection_settings(block: Block, servers: Servers, bounds: Bounds) -> ConnectionSettings:
+def read_connection_settings(
+    block: Block, servers: Servers, message_limits: MessageLimits
+) -> ConnectionSettings:
     """Read how to connect; certificates and secrets are read too, so that errors in them are found now."""
     start_tls = block.flag("start_tls", False)
     connect_timeout_ms = block.duration_ms("connect", "2s")
@@ -39,7 +41,7 @@
         server_name=server_name,
         connect_timeout_ms=connect_timeout_ms,
         bind_timeout_ms=bind_timeout_ms,
-        bounds=bounds,
+        message_limits=message_limits,
     )
 
 
@@ -49,17 +51,17 @@
     try:
         context = ssl.create_default_context(cafile=ca_file)
     except (OSError, ssl.SSLError) as error:
-        raise tls.error("ca_file", f"{ca_file}: {_reason_of(error)}") from None
+        raise tls.error("ca_file", f"{ca_file}: {_error_reason(error)}") from None
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     if cert_file is not None:
         try:
             context.load_cert_chain(cert_file, key_file)
         except (OSError, ssl.SSLError) as error:
-            raise tls.error("cert_file", f"{cert_file}: {_reason_of(error)}") from None
+            raise tls.error("cert_file", f"{cert_file}: {_error_reason(error)}") from None
     return context
 
 
-def _reason_of(error: OSError) -> str | None:
+def _error_reason(error: OSError) -> str | None:
     return getattr(error, "reason", None) or error.strerror
 
 
--- a/snowthread/tenants/directory_query.py
+++ b/snowthread/tenants/directory_query.py
@@ -18,7 +18,7 @@
     filter: Filter
     attribute_names: AttributeNames
     scope: Scope = Scope.SUB
-    first_mode: ReplicationMode = ReplicationMode.PERSIST
+    initial_mode: ReplicationMode = ReplicationMode.PERSIST
     page_size: int = 500  # entries
     max_tenants: int = 100_000
     max_networks: int = 1_000_000
--- a/snowthread/tenants/directory_session.py
+++ b/snowthread/tenants/directory_session.py
@@ -17,7 +17,7 @@
 from snowthread.net.attempt import Progress
 from snowthread.net.loop import TaskSteps, Wait
 from snowthread.tenants.lookups import ClientLookups
-from snowthread.tenants.refresh_application import apply_with_pauses, log_refresh
+from snowthread.tenants.refresh_application import apply_refresh_with_pauses, log_refresh
 from snowthread.tenants.replication_context import ReplicationContext
 from snowthread.tenants.server_probe import ServerProbe
 from snowthread.tenants.sync import DirectorySync, ReplicationState
@@ -72,7 +72,7 @@
             failure = self._detect_stall(now)
             if failure is not None:
                 return failure
-            self._send_what_is_due(now)
+            self._send_due_requests(now)
             received = yield from self._connection.receive(self._next_deadline())
             if isinstance(received, ConnectionFailure):
                 return received
@@ -96,13 +96,13 @@
             return ConnectionFailure(Progress.REPLY_BEGUN, "a probe is not answered")
         return None
 
-    def _send_what_is_due(self, now: float) -> None:
+    def _send_due_requests(self, now: float) -> None:
         if self._sync.state is not ReplicationState.REFRESHING:
             self._send_due_search(now)
-        self._lookups.abandon_overdue(now)
+        self._lookups.abandon_timed_out(now)
         self.accepts_lookups = self._sync.state is not ReplicationState.REFRESHING
         if self.accepts_lookups:
-            self._lookups.start(now)
+            self._lookups.send_waiting(now)
 
     def _send_due_search(self, now: float) -> None:
         """Send the next refresh or a probe, if one is due."""
@@ -203,7 +203,7 @@
 
     def _complete_refresh(self, refresh: RefreshCompleted, now: float) -> TaskSteps:
         context = self._context
-        changes = yield from apply_with_pauses(context, self._sync, refresh, self.server, now)
+        changes = yield from apply_refresh_with_pauses(context, self._sync, refresh, self.server, now)
         log_refresh(context, self._sync, self.server, changes, now - self._search_started_at)
         context.publish(changes)
         self._on_refresh()
--- a/snowthread/tenants/entry.py
+++ b/snowthread/tenants/entry.py
@@ -22,9 +22,9 @@
 MAX_QUOTED_CHARS = 40  # of a value that can't be read, in the reason
 MAX_QUOTED_NETWORK_CHARS = 60
 NAME_ATTRIBUTE = "cn"
-_QUOTA = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
-_BALANCER_RANGE = re.compile(r"([0-9]{1,18})(?:\s*-\s*([0-9]{1,18}))?")
-_STATUS = {
+_QUOTA_PATTERN = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+_BALANCER_RANGE_PATTERN = re.compile(r"([0-9]{1,18})(?:\s*-\s*([0-9]{1,18}))?")
+_STATUS_BY_TEXT = {
     "active": TenantStatus.ACTIVE,
     "enabled": TenantStatus.ACTIVE,
     "true": TenantStatus.ACTIVE,
@@ -87,14 +87,14 @@
             networks=_read_networks(attributes, names.network),
             balancers=_read_balancers(attributes, names.balancer),
             classes=_read_classes(attributes, names.allowed_classes),
-            modified_at=_value(attributes, names.modified_at) or "",
+            modified_at=_single_value(attributes, names.modified_at) or "",
         )
     except ValueError as error:
         return BadEntry(entry_dn[:MAX_NAME_LENGTH], tenant_id, str(error))
 
 
 def _check_base(entry_dn: str, base: dn.DistinguishedName) -> None:
-    if not dn.is_plainly_below(entry_dn, base) and not dn.parse(entry_dn).is_below(base):
+    if not dn.ends_with_base(entry_dn, base) and not dn.parse(entry_dn).is_below(base):
         raise ValueError("it lies outside the base")
 
 
@@ -102,7 +102,7 @@
     return [value.decode().strip() for value in attributes.get(name, ())]
 
 
-def _value(attributes: Attributes, name: str) -> str | None:
+def _single_value(attributes: Attributes, name: str) -> str | None:
     values = _values(attributes, name)
     if len(values) > 1:
         if name == NAME_ATTRIBUTE:  # a name may have further spellings; the least is the same at every node
@@ -112,12 +112,12 @@
 
 
 def _read_id(entry_dn: str, attributes: Attributes, names: AttributeNames) -> str:
-    value = _value(attributes, names.id)
+    value = _single_value(attributes, names.id)
     return value.replace("-", "").lower() if value else f"dn:{dn.parse(entry_dn).key}"
 
 
 def _read_name(attributes: Attributes, name: str) -> str:
-    text = _value(attributes, name)
+    text = _single_value(attributes, name)
     if not text:
         raise ValueError(f"{name}: missing")
     if len(text) > MAX_NAME_LENGTH or not text.isprintable():
@@ -126,19 +126,19 @@
 
 
 def _read_status(attributes: Attributes, name: str) -> TenantStatus:
-    text = _value(attributes, name)
+    text = _single_value(attributes, name)
     if text is None:
         return TenantStatus.ACTIVE
-    if text.lower() not in _STATUS:
+    if text.lower() not in _STATUS_BY_TEXT:
         raise ValueError(f"{name}: {text[:MAX_QUOTED_CHARS]!r} is no status")
-    return _STATUS[text.lower()]
+    return _STATUS_BY_TEXT[text.lower()]
 
 
 def _read_quota(attributes: Attributes, name: str) -> float:
-    text = _value(attributes, name)
+    text = _single_value(attributes, name)
     if text is None:
         return 0.0
-    if not _QUOTA.fullmatch(text) or not float(text) <= MAX_QUOTA_PER_S:
+    if not _QUOTA_PATTERN.fullmatch(text) or not float(text) <= MAX_QUOTA_PER_S:
         raise ValueError(f"{name}: {text[:MAX_QUOTED_CHARS]!r} is no number of requests a second")
     return float(text)
 
@@ -164,7 +164,7 @@
 
 
 def _read_range(text: str, name: str) -> BalancerRange:
-    match = _BALANCER_RANGE.fullmatch(text)
+    match = _BALANCER_RANGE_PATTERN.fullmatch(text)
     if match is not None:
         balancers = BalancerRange(int(match[1]), int(match[2] or match[1]))
         if balancers.first <= balancers.last:
--- a/snowthread/tenants/inspection.py
+++ b/snowthread/tenants/inspection.py
@@ -20,7 +20,7 @@
 from snowthread.tenants.settings import TenantSettings
 from snowthread.tenants.state import TenantState
 
-LOOP_ROUND_S = 0.05
+LOOP_STEP_S = 0.05
 MS_PER_S = 1000.0
 MAX_NETWORKS_SHOWN = 4
 
@@ -87,7 +87,7 @@
         and loop.clock.now() < deadline
         and replicator.connection_failures < max_attempts
     ):
-        loop.run_once(LOOP_ROUND_S)
+        loop.run_once(LOOP_STEP_S)
     if not tenants.counters.refreshes:
         raise config.ConfigError(warnings[-1] if warnings else "the directory does not answer")
     source = replicator.sync.cookie.server or settings.servers[0].server
--- a/snowthread/tenants/lookups.py
+++ b/snowthread/tenants/lookups.py
@@ -49,7 +49,7 @@
         """Return when the first lookup in flight times out, or infinity."""
         return min((lookup.deadline for lookup in self._in_flight.values()), default=math.inf)
 
-    def abandon_overdue(self, now: float) -> None:
+    def abandon_timed_out(self, now: float) -> None:
         """Abandon the lookups that have timed out."""
         unknown_clients = self._context.tenants.unknown_clients
         for message_id, lookup in list(self._in_flight.items()):
@@ -58,7 +58,7 @@
                 self._connection.send(AbandonRequest(message_id))
                 unknown_clients.finish_lookup(lookup.address, found=False, now=now)
 
-    def start(self, now: float) -> None:
+    def send_waiting(self, now: float) -> None:
         """Send as many of the waiting lookups as the bounds allow."""
         settings = self._context.settings
         unknown_clients = self._context.tenants.unknown_clients
--- a/snowthread/tenants/refresh_application.py
+++ b/snowthread/tenants/refresh_application.py
@@ -13,7 +13,7 @@
 from snowthread.tenants.sync_events import RefreshCompleted
 
 
-def apply_with_pauses(
+def apply_refresh_with_pauses(
     context: ReplicationContext, sync: DirectorySync, refresh: RefreshCompleted, server: str, now: float
 ) -> Generator[Wait, int, TenantChanges]:
     """Apply a refresh, with a turn for other tasks after each slice, and return what it changed.
--- a/snowthread/tenants/refresh_collector.py
+++ b/snowthread/tenants/refresh_collector.py
@@ -52,7 +52,7 @@
         """Take the cookie of a message, if it has one: the last one is that of the complete refresh."""
         self.cookie = cookie or self.cookie
 
-    def excess_reason(self, query: DirectoryQuery) -> str:
+    def limit_violation(self, query: DirectoryQuery) -> str:
         """Return which bound of the query is exceeded, or an empty text."""
         id_count = max(len(self.upserts), len(self.present_ids), len(self.removed_ids))
         if id_count > query.max_tenants:
--- a/snowthread/tenants/removal_guard.py
+++ b/snowthread/tenants/removal_guard.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RemovalVerdict:
+class RemovalDecision:
     """What is removed now, what is pending afterwards, and whether it was not pending before."""
 
     removed_ids: frozenset[str]
@@ -54,7 +54,7 @@
     newly_pending: bool = False
 
 
-NOTHING_REMOVED = RemovalVerdict(frozenset(), None)
+NOTHING_REMOVED = RemovalDecision(frozenset(), None)
 
 
 class _AppliedRemoval(NamedTuple):
@@ -73,9 +73,9 @@
         self.source_server = ""  # the server whose content is known here
         self._recent: deque[_AppliedRemoval] = deque()
 
-    def judge_full_refresh(
+    def evaluate_full_refresh(
         self, missing_ids: Collection[str], known_count: int, server: str, now: float
-    ) -> RemovalVerdict:
+    ) -> RemovalDecision:
         """Judge the known tenants that a full refresh did not contain."""
         missing = frozenset(missing_ids)
         if not missing:
@@ -85,32 +85,32 @@
         if self._is_accepted(missing):
             return self._remove(missing, server, now)
         if self.pending is not None and self.pending.tenant_ids & missing:
-            return self._judge_repeated_miss(self.pending, missing, server, now)
+            return self._evaluate_missing_again(self.pending, missing, server, now)
         if self.source_server and server != self.source_server:
             reason = "reported by another server"
         else:
-            reason = self._excess_reason(len(missing), known_count, now)
+            reason = self._allowance_violation(len(missing), known_count, now)
         if not reason:
             return self._remove(missing, server, now)
         self.pending = PendingRemoval(missing, now, reason)
-        return RemovalVerdict(frozenset(), self.pending, newly_pending=True)
+        return RemovalDecision(frozenset(), self.pending, newly_pending=True)
 
-    def judge_deletions(
+    def evaluate_deletions(
         self, deleted_ids: Collection[str], known_count: int, server: str, now: float
-    ) -> RemovalVerdict:
+    ) -> RemovalDecision:
         """Judge tenants reported as deleted, by a refresh from a cookie or as a change."""
         pending = self.pending
         tenant_ids = frozenset(deleted_ids) | (pending.tenant_ids if pending is not None else frozenset())
         if not tenant_ids:
-            return RemovalVerdict(tenant_ids, pending)
-        reason = self._excess_reason(len(tenant_ids), known_count, now)
+            return RemovalDecision(tenant_ids, pending)
+        reason = self._allowance_violation(len(tenant_ids), known_count, now)
         if self._is_accepted(tenant_ids):
             reason = ""
         if not reason and pending is None:
             return self._remove(tenant_ids, server, now)
         since_ms = now if pending is None else pending.since_ms
         self.pending = PendingRemoval(tenant_ids, since_ms, reason or "another removal is pending already")
-        return RemovalVerdict(
+        return RemovalDecision(
             frozenset(), self.pending, newly_pending=pending is None or pending.tenant_ids != tenant_ids
         )
 
@@ -135,9 +135,9 @@
         self.pending = None
         return tenant_ids
 
-    def _judge_repeated_miss(
+    def _evaluate_missing_again(
         self, pending: PendingRemoval, missing: frozenset[str], server: str, now: float
-    ) -> RemovalVerdict:
+    ) -> RemovalDecision:
         """Judge a full refresh that misses tenants of the pending removal again."""
         missing_again = pending.tenant_ids & missing
         is_due = now - pending.since_ms >= self.rules.confirm_after_ms
@@ -145,19 +145,19 @@
             # The time of the newly missing tenants starts now.
             since_ms = pending.since_ms if missing <= pending.tenant_ids else now
             self.pending = PendingRemoval(missing, since_ms, pending.reason)
-            return RemovalVerdict(frozenset(), self.pending, newly_pending=missing != pending.tenant_ids)
-        verdict = self._remove(missing_again, server, now)
+            return RemovalDecision(frozenset(), self.pending, newly_pending=missing != pending.tenant_ids)
+        decision = self._remove(missing_again, server, now)
         newly_missing = missing - missing_again
         if not newly_missing:
-            return verdict
+            return decision
         self.pending = PendingRemoval(newly_missing, now, "it is missing for the first time")
-        return RemovalVerdict(missing_again, self.pending, newly_pending=True)
+        return RemovalDecision(missing_again, self.pending, newly_pending=True)
 
     def _is_accepted(self, tenant_ids: frozenset[str]) -> bool:
         accepted = self.rules.accepted_digest
         return bool(accepted) and accepted == _digest(tenant_ids)
 
-    def _excess_reason(self, count: int, known_count: int, now: float) -> str:
+    def _allowance_violation(self, count: int, known_count: int, now: float) -> str:
         """Return why so many removals are too many within the window, or an empty text."""
         while self._recent and self._recent[0].at_ms <= now - WINDOW_MS:
             self._recent.popleft()
@@ -169,11 +169,11 @@
             return ""
         return f"{removed_count} of {tenant_count} tenants, at most {allowance} may go at once"
 
-    def _remove(self, tenant_ids: frozenset[str], server: str, now: float) -> RemovalVerdict:
+    def _remove(self, tenant_ids: frozenset[str], server: str, now: float) -> RemovalDecision:
         self.source_server = server
         self.pending = None
         self._recent.append(_AppliedRemoval(now, len(tenant_ids)))
-        return RemovalVerdict(tenant_ids, None)
+        return RemovalDecision(tenant_ids, None)
 
 
 def _digest(tenant_ids: frozenset[str]) -> str:
--- a/snowthread/tenants/replication_mode.py
+++ b/snowthread/tenants/replication_mode.py
@@ -13,7 +13,7 @@
 
 from enum import IntEnum
 
-MIN_PAGE_ENTRIES = 10
+MIN_PAGE_SIZE = 10
 
 
 class ReplicationMode(IntEnum):
@@ -27,14 +27,14 @@
 class ServerModes:
     """The mode of each server, and the entries to request a page."""
 
-    def __init__(self, first_mode: ReplicationMode, page_entries: int) -> None:
-        self.page_entries = page_entries
-        self._first_mode = first_mode
+    def __init__(self, initial_mode: ReplicationMode, page_size: int) -> None:
+        self.page_size = page_size
+        self._initial_mode = initial_mode
         self._fallbacks: dict[str, ReplicationMode] = {}  # of servers that lack a better one
 
-    def mode_at(self, server: str) -> ReplicationMode:
+    def mode_of(self, server: str) -> ReplicationMode:
         """Return the mode in which this server is followed."""
-        return self._fallbacks.get(server, self._first_mode)
+        return self._fallbacks.get(server, self._initial_mode)
 
     def fall_back(self, server: str, mode: ReplicationMode) -> None:
         """Follow this server in the mode after ``mode`` from now on."""
@@ -43,5 +43,5 @@
     def reduce_page_size(self, server: str, mode: ReplicationMode) -> None:
         """Use pages at this server from now on, and smaller ones if ``mode`` is PAGED already."""
         if mode is ReplicationMode.PAGED:
-            self.page_entries = max(MIN_PAGE_ENTRIES, self.page_entries // 2)
+            self.page_size = max(MIN_PAGE_SIZE, self.page_size // 2)
         self._fallbacks[server] = ReplicationMode.PAGED
--- a/snowthread/tenants/settings.py
+++ b/snowthread/tenants/settings.py
@@ -10,7 +10,7 @@
 from snowthread.config import Config
 from snowthread.hcl import Block
 from snowthread.ldap import dn, filters, url
-from snowthread.ldap.ber import Bounds
+from snowthread.ldap.ber import MessageLimits
 from snowthread.ldap.client import ConnectionSettings
 from snowthread.ldap.messages import Scope
 from snowthread.ldap.retry_budget import RetryPolicy
@@ -72,9 +72,9 @@
         names = _read_attribute_names(block.block_or_empty("attributes"))
         limits = block.block_or_empty("limits")
         query = _read_query(block, limits, base, filter_text, names)
-        bounds = _read_bounds(limits)
+        message_limits = _read_message_limits(limits)
         limits.reject_unknown_keys()
-        connection = read_connection_settings(block, servers, bounds)
+        connection = read_connection_settings(block, servers, message_limits)
         rules = _read_rules(block)
         over_quota_weight = block.number("over_share_worth", 0.1, 0.0, 1.0)
         snapshot = _read_snapshot(block)
@@ -126,16 +126,18 @@
         filter=block.parsed("filter", filters.parse, filter_text),
         attribute_names=names,
         scope=_SCOPES[block.choice("scope", _SCOPES, "sub")],
-        first_mode=_MODES[block.choice("mode", _MODES, "persist")],
+        initial_mode=_MODES[block.choice("mode", _MODES, "persist")],
         page_size=block.integer("page_size", 500, 10, 10_000),
         max_tenants=limits.integer("tenants", 100_000, 1),
         max_networks=limits.integer("networks", 1_000_000, 1),
     )
 
 
-def _read_bounds(limits: Block) -> Bounds:
-    frame_bytes = limits.integer("message_bytes", DEFAULT_MESSAGE_BYTES, MIN_MESSAGE_BYTES, MAX_MESSAGE_BYTES)
-    return Bounds(frame_bytes=frame_bytes)
+def _read_message_limits(limits: Block) -> MessageLimits:
+    max_frame_bytes = limits.integer(
+        "message_bytes", DEFAULT_MESSAGE_BYTES, MIN_MESSAGE_BYTES, MAX_MESSAGE_BYTES
+    )
+    return MessageLimits(max_frame_bytes=max_frame_bytes)
 
 
 def _read_attribute_names(block: Block) -> AttributeNames:
--- a/snowthread/tenants/snapshot.py
+++ b/snowthread/tenants/snapshot.py
@@ -25,7 +25,7 @@
 VERSION = 1
 DIGEST_BYTES = 16
 MAX_FILE_BYTES = 512 * 1024 * 1024
-HEADER_WORDS = 4  # magic, version, length of the body in bytes, digest
+HEADER_FIELD_COUNT = 4  # magic, version, length of the body in bytes, digest
 FILE_MODE = 0o600
 
 
@@ -68,7 +68,7 @@
     words = header.split(b" ")
     if not newline or words[0] != MAGIC:
         raise SnapshotError("not a snapshot of tenants")
-    if len(words) != HEADER_WORDS or words[1] != str(VERSION).encode():
+    if len(words) != HEADER_FIELD_COUNT or words[1] != str(VERSION).encode():
         raise SnapshotError(f"a format other than version {VERSION}")
     if words[2] != str(len(body) - 1).encode() or not body.endswith(b"\n"):
         raise SnapshotError("cut short, or longer than it says")
@@ -145,7 +145,7 @@
     """
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
-        with _opened(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC) as fd:
+        with _open_descriptor(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC) as fd:
             view = memoryview(data)
             while view:
                 view = view[os.write(fd, view) :]
@@ -154,12 +154,12 @@
     except OSError:
         temporary.unlink(missing_ok=True)
         raise
-    with _opened(path.parent, os.O_RDONLY | os.O_DIRECTORY) as folder:
+    with _open_descriptor(path.parent, os.O_RDONLY | os.O_DIRECTORY) as folder:
         os.fsync(folder)
 
 
 @contextmanager
-def _opened(path: Path, flags: int) -> Generator[int, None, None]:
+def _open_descriptor(path: Path, flags: int) -> Generator[int, None, None]:
     """Open a descriptor for the length of a block."""
     fd = os.open(path, flags, FILE_MODE)
     try:
--- a/snowthread/tenants/snapshot_schedule.py
+++ b/snowthread/tenants/snapshot_schedule.py
@@ -36,8 +36,8 @@
         self._publish = publish
         self._sync: DirectorySync | None = None
         self._writer: SnapshotWriter | None = None
-        self._last_started_ms = clock.now()
-        self._last_version = 0  # of the table
+        self._last_write_started_ms = clock.now()
+        self._last_written_version = 0  # of the table
 
     def start(self, sync: DirectorySync) -> None:
         """Restore the snapshot, and the cookie from which ``sync`` continues; write snapshots from now on."""
@@ -63,7 +63,7 @@
             logger.bind(event="tenants.snapshot_failed").warning(
                 "tenants: snapshot not written: {}; retried later", result.error
             )
-            self._last_version = UNKNOWN_VERSION
+            self._last_written_version = UNKNOWN_VERSION
         if not self._writer.busy and self._is_due(now):
             self._start_write(self._writer, self._sync, now)
 
@@ -95,16 +95,16 @@
         version = self._tenants.table.version
         if not version:
             return False
-        elapsed_ms = now - self._last_started_ms
-        changed = version != self._last_version
+        elapsed_ms = now - self._last_write_started_ms
+        changed = version != self._last_written_version
         due_after_ms = self._settings.snapshot_interval_ms
         return elapsed_ms >= due_after_ms or (changed and elapsed_ms >= MIN_SNAPSHOT_INTERVAL_MS)
 
     def _start_write(self, writer: SnapshotWriter, sync: DirectorySync, now: float) -> None:
         table = self._tenants.table
         guard = self._tenants.guard
-        self._last_started_ms = now
-        self._last_version = table.version
+        self._last_write_started_ms = now
+        self._last_written_version = table.version
         # A pending removal is not in the file: a refresh from the cookie on would never report it again.
         may_resume = guard.pending is None and sync.cookie.server == guard.source_server
         writer.start(
--- a/snowthread/tenants/state.py
+++ b/snowthread/tenants/state.py
@@ -19,12 +19,12 @@
     Tenant,
     TenantStatus,
 )
-from snowthread.tenants.removal_guard import NOTHING_REMOVED, RemovalGuard, RemovalVerdict
+from snowthread.tenants.removal_guard import NOTHING_REMOVED, RemovalDecision, RemovalGuard
 from snowthread.tenants.rules import TenantRules
 from snowthread.tenants.staleness import StalenessStage, StalenessTracker
 from snowthread.tenants.sync_events import EntriesChanged, RefreshCompleted
 from snowthread.tenants.table import TableChanges, TenantTable
-from snowthread.tenants.table_rebuild import fits_one_slice, rebuild_in_slices
+from snowthread.tenants.table_rebuild import fits_in_one_slice, rebuild_in_slices
 from snowthread.tenants.unknown_clients import UnknownClients
 
 
@@ -77,14 +77,14 @@
         """
         changes = TenantChanges()
         self.counters.refreshes += 1
-        verdict = self._judge_removals(refresh, server, now)
+        decision = self._evaluate_removals(refresh, server, now)
         self._report_bad_entries(refresh.bad_entries, changes)
         known = self.table.tenants
-        upserts = [t for t in self._without_outdated(refresh.upserts.values()) if known.get(t.id) != t]
-        if fits_one_slice(upserts, verdict.removed_ids):
-            self._apply(upserts, verdict, changes)
+        upserts = [t for t in self._drop_outdated(refresh.upserts.values()) if known.get(t.id) != t]
+        if fits_in_one_slice(upserts, decision.removed_ids):
+            self._apply(upserts, decision, changes)
         else:
-            yield from self._rebuild_table(upserts, verdict, changes)
+            yield from self._rebuild_table(upserts, decision, changes)
         self.staleness.confirm(now)
         return changes
 
@@ -93,12 +93,12 @@
         changes = TenantChanges()
         self.counters.changes += 1
         self.guard.mark_present(change.upserts.keys())
-        verdict = NOTHING_REMOVED
+        decision = NOTHING_REMOVED
         deleted = change.removed_ids & self.table.tenants.keys()
         if deleted:
-            verdict = self.guard.judge_deletions(deleted, len(self.table), server, now)
+            decision = self.guard.evaluate_deletions(deleted, len(self.table), server, now)
         self._report_bad_entries(change.bad_entries, changes)
-        self._apply(change.upserts.values(), verdict, changes)
+        self._apply(change.upserts.values(), decision, changes)
         self.staleness.confirm(now)
         return changes
 
@@ -133,14 +133,14 @@
         """Apply the operator's other rules, and a pending removal if they accept it."""
         changes = TenantChanges()
         if rules.trusted_networks != self.rules.trusted_networks:
-            self.table.trust_networks(rules.trusted_networks)
+            self.table.set_trusted_networks(rules.trusted_networks)
         self.rules = rules
         self.guard.rules = rules.removal
         self.staleness.rules = rules.staleness
         self.unknown_clients.rules = rules.unknown_clients
         accepted = self.guard.take_accepted(self.table.tenants)
         if accepted:
-            self._apply((), RemovalVerdict(accepted, None), changes)
+            self._apply((), RemovalDecision(accepted, None), changes)
         changes.quotas.append(self.default_quota())
         return changes
 
@@ -149,18 +149,18 @@
         changes = TenantChanges()
         stage = self.staleness.take_stage_change(now)
         if stage is not None:
-            changes.add_stage(stage, self.staleness.age_ms(now))
+            changes.add_staleness_stage(stage, self.staleness.age_ms(now))
         return changes
 
-    def _judge_removals(self, refresh: RefreshCompleted, server: str, now: float) -> RemovalVerdict:
+    def _evaluate_removals(self, refresh: RefreshCompleted, server: str, now: float) -> RemovalDecision:
         known_ids = self.table.tenants.keys()
         seen_ids = refresh.present_ids | refresh.upserts.keys()
         if refresh.is_full:
-            return self.guard.judge_full_refresh(known_ids - seen_ids, len(self.table), server, now)
+            return self.guard.evaluate_full_refresh(known_ids - seen_ids, len(self.table), server, now)
         self.guard.mark_present(seen_ids)
-        return self.guard.judge_deletions(refresh.removed_ids & known_ids, len(self.table), server, now)
+        return self.guard.evaluate_deletions(refresh.removed_ids & known_ids, len(self.table), server, now)
 
-    def _without_outdated(self, upserts: Iterable[Tenant]) -> list[Tenant]:
+    def _drop_outdated(self, upserts: Iterable[Tenant]) -> list[Tenant]:
         """Return the tenants that are not older than what is known of them."""
         return [tenant for tenant in upserts if not self._is_outdated(tenant)]
 
@@ -173,26 +173,26 @@
         self.counters.outdated_entries += 1
         return True
 
-    def _apply(self, upserts: Iterable[Tenant], verdict: RemovalVerdict, changes: TenantChanges) -> None:
-        current = self._without_outdated(upserts)
+    def _apply(self, upserts: Iterable[Tenant], decision: RemovalDecision, changes: TenantChanges) -> None:
+        current = self._drop_outdated(upserts)
         before = {tenant.id: self.table.tenants.get(tenant.id) for tenant in current}
-        table_changes = self.table.apply(current, verdict.removed_ids)
+        table_changes = self.table.apply(current, decision.removed_ids)
         self._report_table_changes(table_changes, before, changes)
-        self._report_pending_removal(verdict, changes)
+        self._report_pending_removal(decision, changes)
         if table_changes:
             self.unknown_clients.clear_negative_cache()
 
     def _rebuild_table(
-        self, upserts: list[Tenant], verdict: RemovalVerdict, changes: TenantChanges
+        self, upserts: list[Tenant], decision: RemovalDecision, changes: TenantChanges
     ) -> Generator[None, None, None]:
         """Build a new table in slices and use it when it is complete."""
         before = self.table.tenants
         rebuilt = yield from rebuild_in_slices(
-            self.table, upserts, verdict.removed_ids, self.rules.trusted_networks
+            self.table, upserts, decision.removed_ids, self.rules.trusted_networks
         )
         self.table = rebuilt.table
         self._report_table_changes(rebuilt.changes, before, changes)
-        self._report_pending_removal(verdict, changes)
+        self._report_pending_removal(decision, changes)
         self.unknown_clients.clear_negative_cache()
 
     def _report_table_changes(
@@ -209,11 +209,11 @@
             self.counters.conflicts += 1
             changes.add_conflict(conflict)
 
-    def _report_pending_removal(self, verdict: RemovalVerdict, changes: TenantChanges) -> None:
-        if verdict.pending is None or not verdict.newly_pending:
+    def _report_pending_removal(self, decision: RemovalDecision, changes: TenantChanges) -> None:
+        if decision.pending is None or not decision.newly_pending:
             return
         self.counters.removals_held += 1
-        changes.add_pending_removal(verdict.pending)
+        changes.add_pending_removal(decision.pending)
 
     def _report_bad_entries(self, bad_entries: Iterable[BadEntry], changes: TenantChanges) -> None:
         for entry in bad_entries:
--- a/snowthread/tenants/sync.py
+++ b/snowthread/tenants/sync.py
@@ -19,7 +19,7 @@
 from enum import Enum
 
 from snowthread.ldap import controls, dn
-from snowthread.ldap.ber import MalformedError
+from snowthread.ldap.ber import MalformedMessageError
 from snowthread.ldap.health import Reaction, reaction_to
 from snowthread.ldap.messages import (
     IntermediateResponse,
@@ -68,18 +68,18 @@
     def __init__(self, query: DirectoryQuery) -> None:
         self.query = query
         self.state = ReplicationState.IDLE
-        self.mode = query.first_mode
+        self.mode = query.initial_mode
         self.cookie = NO_COOKIE
         self.references_ignored = 0
         self.base = dn.parse(query.base)
         self._server = ""
-        self._modes = ServerModes(query.first_mode, query.page_size)
+        self._modes = ServerModes(query.initial_mode, query.page_size)
         self._refresh = RefreshCollector()
 
     def start_refresh(self, server: str, full: bool = False) -> SearchRequest:
         """Return the search that starts a refresh at this server; a ``full`` one ignores the cookie."""
         self._server = server
-        self.mode = self._modes.mode_at(server)
+        self.mode = self._modes.mode_of(server)
         self.state = ReplicationState.REFRESHING
         if self.mode is ReplicationMode.PAGED:
             self._refresh = RefreshCollector()
@@ -101,9 +101,9 @@
         """Use another query from now on; the cookie of a different one is of no use."""
         if replace(query, page_size=0) != replace(self.query, page_size=0):
             self.forget_cookie()
-            self._modes = ServerModes(query.first_mode, query.page_size)
+            self._modes = ServerModes(query.initial_mode, query.page_size)
         else:
-            self._modes.page_entries = query.page_size
+            self._modes.page_size = query.page_size
         self.query = query
         self.base = dn.parse(query.base)
         self.reset()
@@ -114,7 +114,7 @@
             return []
         try:
             return self._receive(response)
-        except MalformedError as error:
+        except MalformedMessageError as error:
             return [self._end_search(f"protocol error: {error}", Reaction.FAIL_OVER)]
 
     def _receive(self, response: Response) -> list[SyncEvent]:
@@ -178,7 +178,7 @@
             self.cookie = ServerCookie(self._server, cookie)
 
     def _check_limits(self) -> list[SyncEvent]:
-        reason = self._refresh.excess_reason(self.query)
+        reason = self._refresh.limit_violation(self.query)
         return [self._end_search(reason, Reaction.NEEDS_OPERATOR)] if reason else []
 
     # Sync info messages (RFC 4533, section 2.5).
@@ -251,4 +251,4 @@
         return SearchEnded(reason, reaction)
 
     def _page_search(self, cookie: bytes) -> SearchRequest:
-        return self.query.search(controls.paged_results_control(self._modes.page_entries, cookie))
+        return self.query.search(controls.paged_results_control(self._modes.page_size, cookie))
--- a/snowthread/tenants/table.py
+++ b/snowthread/tenants/table.py
@@ -50,9 +50,9 @@
         self._ranges = BalancerRanges()
         self._cache: OrderedDict[tuple[str, int], Identity] = OrderedDict()
         self._conflicts = ConflictRegister()
-        self.trust_networks(trusted_networks)
+        self.set_trusted_networks(trusted_networks)
 
-    def trust_networks(self, networks: Iterable[Network]) -> None:
+    def set_trusted_networks(self, networks: Iterable[Network]) -> None:
         """Let balancers' numbers count in requests from these networks, and from no others."""
         self._trusted = _new_tries()
         for network in networks:
@@ -65,7 +65,7 @@
     @property
     def conflicts(self) -> list[Conflict]:
         """The present conflicts, as far as they are recorded."""
-        return self._conflicts.present()
+        return self._conflicts.current()
 
     def identify(self, address: str, number: int | None = None) -> Identity:
         """Return the tenant of a client.
@@ -87,9 +87,9 @@
             return UNKNOWN_IDENTITY
         text = str(ip)
         if number is not None and text in self._trusted[ip.version]:
-            owners = self._ranges.owners(number)
-            if owners:
-                return Identity(owners[0], IdentifiedBy.BALANCER)
+            claimants = self._ranges.claimants(number)
+            if claimants:
+                return Identity(claimants[0], IdentifiedBy.BALANCER)
         trie = self._owners[ip.version]
         network = trie.get_key(text)
         if network is None:
@@ -141,7 +141,7 @@
             self.network_count += 1
             self._owners[network.version][key] = claimants[0]
             if len(claimants) > 1:
-                changes.conflicts += self._conflicts.review(f"network {key}", claimants)
+                changes.conflicts += self._conflicts.record_claimants(f"network {key}", claimants)
 
     def _release_networks(self, tenant: Tenant, networks: Iterable[Network], changes: TableChanges) -> None:
         for network in networks:
@@ -151,24 +151,26 @@
             self.network_count -= 1
             if claimants:
                 self._owners[network.version][key] = claimants[0]
-                changes.conflicts += self._conflicts.review(f"network {key}", claimants)
+                changes.conflicts += self._conflicts.record_claimants(f"network {key}", claimants)
             else:
                 del self._claims[key]
                 self._owners[network.version].delete(key)
 
     def _add_ranges(self, tenant: Tenant, changes: TableChanges) -> None:
         self._ranges.add(tenant)
-        self._review_range_ends(tenant, changes)
+        self._record_range_conflicts(tenant, changes)
 
     def _remove_ranges(self, tenant: Tenant, changes: TableChanges) -> None:
         if tenant.balancers:
             self._ranges.remove(tenant.id)
-            self._review_range_ends(tenant, changes)
+            self._record_range_conflicts(tenant, changes)
 
-    def _review_range_ends(self, tenant: Tenant, changes: TableChanges) -> None:
+    def _record_range_conflicts(self, tenant: Tenant, changes: TableChanges) -> None:
         """Review the conflicts of overlapping ranges at the ends of the ranges that changed."""
         for number in {end for ends in tenant.balancers for end in ends}:
-            changes.conflicts += self._conflicts.review(f"balancer {number}", self._ranges.owners(number))
+            changes.conflicts += self._conflicts.record_claimants(
+                f"balancer {number}", self._ranges.claimants(number)
+            )
 
 
 def _new_tries() -> dict[int, PyTricia]:
--- a/snowthread/tenants/table_rebuild.py
+++ b/snowthread/tenants/table_rebuild.py
@@ -22,7 +22,7 @@
     changes: TableChanges
 
 
-def fits_one_slice(upserts: Collection[Tenant], removed_ids: Collection[str]) -> bool:
+def fits_in_one_slice(upserts: Collection[Tenant], removed_ids: Collection[str]) -> bool:
     """Return whether the present table can take these changes without a pause."""
     return sum(map(_item_count, upserts)) + len(removed_ids) <= MAX_ITEMS_PER_SLICE
 
--- a/tests/ldap/test_ldap_codec.py
+++ b/tests/ldap/test_ldap_codec.py
@@ -9,7 +9,7 @@
 from emulators.directory import Entry, ber, matches, protocol
 from emulators.directory.protocol import Operation
 from snowthread.ldap import controls, filters
-from snowthread.ldap.ber import Bounds, MalformedError, check, frame_length
+from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check, frame_length
 from snowthread.ldap.message_codec import encode
 from snowthread.ldap.messages import (
     START_TLS_OID,
@@ -30,7 +30,7 @@
 from snowthread.ldap.search_filter import Present
 from snowthread.ldap.session import Session, SessionEnded, SessionState, SessionStateError
 
-BOUNDS = Bounds()
+LIMITS = MessageLimits()
 WORDS = st.text(max_size=12)
 PRESENT = Present(b"a")
 UUID = bytes(range(16))
@@ -129,14 +129,14 @@
     deep = b""
     for _ in range(60):
         deep = b"\x30" + (bytes([len(deep)]) if len(deep) < 128 else b"\x81" + bytes([len(deep)])) + deep
-    with pytest.raises(MalformedError, match="deeper"):
-        check(deep, BOUNDS)
+    with pytest.raises(MalformedMessageError, match="deeper"):
+        check(deep, LIMITS)
     many = b"\x30\x82\x9c\x42" + b"\x05\x00" * 20_001
-    with pytest.raises(MalformedError, match="elements"):
-        check(many, BOUNDS)
-    with pytest.raises(MalformedError, match="reaches out"):
-        check(b"\x30\x04\x30\x04\x05\x00", BOUNDS)
-    check(b"\x30\x04\x30\x02\x05\x00", BOUNDS)
+    with pytest.raises(MalformedMessageError, match="elements"):
+        check(many, LIMITS)
+    with pytest.raises(MalformedMessageError, match="reaches out"):
+        check(b"\x30\x04\x30\x04\x05\x00", LIMITS)
+    check(b"\x30\x04\x30\x02\x05\x00", LIMITS)
 
 
 def test_the_emulator_reads_a_search_as_it_was_meant() -> None:
@@ -304,14 +304,14 @@
     ids=["empty", "no choice", "short UUID", "long cookie"],
 )
 def test_a_bad_intermediate_message_is_an_error(value: bytes) -> None:
-    with pytest.raises(MalformedError):
+    with pytest.raises(MalformedMessageError):
         controls.read_sync_info(value)
 
 
 def test_the_length_of_a_frame_is_known_from_its_head() -> None:
     for size in (0, 5, 127, 128, 300, 70_000):
         frame = ber.encode(ber.sequence(ber.octets(b"x" * size)))
-        assert frame_length(frame[:6], BOUNDS) == len(frame)
+        assert frame_length(frame[:6], LIMITS) == len(frame)
 
 
 def test_a_secret_is_sent_but_never_shown() -> None:
--- a/tests/ldap/test_ldap_texts.py
+++ b/tests/ldap/test_ldap_texts.py
@@ -98,7 +98,7 @@
 
 
 def test_a_name_that_ends_in_the_base_as_usually_written_is_plainly_below_it() -> None:
-    assert dn.is_plainly_below("cn=X,OU=Tenants,dc=example", PLAIN_BASE)
+    assert dn.ends_with_base("cn=X,OU=Tenants,dc=example", PLAIN_BASE)
 
 
 @pytest.mark.parametrize(
@@ -111,7 +111,7 @@
     ],
 )
 def test_any_other_name_has_to_be_parsed(text: str) -> None:
-    assert not dn.is_plainly_below(text, PLAIN_BASE)
+    assert not dn.ends_with_base(text, PLAIN_BASE)
 
 
 @pytest.mark.parametrize("text", ["cn", "=a", "cn=a,,cn=b", "cn=a\\", "cn=a;b", "cn=" + "x" * 5000])
--- a/tests/tenants/test_removal_guard.py
+++ b/tests/tenants/test_removal_guard.py
@@ -15,15 +15,15 @@
 
 def guard_of_server_a() -> RemovalGuard:
     guard = RemovalGuard(RULES)
-    guard.judge_full_refresh((), TENANTS, "a", 0.0)
+    guard.evaluate_full_refresh((), TENANTS, "a", 0.0)
     return guard
 
 
 def test_few_removals_are_applied_and_many_are_pending() -> None:
     guard = guard_of_server_a()
-    assert guard.judge_full_refresh(ids(1, 2), TENANTS, "a", 1.0).removed_ids == ids(1, 2)
-    verdict = guard.judge_full_refresh(ids(*range(10, 30)), 98, "a", 2.0)
-    assert not verdict.removed_ids and verdict.newly_pending and verdict.pending is not None
+    assert guard.evaluate_full_refresh(ids(1, 2), TENANTS, "a", 1.0).removed_ids == ids(1, 2)
+    decision = guard.evaluate_full_refresh(ids(*range(10, 30)), 98, "a", 2.0)
+    assert not decision.removed_ids and decision.newly_pending and decision.pending is not None
     assert guard.confirmation_due_at() == 2.0 + 60_000.0
 
 
@@ -31,44 +31,44 @@
     guard = guard_of_server_a()
     removed = 0
     for number in range(TENANTS):  # one by one, as a script that empties the tree would
-        verdict = guard.judge_deletions(ids(number), TENANTS - removed, "a", number * 1000.0)
-        removed += len(verdict.removed_ids)
+        decision = guard.evaluate_deletions(ids(number), TENANTS - removed, "a", number * 1000.0)
+        removed += len(decision.removed_ids)
     assert removed == 10
 
 
 def test_a_second_refresh_confirms_only_what_it_misses_too_and_only_when_due() -> None:
     guard = guard_of_server_a()
-    guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 0.0)
-    assert not guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 59_000.0).removed_ids
-    verdict = guard.judge_full_refresh(ids(*range(10, 60)), TENANTS, "a", 60_000.0)
-    assert verdict.removed_ids == ids(*range(10, 50))
-    assert verdict.pending is not None
-    assert verdict.pending.tenant_ids == ids(*range(50, 60))  # missing for the first time
+    guard.evaluate_full_refresh(ids(*range(50)), TENANTS, "a", 0.0)
+    assert not guard.evaluate_full_refresh(ids(*range(50)), TENANTS, "a", 59_000.0).removed_ids
+    decision = guard.evaluate_full_refresh(ids(*range(10, 60)), TENANTS, "a", 60_000.0)
+    assert decision.removed_ids == ids(*range(10, 50))
+    assert decision.pending is not None
+    assert decision.pending.tenant_ids == ids(*range(50, 60))  # missing for the first time
 
 
 def test_a_tenant_that_reappears_is_no_longer_pending() -> None:
     guard = guard_of_server_a()
-    guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 0.0)
+    guard.evaluate_full_refresh(ids(*range(50)), TENANTS, "a", 0.0)
     guard.mark_present(ids(*range(49)))
     assert guard.pending is not None and guard.pending.tenant_ids == ids(49)
-    assert not guard.judge_full_refresh((), TENANTS, "a", 1.0).pending
+    assert not guard.evaluate_full_refresh((), TENANTS, "a", 1.0).pending
 
 
 def test_another_servers_report_alone_removes_nothing() -> None:
     guard = guard_of_server_a()
-    verdict = guard.judge_full_refresh(ids(1), TENANTS, "b", 1.0)
-    assert not verdict.removed_ids and verdict.pending is not None
-    assert "another server" in verdict.pending.reason
-    assert guard.judge_full_refresh(ids(1), TENANTS, "b", 61_000.0).removed_ids == ids(1)
+    decision = guard.evaluate_full_refresh(ids(1), TENANTS, "b", 1.0)
+    assert not decision.removed_ids and decision.pending is not None
+    assert "another server" in decision.pending.reason
+    assert guard.evaluate_full_refresh(ids(1), TENANTS, "b", 61_000.0).removed_ids == ids(1)
     assert guard.source_server == "b"
 
 
 def test_only_the_operator_confirms_by_digest_if_so_configured() -> None:
     guard = RemovalGuard(OPERATOR_ONLY)
     guard.source_server = "a"
-    removal = guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 0.0).pending
+    removal = guard.evaluate_full_refresh(ids(*range(50)), TENANTS, "a", 0.0).pending
     assert removal is not None and guard.confirmation_due_at() is None
-    assert not guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 1e9).removed_ids
+    assert not guard.evaluate_full_refresh(ids(*range(50)), TENANTS, "a", 1e9).removed_ids
     known = ids(*range(TENANTS))
     guard.rules = RemovalRules(confirm_by_refresh=False, accepted_digest="000000000000")
     assert not guard.take_accepted(known)
@@ -78,7 +78,7 @@
 
 def test_a_refresh_that_misses_what_the_operator_accepted_removes_it() -> None:
     guard = RemovalGuard(OPERATOR_ONLY)
-    removal = guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 0.0).pending
+    removal = guard.evaluate_full_refresh(ids(*range(50)), TENANTS, "a", 0.0).pending
     assert removal is not None
     guard.rules = RemovalRules(confirm_by_refresh=False, accepted_digest=removal.digest)
-    assert guard.judge_full_refresh(ids(*range(50)), TENANTS, "a", 1.0).removed_ids == ids(*range(50))
+    assert guard.evaluate_full_refresh(ids(*range(50)), TENANTS, "a", 1.0).removed_ids == ids(*range(50))
--- a/tests/tenants/test_tenant_table.py
+++ b/tests/tenants/test_tenant_table.py
@@ -71,7 +71,7 @@
     assert table.identify("10.7.0.1", 6).tenant_id == "a" and table.identify("10.7.0.1", 100).tenant_id == "b"
     assert table.identify("10.8.0.1", 4).tenant_id == "a"  # anybody could write a 4
     assert table.identify("12.0.0.1", 4).tenant_id == "default"
-    table.trust_networks([])
+    table.set_trusted_networks([])
     assert table.identify("10.7.0.1", 4).tenant_id == "a"
 
 
