--- a/snowthread/tenants/__init__.py
+++ b/snowthread/tenants/__init__.py
@@ -1,34 +1,33 @@
-"""Tenants from a directory: identify the tenant of each request, also while the directory is slow or down.
+"""Identify the tenant of each request from an LDAP directory, including while the directory is slow or down.
 
-What a node knows:
+Tenant data held by a node:
 
-- ``model``: what a tenant is; ``entry``: how a directory entry describes one.
-- ``table``: which tenant owns a ``client_address`` or a balancer's number, with ``balancer_ranges`` and
+- ``model``: the tenant data model; ``entry``: parsing of a directory entry into a tenant.
+- ``table``: maps a client address or a balancer number to its tenant, using ``balancer_ranges`` and
   ``conflicts``.
-- ``table_rebuild``: a new table, built in slices.
-- ``removal_guard``: which reported removals are applied at once, and which wait for a confirmation.
-- ``staleness``: how old the knowledge is and what that allows.
+- ``table_rebuild``: builds a new table in slices.
+- ``removal_guard``: decides which reported removals apply at once and which need confirmation.
+- ``staleness``: the age of the tenant data and what is still allowed at that age.
 - ``unknown_clients``: lookups of addresses that no tenant owns.
-- ``state``: all of these as one pure state, with the operator's ``rules``; ``changes``: what its steps
-  changed; ``counters``: what it counts.
+- ``state``: all of the above as one state without I/O, configured by the operator's ``rules``; ``changes``:
+  what each step changed; ``counters``: event counts.
 
-How it follows the directory:
+Replication from the directory:
 
-- ``directory_query``: what is asked of the directory; ``replication_mode``: how each server is followed.
-- ``sync``: the protocol state, from LDAP messages to ``sync_events``; ``refresh_collector``: what a refresh
-  has brought until its end.
-- ``replication``: the coroutine that keeps up with the directory; ``directory_session``: the work of one
-  connection, with ``server_probe``, ``lookups`` and ``refresh_application``; ``replication_context``: what
-  these share.
+- ``directory_query``: the search sent to the directory; ``replication_mode``: the mode used for each server.
+- ``sync``: the synchronisation protocol, which turns LDAP messages into ``sync_events``;
+  ``refresh_collector``: the entries of a refresh until it completes.
+- ``replication``: the coroutine that replicates the directory; ``directory_session``: one connection, using
+  ``server_probe``, ``lookups`` and ``refresh_application``; ``replication_context``: what they share.
 
-At a node:
+Integration into a node:
 
-- ``identification``: wires all of this between a node's frontends and its reducer.
+- ``identification``: connects all of the above to a node's frontends and its reducer.
 - ``snapshot``: the file that survives a restart; ``snapshot_writer``: the child process that writes it;
-  ``snapshot_schedule``: when.
-- ``settings`` and ``connection_settings``: the operator's block.
+  ``snapshot_schedule``: when it is restored and written.
+- ``settings`` and ``connection_settings``: the ``tenants`` block of the operator's file.
 - ``inspection`` and ``cli``: the command line.
 
-Only ``replication`` and ``directory_session`` (through LDAP), ``snapshot`` and ``snapshot_writer`` touch
+Only ``replication`` and ``directory_session`` (through LDAP), ``snapshot`` and ``snapshot_writer`` access
 sockets or files.
 """
--- a/snowthread/tenants/balancer_ranges.py
+++ b/snowthread/tenants/balancer_ranges.py
@@ -1,4 +1,4 @@
-"""Which tenants claim a balancer's number."""
+"""An index of the balancer number ranges that tenants claim."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class _ClaimedRange(NamedTuple):
-    """A range of balancers' numbers and the tenant that claims it; ordered by its first number."""
+    """A range of balancer numbers and the tenant that claims it; sorts by the first number."""
 
     first: int
     last: int
@@ -18,25 +18,25 @@
 
 
 class BalancerRanges:
-    """The ranges of balancers' numbers of all tenants."""
+    """The balancer number ranges of all tenants."""
 
     def __init__(self) -> None:
-        self._ranges: list[_ClaimedRange] = []  # sorted
-        self._max_span = 0  # last number minus first
+        self._ranges: list[_ClaimedRange] = []  # sorted by first number
+        self._max_span = 0  # the largest difference between the last and first number of a range
 
     def add(self, tenant: Tenant) -> None:
-        """Add the ranges of a tenant that has none here."""
+        """Add the ranges of a tenant that is not yet in the index."""
         for first, last in tenant.balancers:
             insort(self._ranges, _ClaimedRange(first, last, tenant.id))
             self._max_span = max(self._max_span, last - first)
 
     def remove(self, tenant_id: str) -> None:
-        """Remove the ranges of a tenant."""
-        self._ranges = [owned for owned in self._ranges if owned.tenant_id != tenant_id]
-        self._max_span = max((owned.last - owned.first for owned in self._ranges), default=0)
+        """Remove all ranges of a tenant."""
+        self._ranges = [claim for claim in self._ranges if claim.tenant_id != tenant_id]
+        self._max_span = max((claim.last - claim.first for claim in self._ranges), default=0)
 
     def claimants(self, number: int) -> list[str]:
-        """Return the tenants whose ranges contain the number, the least id first."""
+        """Return the ids of the tenants whose ranges contain the number, in ascending order."""
         end = bisect_right(self._ranges, (number, math.inf, ""))
         start = bisect_right(self._ranges, (number - self._max_span, -1, ""))
-        return sorted({owned.tenant_id for owned in self._ranges[start:end] if number <= owned.last})
+        return sorted({claim.tenant_id for claim in self._ranges[start:end] if number <= claim.last})
--- a/snowthread/tenants/cli.py
+++ b/snowthread/tenants/cli.py
@@ -1,6 +1,6 @@
-"""``snowthread tenants``: look at the directory of tenants, or at its snapshot on disk.
+"""The command ``snowthread tenants``: inspect the tenant directory or a snapshot file.
 
-The modules that read them are imported by the commands, so that ``snowthread --help`` stays fast.
+Each command imports the modules that it needs when it runs, so that ``snowthread --help`` stays fast.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     metavar="FILE",
     type=click.Path(path_type=Path),
     default=None,
-    help="Read this snapshot instead of asking the directory.",
+    help="Read this snapshot file instead of querying the directory.",
 )
 OPERATOR_FILE_OPTION = click.option(
     "--with",
@@ -31,17 +31,17 @@
     metavar="FILE",
     required=True,
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="The operator's file with the block 'tenants'.",
+    help="The operator's file that contains the block 'tenants'.",
 )
 
 
 def _fetch(operator_file: Path, snapshot: Path | None) -> InspectionResult:
-    """Read the tenants by the settings of an operator's file.
+    """Read the tenants from the snapshot, or from the directory that the operator's file configures.
 
-    Without NODE_CONFIG the configuration of the example is used: reading tenants needs no node.
+    The example node configuration is used if NODE_CONFIG is not set, since reading tenants needs no node.
 
     Raises:
-        ConfigError: The file has no block of tenants.
+        ConfigError: The operator's file has no block ``tenants``.
     """
     from snowthread import config
     from snowthread.operator.features import Features
@@ -52,20 +52,20 @@
         environment["NODE_CONFIG"] = str(EXAMPLE_NODE_CONFIG)
     settings = Features.load(operator_file, config.load(environment)).tenants
     if settings is None:
-        raise config.ConfigError(f"{operator_file}: it has no block 'tenants'")
+        raise config.ConfigError(f"{operator_file}: the block 'tenants' is missing")
     return fetch(settings, snapshot)
 
 
 @click.group()
 def tenants() -> None:
-    """Look at the directory of tenants, or at its snapshot on disk."""
+    """Inspect the tenant directory or a snapshot file."""
 
 
 @tenants.command("show")
 @OPERATOR_FILE_OPTION
 @SNAPSHOT_OPTION
 def tenants_show(operator_file: Path, snapshot: Path | None) -> None:
-    """List the tenants: status, quota, networks, balancers, classes."""
+    """List all tenants with their status, quota, networks, balancer numbers and classes."""
     from snowthread.tenants.inspection import format_tenants
 
     for line in format_tenants(_fetch(operator_file, snapshot)):
@@ -75,10 +75,15 @@
 @tenants.command("whois")
 @OPERATOR_FILE_OPTION
 @SNAPSHOT_OPTION
-@click.option("--balancer", type=int, default=None, help="The balancer's number, where it is believed.")
+@click.option(
+    "--balancer",
+    type=int,
+    default=None,
+    help="The balancer number in the request, used only if the network of ADDRESS is trusted.",
+)
 @click.argument("address")
 def tenants_whois(operator_file: Path, snapshot: Path | None, balancer: int | None, address: str) -> None:
-    """Say whose requests from ADDRESS are, and by which rule (status 1: nobody's)."""
+    """Show which tenant owns requests from ADDRESS, and by which rule (exit status 1 if none does)."""
     from snowthread.tenants.inspection import describe_owner
 
     owner = describe_owner(_fetch(operator_file, snapshot), address, balancer)
@@ -91,12 +96,12 @@
 @OPERATOR_FILE_OPTION
 @SNAPSHOT_OPTION
 def tenants_check(operator_file: Path, snapshot: Path | None) -> None:
-    """Say what in the directory can't be used or contradicts itself (status 1 where anything does)."""
+    """List invalid and conflicting entries in the directory (exit status 1 if there are any)."""
     from snowthread.tenants.inspection import find_problems
 
     problems = find_problems(_fetch(operator_file, snapshot))
     for line in problems:
         click.echo(line)
-    click.echo(f"{len(problems)} to put right" if problems else "all entries can be used")
+    click.echo(f"{len(problems)} problems found" if problems else "no problems found")
     if problems:
         sys.exit(1)
--- a/tests/tenants/test_tenant_table.py
+++ b/tests/tenants/test_tenant_table.py
@@ -81,7 +81,7 @@
     assert not first.conflicts
     second = table.apply([tenant("a", "10.0.0.0/8")])
     assert [conflict.describe() for conflict in second.conflicts] == [
-        "network 10.0.0.0/8 is claimed by a, who has it, and by b"
+        "network 10.0.0.0/8 is claimed by a, which owns it, and by b"
     ]
     assert table.identify("10.0.0.1").tenant_id == "a" and len(table.conflicts) == 1
     assert not table.apply([tenant("b", "10.0.0.0/8", quota=2.0)]).conflicts  # said once
