--- a/snowthread/tenants/connection_settings.py
+++ b/snowthread/tenants/connection_settings.py
@@ -1,4 +1,4 @@
-"""How the ``tenants`` block says to connect to the directory: deadlines, TLS and credentials."""
+"""The connection settings in the ``tenants`` block: timeouts, TLS and credentials."""
 
 from __future__ import annotations
 
@@ -19,7 +19,11 @@
 def read_connection_settings(
     block: Block, servers: Servers, message_limits: MessageLimits
 ) -> ConnectionSettings:
-    """Read how to connect; certificates and secrets are read too, so that errors in them are found now."""
+    """Return the connection settings of the ``tenants`` block.
+
+    Certificates and passwords are read too, so that errors in them are found when the file is loaded. An
+    invalid value, an unreadable file or a password that would be sent in clear text is a BlockKeyError.
+    """
     start_tls = block.flag("start_tls", False)
     connect_timeout_ms = block.duration_ms("connect", "2s")
     bind_timeout_ms = block.duration_ms("bind_within", "3s")
@@ -32,7 +36,7 @@
     if start_tls or any(server.scheme == "ldaps" for server in servers):
         tls_context = _new_tls_context(tls, ca_file, cert_file, key_file)
     elif ca_file or cert_file or key_file or server_name:
-        raise tls.error("ca_file", "no server is reached over TLS: ldaps URLs or start_tls are wanted")
+        raise tls.error("ca_file", "no server uses TLS; use ldaps URLs or set start_tls")
     tls.reject_unknown_keys()
     return ConnectionSettings(
         bind=_read_bind(block, tls_context is not None, cert_file is not None, servers),
@@ -74,7 +78,7 @@
     method = bind.choice("method", ("simple", "external"), "simple")
     if method == "external":
         if not has_certificate:
-            raise bind.error("method", "external needs tls.cert_file")
+            raise bind.error("method", "method 'external' requires tls.cert_file")
         identity = bind.text("identity", "")
         bind.reject_unknown_keys()
         return ExternalBindRequest(identity)
@@ -87,7 +91,7 @@
         if not uses_tls and not allow_clear_text and not ip_address(server.host).is_loopback:
             raise bind.error(
                 "allow_clear_text",
-                f"the password would go to {server.server} in clear text; use ldaps or start_tls",
+                f"the password would be sent to {server.server} in clear text; use ldaps or start_tls",
             )
     return SimpleBindRequest(name, Secret(password))
 
@@ -96,10 +100,10 @@
     file = bind.optional_text("password_file")
     variable = bind.optional_text("password_env")
     if (file is None) == (variable is None):
-        raise bind.error("password_file", "either this or password_env is wanted")
+        raise bind.error("password_file", "set exactly one of password_file and password_env")
     password = _read_password_file(bind, file) if file is not None else os.environ.get(variable or "", "")
-    if not password:  # a simple bind without one is anonymous and succeeds (RFC 4513, section 5.1.2)
-        raise bind.error("password_file" if file else "password_env", "it holds no password")
+    if not password:  # a simple bind with an empty password is anonymous and succeeds (RFC 4513, 5.1.2)
+        raise bind.error("password_file" if file else "password_env", "no password found")
     return password
 
 
--- a/snowthread/tenants/counters.py
+++ b/snowthread/tenants/counters.py
@@ -1,4 +1,4 @@
-"""What a node counts about tenants."""
+"""The tenant counters of a node."""
 
 from __future__ import annotations
 
@@ -7,15 +7,18 @@
 
 @dataclass(slots=True)
 class TenantCounters:
-    """Counts since the start of the node; the names are those of the log line ``tenants.state``."""
+    """Counts since the node started.
 
-    known_requests: int = 0
-    unknown_requests: int = 0
-    refreshes: int = 0
-    changes: int = 0
-    removals_held: int = 0  # that waited for their confirmation
-    conflicts: int = 0
-    bad_entries: int = 0
-    outdated_entries: int = 0  # of servers with older content
-    lookups_found: int = 0
-    lookups_not_found: int = 0
+    The field names appear as they are in the log event ``tenants.state``.
+    """
+
+    known_requests: int = 0  # from clients that a tenant owns
+    unknown_requests: int = 0  # from clients that no tenant owns
+    refreshes: int = 0  # refreshes that completed
+    changes: int = 0  # changes received between refreshes
+    removals_held: int = 0  # removals that had to wait for confirmation
+    conflicts: int = 0  # new conflicts between claims of tenants
+    bad_entries: int = 0  # entries that could not be parsed into a tenant
+    outdated_entries: int = 0  # entries ignored because a server sent an older version than the known one
+    lookups_found: int = 0  # lookups of unknown clients that found a tenant
+    lookups_not_found: int = 0  # lookups of unknown clients that found none
--- a/snowthread/tenants/directory_session.py
+++ b/snowthread/tenants/directory_session.py
@@ -1,7 +1,7 @@
-"""The work of one connection to the directory: its search, its probes and its lookups.
+"""One connection to the directory: runs the replication search, the probes and the lookups on it.
 
-What a message of the search means is decided by ``sync``, what it changes by ``state``. Every wait has a
-deadline, so a directory that stalls at any byte is given up in time.
+``sync`` interprets the search responses and ``state`` applies them to the tenants. Every wait has a deadline,
+so the connection is abandoned in time if the directory stalls, at whichever byte.
 """
 
 from __future__ import annotations
@@ -29,16 +29,20 @@
     SyncEvent,
 )
 
-MAX_SEARCH_RESTARTS = 4  # on one connection, between two refreshes
+MAX_SEARCH_RESTARTS = 4  # on one connection between two completed refreshes
 RESTART_REACTIONS = frozenset({Reaction.FULL_REFRESH, Reaction.FALL_BACK, Reaction.REDUCE_PAGE_SIZE})
-LOOKUP_POLL_MS = 50.0  # between two checks whether a waiting lookup may be sent
-MIN_POLL_JITTER_RATIO = 0.8  # of the poll interval
+LOOKUP_POLL_MS = 50.0  # interval of the checks whether a waiting lookup may be sent
+# The poll interval is multiplied by a random factor in this range.
+MIN_POLL_JITTER_RATIO = 0.8
 MAX_POLL_JITTER_RATIO = 1.2
-NO_SEARCH = 0  # no message sent has this id
+NO_SEARCH = 0  # message ids of requests start at 1
 
 
 class DirectorySession:
-    """Follows the directory over one open connection, until it fails."""
+    """Replicates the directory over one open connection until the connection fails.
+
+    ``on_refresh`` is called after each completed refresh.
+    """
 
     def __init__(
         self,
@@ -64,7 +68,7 @@
         self._search_restarts = 0
 
     def run(self) -> Generator[Wait, int, ConnectionFailure]:
-        """Follow the directory and return why that ended."""
+        """Replicate the directory and return the failure that ended the connection."""
         clock = self._context.loop.clock
         self._start_refresh(clock.now())
         while True:
@@ -83,7 +87,7 @@
                 if failure is not None:
                     return failure
 
-    # What is due.
+    # Timeouts and requests that are due.
 
     def _detect_stall(self, now: float) -> ConnectionFailure | None:
         settings = self._context.settings
@@ -91,9 +95,9 @@
             is_silent = now - self._last_received_at >= settings.operation_timeout_ms
             is_slow = now - self._search_started_at >= settings.refresh_timeout_ms
             if is_silent or is_slow:
-                return ConnectionFailure(Progress.REPLY_BEGUN, "the refresh stalls")
+                return ConnectionFailure(Progress.REPLY_BEGUN, "refresh timed out")
         elif now >= self._probe.deadline:
-            return ConnectionFailure(Progress.REPLY_BEGUN, "a probe is not answered")
+            return ConnectionFailure(Progress.REPLY_BEGUN, "probe timed out")
         return None
 
     def _send_due_requests(self, now: float) -> None:
@@ -105,7 +109,7 @@
             self._lookups.send_waiting(now)
 
     def _send_due_search(self, now: float) -> None:
-        """Send the next refresh or a probe, if one is due."""
+        """Start the next refresh or send a probe if one is due."""
         since_received_ms = now - self._last_received_at
         if now >= self._poll_at or self._full_refresh_due(now):
             if self._sync.state is ReplicationState.FOLLOWING:
@@ -123,12 +127,12 @@
         self._poll_at = math.inf
 
     def _full_refresh_due(self, now: float) -> bool:
-        """Return whether it is time for the refresh that confirms a pending removal."""
+        """Return whether the full refresh that can confirm a pending removal is due."""
         due_at = self._context.tenants.guard.confirmation_due_at()
         return due_at is not None and now >= due_at
 
     def _next_deadline(self) -> float:
-        """Return when something is due next, whatever is received."""
+        """Return the time of the next timeout or due request if nothing is received until then."""
         settings = self._context.settings
         tenants = self._context.tenants
         deadline = self._lookups.next_deadline()
@@ -150,7 +154,7 @@
             deadline = min(deadline, self._context.loop.clock.now() + LOOKUP_POLL_MS)
         return deadline
 
-    # What is received.
+    # Received messages.
 
     def _receive(self, message: Message, now: float) -> Generator[Wait, int, ConnectionFailure | None]:
         if message.message_id in self._lookups:
@@ -171,7 +175,7 @@
         code = response.result.result_code
         reaction = reaction_to(code)
         if reaction is not Reaction.DONE:
-            return ConnectionFailure(Progress.REPLY_BEGUN, f"a probe ends with code {code}", reaction)
+            return ConnectionFailure(Progress.REPLY_BEGUN, f"probe failed with result code {code}", reaction)
         if self._sync.state is ReplicationState.FOLLOWING:
             self._context.tenants.staleness.confirm(now)
         return None
@@ -189,12 +193,16 @@
         return None
 
     def _restart_search(self, ended: SearchEnded, now: float) -> ConnectionFailure | None:
-        """Search again, in another mode or from another cookie, if the end of the search asks for that."""
+        """Restart a search that ended because it needs a full refresh, another mode or smaller pages.
+
+        An end for any other reason, or after ``MAX_SEARCH_RESTARTS`` restarts, is returned as a failure of
+        the connection.
+        """
         self._search_restarts += 1
         if ended.reaction not in RESTART_REACTIONS or self._search_restarts > MAX_SEARCH_RESTARTS:
             return ConnectionFailure(Progress.REPLY_BEGUN, ended.reason, ended.reaction)
         logger.bind(event="tenants.other_way", peer="directory").info(
-            "directory {}: {}; searching again: {}", self.server, ended.reason, ended.reaction.value
+            "directory {}: {}; restarting the search: {}", self.server, ended.reason, ended.reaction.value
         )
         self._search_id = self._connection.send(self._sync.start_refresh(self.server))
         self._search_started_at = now
--- a/snowthread/tenants/entry.py
+++ b/snowthread/tenants/entry.py
@@ -1,7 +1,8 @@
-"""Read a tenant from a directory entry: strict about what decides, lenient about spelling.
+"""Parse a directory entry into a tenant.
 
-A value that can't be read makes its entry bad: a tenant whose quota or networks are half understood would be
-served by guess. A bad entry of a known tenant leaves the tenant as it was.
+Parsing is lenient about spelling (case, spaces, synonyms of a status) and strict about values. One invalid
+value makes the whole entry invalid, because a tenant must not be served with a partly understood quota or set
+of networks. If the entry of a known tenant becomes invalid, the tenant stays as it was.
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
 MAX_BALANCER_RANGES = 1024
 MAX_CLASSES = 256
 MAX_QUOTA_PER_S = 1e9
-MAX_QUOTED_CHARS = 40  # of a value that can't be read, in the reason
-MAX_QUOTED_NETWORK_CHARS = 60
+MAX_QUOTED_CHARS = 40  # of an invalid value that an error message quotes
+MAX_QUOTED_NETWORK_CHARS = 60  # of an invalid network that an error message quotes
 NAME_ATTRIBUTE = "cn"
 _QUOTA_PATTERN = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 _BALANCER_RANGE_PATTERN = re.compile(r"([0-9]{1,18})(?:\s*-\s*([0-9]{1,18}))?")
@@ -33,12 +34,12 @@
     "false": TenantStatus.SUSPENDED,
 }
 
-Attributes = Mapping[str, tuple[bytes, ...]]  # values by lower-cased name
+Attributes = Mapping[str, tuple[bytes, ...]]  # attribute values by lower-cased attribute name
 
 
 @dataclass(frozen=True, slots=True)
 class AttributeNames:
-    """The names of the attributes at this directory, lower-cased."""
+    """The lower-cased names of the attributes that describe a tenant in this directory."""
 
     id: str = "entryuuid"
     name: str = "cn"
@@ -50,13 +51,13 @@
     modified_at: str = "modifytimestamp"
 
     def all(self) -> tuple[str, ...]:
-        """Return all names, for a search to ask for."""
+        """Return all attribute names, as the list of attributes that a search requests."""
         return astuple(self)
 
 
 @dataclass(frozen=True, slots=True)
 class BadEntry:
-    """An entry that describes no tenant; ``tenant_id`` is empty if it could not be read."""
+    """An entry that can't be parsed into a tenant; ``tenant_id`` is empty if the id can't be read either."""
 
     dn: str
     tenant_id: str
@@ -70,9 +71,15 @@
     base: dn.DistinguishedName,
     uuid: str = "",
 ) -> Tenant | BadEntry:
-    """Return the tenant that an entry describes, or why it describes none.
-
-    ``uuid`` (hex) is the synchronisation's, if it gave one; else the id is read from the attributes.
+    """Return the tenant that an entry describes, or a BadEntry with the reason why the entry is invalid.
+
+    Args:
+        entry_dn: The distinguished name of the entry.
+        attributes: The attributes of the entry.
+        names: The names of the attributes to read.
+        base: The search base; an entry outside it is invalid.
+        uuid: The entry's UUID in hex from content synchronisation; if empty, the id is read from the
+            attributes, or else derived from the distinguished name.
     """
     tenant_id = uuid
     try:
@@ -95,7 +102,7 @@
 
 def _check_base(entry_dn: str, base: dn.DistinguishedName) -> None:
     if not dn.ends_with_base(entry_dn, base) and not dn.parse(entry_dn).is_below(base):
-        raise ValueError("it lies outside the base")
+        raise ValueError("the entry is outside the search base")
 
 
 def _values(attributes: Attributes, name: str) -> list[str]:
@@ -105,9 +112,9 @@
 def _single_value(attributes: Attributes, name: str) -> str | None:
     values = _values(attributes, name)
     if len(values) > 1:
-        if name == NAME_ATTRIBUTE:  # a name may have further spellings; the least is the same at every node
+        if name == NAME_ATTRIBUTE:  # it may have several values; every node picks the same one, the least
             return min(values)
-        raise ValueError(f"{name}: {len(values)} values, one is wanted")
+        raise ValueError(f"{name}: expected one value, found {len(values)}")
     return values[0] if values else None
 
 
@@ -119,7 +126,7 @@
 def _read_name(attributes: Attributes, name: str) -> str:
     text = _single_value(attributes, name)
     if not text:
-        raise ValueError(f"{name}: missing")
+        raise ValueError(f"{name}: the attribute is missing")
     if len(text) > MAX_NAME_LENGTH or not text.isprintable():
         raise ValueError(f"{name}: too long or not printable")
     return text
@@ -130,7 +137,7 @@
     if text is None:
         return TenantStatus.ACTIVE
     if text.lower() not in _STATUS_BY_TEXT:
-        raise ValueError(f"{name}: {text[:MAX_QUOTED_CHARS]!r} is no status")
+        raise ValueError(f"{name}: {text[:MAX_QUOTED_CHARS]!r} is not a known status")
     return _STATUS_BY_TEXT[text.lower()]
 
 
@@ -139,27 +146,27 @@
     if text is None:
         return 0.0
     if not _QUOTA_PATTERN.fullmatch(text) or not float(text) <= MAX_QUOTA_PER_S:
-        raise ValueError(f"{name}: {text[:MAX_QUOTED_CHARS]!r} is no number of requests a second")
+        raise ValueError(f"{name}: {text[:MAX_QUOTED_CHARS]!r} is not a valid number of requests per second")
     return float(text)
 
 
 def _read_networks(attributes: Attributes, name: str) -> tuple[Network, ...]:
     texts = _values(attributes, name)
     if len(texts) > MAX_NETWORKS:
-        raise ValueError(f"{name}: {len(texts)} networks, at most {MAX_NETWORKS} are read")
+        raise ValueError(f"{name}: {len(texts)} networks, at most {MAX_NETWORKS} are allowed")
     networks: set[Network] = set()
     for text in texts:
         try:
             networks.add(ip_network(text, strict=False))
         except ValueError:
-            raise ValueError(f"{name}: {text[:MAX_QUOTED_NETWORK_CHARS]!r} is no network") from None
+            raise ValueError(f"{name}: {text[:MAX_QUOTED_NETWORK_CHARS]!r} is not a network") from None
     return tuple(sorted(networks, key=lambda n: (n.version, int(n.network_address), n.prefixlen)))
 
 
 def _read_balancers(attributes: Attributes, name: str) -> tuple[BalancerRange, ...]:
     texts = _values(attributes, name)
     if len(texts) > MAX_BALANCER_RANGES:
-        raise ValueError(f"{name}: {len(texts)} ranges, at most {MAX_BALANCER_RANGES} are read")
+        raise ValueError(f"{name}: {len(texts)} ranges, at most {MAX_BALANCER_RANGES} are allowed")
     return tuple(sorted(_read_range(text, name) for text in texts))
 
 
@@ -169,11 +176,11 @@
         balancers = BalancerRange(int(match[1]), int(match[2] or match[1]))
         if balancers.first <= balancers.last:
             return balancers
-    raise ValueError(f"{name}: {text[:MAX_QUOTED_CHARS]!r} is no number and no range")
+    raise ValueError(f"{name}: {text[:MAX_QUOTED_CHARS]!r} is neither a balancer number nor a range of them")
 
 
 def _read_classes(attributes: Attributes, name: str) -> frozenset[str]:
     texts = _values(attributes, name)
     if len(texts) > MAX_CLASSES or not all(texts):
-        raise ValueError(f"{name}: too many classes, or an empty one")
+        raise ValueError(f"{name}: too many classes or an empty class name")
     return frozenset(texts)
--- a/snowthread/tenants/identification.py
+++ b/snowthread/tenants/identification.py
@@ -1,7 +1,7 @@
-"""Identify the tenant of each request, between a node's frontends and its reducer.
+"""Identify the tenant of each request on its way from a node's frontends to its reducer.
 
-The client's address is that of the connection. Nothing that a client writes into a request decides, except a
-balancer's number in networks that the operator trusts.
+A client is identified by the peer address of its connection. Nothing in the request itself counts, except a
+balancer number in a request from a network that the operator trusts.
 """
 
 from __future__ import annotations
@@ -29,7 +29,10 @@
 
 
 class TenantIdentification:
-    """The tenants of one node: identifies clients, follows the directory, writes snapshots."""
+    """Tenant identification of one node: identifies clients, replicates the directory, writes snapshots.
+
+    Events for the reducer are passed to ``post``.
+    """
 
     def __init__(
         self, loop: EventLoop, settings: TenantSettings, seed: int, post: Callable[[events.Event], None]
@@ -40,12 +43,15 @@
         self._loop = loop
         self._post = post
         self._peer_address: Callable[[int], str] = lambda _connection: ""
-        # The node's seed is new with each start and each node, so these draws are spread over a fleet.
+        # The seed differs between nodes and between starts of a node, so that jitter differs across a fleet.
         self._rng = random.Random(seed ^ SEED_SALT)
         self._snapshots = SnapshotSchedule(loop.clock, settings, self.tenants, self.publish)
 
     def start(self, peer_address: Callable[[int], str]) -> None:
-        """Restore the snapshot, then follow the directory; ``peer_address`` maps a connection to its peer."""
+        """Restore the snapshot, then start to replicate the directory.
+
+        ``peer_address`` returns the peer address of a connection id.
+        """
         self._peer_address = peer_address
         self._post(
             events.TenantQuotasChanged(
@@ -59,7 +65,7 @@
         self._loop.spawn(self._run_housekeeping())
 
     def handle(self, message: events.Event) -> None:
-        """Pass a frontend's event to the reducer, with the tenant if it is a request."""
+        """Pass a frontend's event to the reducer; a request is given its tenant first."""
         if type(message) is events.RequestReceived:
             now = self._loop.clock.now()
             address = self._peer_address(message.response_address[0])
@@ -74,7 +80,7 @@
         self._post(message)
 
     def publish(self, changes: TenantChanges) -> None:
-        """Log what a step changed and report the new quotas to admission control."""
+        """Write the log lines of a step and report its quota changes to admission control."""
         for line in changes.log_lines:
             bound = logger.bind(event=line.event, peer="directory")
             log = bound.warning if line.event in _WARNING_EVENTS else bound.info
@@ -83,7 +89,10 @@
             self._post(events.TenantQuotasChanged(tuple(changes.quotas), frozenset(changes.removed_ids)))
 
     def apply_settings(self, settings: TenantSettings) -> None:
-        """Apply other settings; the connection to the directory stays if they don't concern it."""
+        """Apply new settings.
+
+        The directory connection stays open if the settings that concern the directory are the same.
+        """
         old = self.settings
         self.settings = settings
         self.publish(self.tenants.apply_rules(settings.rules))
@@ -122,10 +131,10 @@
             age_s=round(age_s, 1) if math.isfinite(age_s) else None,
             lookups_pending=len(tenants.unknown_clients),
             negative_cache=tenants.unknown_clients.negative_cache_size,
-            held=len(removal.tenant_ids) if removal else 0,  # the name that the tenants page gives
+            held=len(removal.tenant_ids) if removal else 0,  # the field name in the documentation
             **asdict(tenants.counters),
         ).info(
-            "tenants: {} known, {}, {} requests of known clients, {} of unknown ones",
+            "tenants: {} known, data is {}, {} requests from known clients, {} from unknown clients",
             len(tenants.table),
             stage,
             tenants.counters.known_requests,
@@ -134,7 +143,7 @@
 
 
 def _same_replication(old: TenantSettings, new: TenantSettings) -> bool:
-    """Return whether the settings differ at most in what does not concern the directory."""
+    """Return whether the two settings are equal in everything that concerns directory replication."""
     return old == replace(
         new,
         rules=old.rules,
--- a/tests/tenants/test_tenants_program.py
+++ b/tests/tenants/test_tenants_program.py
@@ -137,7 +137,7 @@
     began = time.monotonic()
     while time.monotonic() < began + 2.5:  # longer than an operation may take, so the link is given up
         assert setup.request() == SERVED
-    read_log_until(process, "a probe is not answered")
+    read_log_until(process, "probe timed out")
     setup.command("go")
     setup.command("suspend Farbhof")  # 127.0.0.0/24: everybody here
     setup.wait_until(lambda: setup.request() == REJECTED)
