--- a/snowthread/tenants/inspection.py
+++ b/snowthread/tenants/inspection.py
@@ -1,4 +1,4 @@
-"""What ``snowthread tenants`` does: read a directory or a snapshot once and describe its content."""
+"""Implement the command ``snowthread tenants``: read a directory or a snapshot once and describe it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InspectionResult:
-    """The tenants that were read, the problems found meanwhile, and where they came from."""
+    """The tenants that were read, the problems found while reading, and the source they were read from."""
 
     tenants: TenantState
     problems: list[str]
@@ -36,16 +36,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerDescription:
-    """Whether a tenant owns a client, and one line that says which and why."""
+    """Whether a tenant owns a client, and one line of text that names the tenant and the matching rule."""
 
     is_known: bool
     text: str
 
 
 def fetch(settings: TenantSettings, snapshot_path: Path | None) -> InspectionResult:
-    """Read all tenants from the snapshot, if one is named, else from the directory.
+    """Read all tenants from the snapshot if a path is given, else from the directory.
 
-    ConfigError says why that is not possible.
+    A snapshot that can't be used, or a directory that does not complete a refresh in time, is a ConfigError.
     """
     if snapshot_path is not None:
         return _fetch_from_snapshot(settings, snapshot_path)
@@ -89,13 +89,15 @@
     ):
         loop.run_once(LOOP_STEP_S)
     if not tenants.counters.refreshes:
-        raise config.ConfigError(warnings[-1] if warnings else "the directory does not answer")
+        raise config.ConfigError(
+            warnings[-1] if warnings else "the directory did not complete a refresh in time"
+        )
     source = replicator.sync.cookie.server or settings.servers[0].server
     return InspectionResult(tenants, problems, source)
 
 
 def format_tenants(result: InspectionResult) -> Iterator[str]:
-    """Yield the lines of a table of the tenants, by name."""
+    """Yield a summary line, then one line per tenant, sorted by name."""
     table = result.tenants.table
     yield f"{len(table)} tenants, {table.network_count} networks, from {result.source}"
     for tenant in sorted(table.tenants.values(), key=lambda tenant: (tenant.name.casefold(), tenant.id)):
@@ -122,11 +124,14 @@
 
 
 def describe_owner(result: InspectionResult, address: str, balancer: int | None) -> OwnerDescription:
-    """Say which tenant owns a client, and by which rule."""
+    """Describe which tenant owns a client, and by which rule.
+
+    ``balancer`` is the balancer number that the client sends, or None.
+    """
     table = result.tenants.table
     identity = table.identify(address, balancer)
     if identity.identified_by is IdentifiedBy.UNKNOWN:
-        return OwnerDescription(False, f"{address}: nobody's, so the default tenant's")
+        return OwnerDescription(False, f"{address}: owned by no tenant, the default tenant applies")
     tenant = table.tenants[identity.tenant_id]
     if identity.identified_by is IdentifiedBy.NETWORK:
         rule = f"network {identity.network}"
@@ -136,10 +141,10 @@
 
 
 def find_problems(result: InspectionResult) -> list[str]:
-    """Return a line for each entry that can't be used, contradicts another or identifies no client."""
+    """Return one line per entry that is invalid, conflicts with another or identifies no clients."""
     problems = list(dict.fromkeys(result.problems))
     problems += [
-        f"{json.dumps(tenant.name)} has neither a network nor a balancer, so no callers"
+        f"{json.dumps(tenant.name)} has neither networks nor balancer numbers, so it identifies no clients"
         for tenant in result.tenants.table.tenants.values()
         if not tenant.networks and not tenant.balancers
     ]
--- a/snowthread/tenants/lookups.py
+++ b/snowthread/tenants/lookups.py
@@ -1,4 +1,4 @@
-"""Look up unknown clients over one connection to the directory."""
+"""Look up unknown clients in the directory over one connection."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class _Lookup:
-    """A lookup in flight, and what it has brought so far."""
+    """A lookup in flight, with the entries received for it so far."""
 
     address: str
     deadline: float
@@ -32,7 +32,7 @@
 
 
 class ClientLookups:
-    """The lookups in flight on one connection, by message id."""
+    """The lookups in flight on one connection, keyed by message id; ``base`` is the search base."""
 
     def __init__(
         self, context: ReplicationContext, connection: LdapConnection, base: DistinguishedName
@@ -46,11 +46,11 @@
         return message_id in self._in_flight
 
     def next_deadline(self) -> float:
-        """Return when the first lookup in flight times out, or infinity."""
+        """Return the earliest deadline of the lookups in flight, or infinity if there are none."""
         return min((lookup.deadline for lookup in self._in_flight.values()), default=math.inf)
 
     def abandon_timed_out(self, now: float) -> None:
-        """Abandon the lookups that have timed out."""
+        """Abandon the lookups that have timed out, and treat their clients as not found."""
         unknown_clients = self._context.tenants.unknown_clients
         for message_id, lookup in list(self._in_flight.items()):
             if now >= lookup.deadline:
@@ -59,7 +59,7 @@
                 unknown_clients.finish_lookup(lookup.address, found=False, now=now)
 
     def send_waiting(self, now: float) -> None:
-        """Send as many of the waiting lookups as the bounds allow."""
+        """Send as many of the waiting lookups as the limits allow."""
         settings = self._context.settings
         unknown_clients = self._context.tenants.unknown_clients
         query = settings.query
@@ -75,7 +75,7 @@
             self._in_flight[message_id] = _Lookup(address, now + settings.operation_timeout_ms)
 
     def receive(self, message_id: int, response: Response, now: float) -> None:
-        """Process one response to a lookup."""
+        """Process one response to a lookup; the last response applies the result to the tenants."""
         lookup = self._in_flight[message_id]
         if isinstance(response, SearchResultEntry):
             self._receive_entry(lookup, response)
--- a/snowthread/tenants/refresh_application.py
+++ b/snowthread/tenants/refresh_application.py
@@ -1,4 +1,4 @@
-"""Apply a completed refresh to the tenants, with pauses, so that requests do not wait for a large one."""
+"""Apply a completed refresh in slices, so that a large refresh does not delay requests on the event loop."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 def apply_refresh_with_pauses(
     context: ReplicationContext, sync: DirectorySync, refresh: RefreshCompleted, server: str, now: float
 ) -> Generator[Wait, int, TenantChanges]:
-    """Apply a refresh, with a turn for other tasks after each slice, and return what it changed.
+    """Apply a refresh and return what it changed, letting other tasks run after each slice.
 
-    If the task ends before the last slice, the cookie is forgotten: the next refresh would otherwise skip
-    what this one has not applied.
+    If the task ends before the last slice, the cookie is discarded. Otherwise the next refresh would start
+    after changes that were never applied.
     """
     slices = context.tenants.apply_refresh_in_slices(refresh, server, now)
     changes: TenantChanges | None = None
@@ -40,7 +40,7 @@
 def log_refresh(
     context: ReplicationContext, sync: DirectorySync, server: str, changes: TenantChanges, duration_ms: float
 ) -> None:
-    """Log that a refresh was applied, and how long it took from its search to its end."""
+    """Log that a refresh was applied; ``duration_ms`` counts from the search request to the end."""
     table = context.tenants.table
     logger.bind(
         event="tenants.refreshed",
--- a/snowthread/tenants/refresh_collector.py
+++ b/snowthread/tenants/refresh_collector.py
@@ -1,7 +1,7 @@
-"""What a refresh has brought so far, until its end. Pure.
+"""Collect the messages of a refresh until it completes, without I/O.
 
-Nothing of a refresh counts before its end: one that is interrupted is dropped with its collector, so it adds
-and removes nothing, and its cookie is not used.
+A refresh takes effect only when it is complete. If it is interrupted, its collector is discarded, so that it
+adds and removes no tenants, and its cookie is not used.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class RefreshCollector:
-    """Collects the messages of one refresh; ``is_full`` if all entries that it does not name are deleted."""
+    """The messages of one refresh; if it ``is_full``, entries that it does not mention are deleted."""
 
     is_full: bool = True
     upserts: dict[str, Tenant] = field(default_factory=dict)
@@ -29,7 +29,7 @@
     cookie: bytes | None = None
 
     def add_entry(self, entry: Tenant | BadEntry) -> None:
-        """Collect an entry that came with its content."""
+        """Add an entry that was received with its content."""
         if isinstance(entry, BadEntry):
             self._add_bad_entry(entry)
             return
@@ -38,22 +38,22 @@
         self.network_count += len(entry.networks)
 
     def mark_present(self, tenant_ids: tuple[str, ...]) -> None:
-        """Collect entries that exist and have not changed since the cookie."""
+        """Add entries that exist and have not changed since the cookie."""
         self.present_ids.update(tenant_ids)
 
     def mark_removed(self, tenant_ids: tuple[str, ...]) -> None:
-        """Collect entries that were deleted since the cookie."""
+        """Add entries that were deleted since the cookie."""
         self.removed_ids.update(tenant_ids)
         for tenant_id in tenant_ids:
             self.upserts.pop(tenant_id, None)
             self.present_ids.discard(tenant_id)
 
     def save_cookie(self, cookie: bytes | None) -> None:
-        """Take the cookie of a message, if it has one: the last one is that of the complete refresh."""
+        """Store the cookie of a message if it has one; the last cookie is valid for the complete refresh."""
         self.cookie = cookie or self.cookie
 
     def limit_violation(self, query: DirectoryQuery) -> str:
-        """Return which bound of the query is exceeded, or an empty text."""
+        """Return which limit of the query is exceeded, or an empty string if none is."""
         id_count = max(len(self.upserts), len(self.present_ids), len(self.removed_ids))
         if id_count > query.max_tenants:
             return f"more than {query.max_tenants} tenants"
@@ -62,7 +62,7 @@
         return ""
 
     def completed(self) -> RefreshCompleted:
-        """Return the event of the refresh, which has ended."""
+        """Return the event for the completed refresh."""
         return RefreshCompleted(
             upserts=self.upserts,
             present_ids=frozenset(self.present_ids),
@@ -72,7 +72,7 @@
         )
 
     def _add_bad_entry(self, entry: BadEntry) -> None:
-        # The entry exists: a tenant that is known stays as it was.
+        # The entry exists in the directory, so a known tenant is not removed and keeps its previous values.
         if entry.tenant_id:
             self.present_ids.add(entry.tenant_id)
         if len(self.bad_entries) < MAX_REPORTED_BAD_ENTRIES:
--- a/snowthread/tenants/removal_guard.py
+++ b/snowthread/tenants/removal_guard.py
@@ -1,11 +1,10 @@
-"""Which removals of tenants are applied at once, and which wait for a confirmation. Pure.
-
-A directory that loses entries, by mistake or because a server with older content answers, must not remove
-tenants by its report alone. A removal is applied at once only if it comes from the server whose content is
-known here, and if all removals within a window stay under a share of the tenants. Any other removal is
-pending: the tenants stay until a second full refresh, some time later, misses them too, or until an operator
-accepts the removal by the digest in its log line. A tenant that reappears is no longer part of a pending
-removal.
+"""Decide which removals of tenants are applied at once and which need confirmation, without I/O.
+
+A directory can lose entries by mistake, or a server with older content can answer. Its report alone must not
+remove many tenants. A removal is applied at once only if it comes from the server whose content the node has,
+and if all removals within a time window stay below a share of the tenants. Any other removal is pending: the
+tenants are kept until a second full refresh, some time later, lacks them too, or until an operator accepts
+the removal by the digest in its log message. A tenant that reappears is taken out of the pending removal.
 """
 
 from __future__ import annotations
@@ -16,24 +15,26 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-WINDOW_MS = 600_000.0  # removals within this time count together
+WINDOW_MS = 600_000.0  # removals within this time share one allowance
 DIGEST_BYTES = 6
 
 
 @dataclass(frozen=True, slots=True)
 class RemovalRules:
-    """How much may be removed without confirmation, and what confirms the rest."""
+    """How many tenants may be removed without confirmation, and what confirms other removals."""
 
-    max_share: float = 0.1  # of the tenants, within the window
-    min_allowance: int = 2  # as many may go in any case, within the window
-    confirm_by_refresh: bool = True  # a second full refresh confirms; else only an operator does
-    confirm_after_ms: float = 60_000.0
-    accepted_digest: str = ""  # of the pending removal that an operator accepts
+    max_share: float = 0.1  # of the tenants that may be removed within the window
+    min_allowance: int = 2  # tenants that may be removed within the window, whatever the share
+    confirm_by_refresh: bool = (
+        True  # a second full refresh confirms a removal; if False, only an operator does
+    )
+    confirm_after_ms: float = 60_000.0  # from the first report to the refresh that may confirm it
+    accepted_digest: str = ""  # digest of the pending removal that the operator accepts
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRemoval:
-    """A removal that waits for its confirmation."""
+    """A removal that waits for confirmation; ``reason`` says why it was not applied at once."""
 
     tenant_ids: frozenset[str]
     since_ms: float
@@ -41,13 +42,13 @@
 
     @property
     def digest(self) -> str:
-        """The text by which an operator accepts the removal."""
+        """The digest that identifies the removal when an operator accepts it."""
         return _digest(self.tenant_ids)
 
 
 @dataclass(frozen=True, slots=True)
 class RemovalDecision:
-    """What is removed now, what is pending afterwards, and whether it was not pending before."""
+    """The tenants to remove now, the removal that is pending afterwards, and whether it is new."""
 
     removed_ids: frozenset[str]
     pending: PendingRemoval | None
@@ -58,25 +59,25 @@
 
 
 class _AppliedRemoval(NamedTuple):
-    """A removal that was applied: when, and of how many tenants."""
+    """The time of an applied removal and the number of its tenants."""
 
     at_ms: float
     tenant_count: int
 
 
 class RemovalGuard:
-    """Judges the removals that a directory reports."""
+    """Decides about the removals that a directory reports."""
 
     def __init__(self, rules: RemovalRules) -> None:
         self.rules = rules
         self.pending: PendingRemoval | None = None
-        self.source_server = ""  # the server whose content is known here
+        self.source_server = ""  # the server whose content the node has
         self._recent: deque[_AppliedRemoval] = deque()
 
     def evaluate_full_refresh(
         self, missing_ids: Collection[str], known_count: int, server: str, now: float
     ) -> RemovalDecision:
-        """Judge the known tenants that a full refresh did not contain."""
+        """Decide about the known tenants that a full refresh from ``server`` did not contain."""
         missing = frozenset(missing_ids)
         if not missing:
             self.source_server = server
@@ -98,7 +99,7 @@
     def evaluate_deletions(
         self, deleted_ids: Collection[str], known_count: int, server: str, now: float
     ) -> RemovalDecision:
-        """Judge tenants reported as deleted, by a refresh from a cookie or as a change."""
+        """Decide about tenants that an incremental refresh or a change reports as deleted."""
         pending = self.pending
         tenant_ids = frozenset(deleted_ids) | (pending.tenant_ids if pending is not None else frozenset())
         if not tenant_ids:
@@ -109,26 +110,26 @@
         if not reason and pending is None:
             return self._remove(tenant_ids, server, now)
         since_ms = now if pending is None else pending.since_ms
-        self.pending = PendingRemoval(tenant_ids, since_ms, reason or "another removal is pending already")
+        self.pending = PendingRemoval(tenant_ids, since_ms, reason or "another removal is already pending")
         return RemovalDecision(
             frozenset(), self.pending, newly_pending=pending is None or pending.tenant_ids != tenant_ids
         )
 
     def mark_present(self, tenant_ids: Collection[str]) -> None:
-        """Take tenants that the directory contains out of the pending removal."""
+        """Take tenants that exist in the directory out of the pending removal."""
         if self.pending is None or self.pending.tenant_ids.isdisjoint(tenant_ids):
             return
         rest = self.pending.tenant_ids - frozenset(tenant_ids)
         self.pending = PendingRemoval(rest, self.pending.since_ms, self.pending.reason) if rest else None
 
     def confirmation_due_at(self) -> float | None:
-        """Return when a full refresh could confirm the pending removal, or None if none could."""
+        """Return when a full refresh may confirm the pending removal, or None if it can't be confirmed so."""
         if self.pending is None or not self.rules.confirm_by_refresh:
             return None
         return self.pending.since_ms + self.rules.confirm_after_ms
 
     def take_accepted(self, known_ids: Collection[str]) -> frozenset[str]:
-        """Return the known tenants of the pending removal if the rules accept it, and end it then."""
+        """Return the known tenants of the pending removal and clear it, if the operator has accepted it."""
         if self.pending is None or self.pending.digest != self.rules.accepted_digest:
             return frozenset()
         tenant_ids = self.pending.tenant_ids & frozenset(known_ids)
@@ -138,11 +139,11 @@
     def _evaluate_missing_again(
         self, pending: PendingRemoval, missing: frozenset[str], server: str, now: float
     ) -> RemovalDecision:
-        """Judge a full refresh that misses tenants of the pending removal again."""
+        """Decide about a full refresh that again lacks tenants of the pending removal."""
         missing_again = pending.tenant_ids & missing
         is_due = now - pending.since_ms >= self.rules.confirm_after_ms
         if not self.rules.confirm_by_refresh or not is_due:
-            # The time of the newly missing tenants starts now.
+            # Tenants that are missing for the first time restart the confirmation delay.
             since_ms = pending.since_ms if missing <= pending.tenant_ids else now
             self.pending = PendingRemoval(missing, since_ms, pending.reason)
             return RemovalDecision(frozenset(), self.pending, newly_pending=missing != pending.tenant_ids)
@@ -150,7 +151,7 @@
         newly_missing = missing - missing_again
         if not newly_missing:
             return decision
-        self.pending = PendingRemoval(newly_missing, now, "it is missing for the first time")
+        self.pending = PendingRemoval(newly_missing, now, "missing for the first time")
         return RemovalDecision(missing_again, self.pending, newly_pending=True)
 
     def _is_accepted(self, tenant_ids: frozenset[str]) -> bool:
@@ -158,7 +159,7 @@
         return bool(accepted) and accepted == _digest(tenant_ids)
 
     def _allowance_violation(self, count: int, known_count: int, now: float) -> str:
-        """Return why so many removals are too many within the window, or an empty text."""
+        """Return why ``count`` further removals exceed the allowance of the window, or an empty string."""
         while self._recent and self._recent[0].at_ms <= now - WINDOW_MS:
             self._recent.popleft()
         recent_count = sum(removal.tenant_count for removal in self._recent)
@@ -167,7 +168,7 @@
         allowance = max(self.rules.min_allowance, int(self.rules.max_share * tenant_count))
         if removed_count <= allowance:
             return ""
-        return f"{removed_count} of {tenant_count} tenants, at most {allowance} may go at once"
+        return f"{removed_count} of {tenant_count} tenants, at most {allowance} without confirmation"
 
     def _remove(self, tenant_ids: frozenset[str], server: str, now: float) -> RemovalDecision:
         self.source_server = server
--- a/snowthread/tenants/replication.py
+++ b/snowthread/tenants/replication.py
@@ -1,7 +1,6 @@
-"""Keep up with the directory: one connection at a time, with retries and fail-over.
+"""Replicate the directory over one connection at a time, with retries and fail-over.
 
-Which server is next and when is decided by ``ldap.health``; what happens on a connection is the work of
-``directory_session``.
+``ldap.health`` decides which server to use and when; ``directory_session`` handles an open connection.
 """
 
 from __future__ import annotations
@@ -25,7 +24,10 @@
 
 
 class DirectoryReplicator:
-    """Follows the directory for one node."""
+    """Replicates the directory for one node, as a task on the event loop.
+
+    ``publish`` receives the changes of each step.
+    """
 
     def __init__(
         self,
@@ -45,21 +47,21 @@
 
     @property
     def settings(self) -> TenantSettings:
-        """The settings in use."""
+        """The current settings."""
         return self._context.settings
 
     @property
     def connected_server(self) -> str:
-        """The server of the open connection, or an empty text."""
+        """The server of the open connection, or an empty string."""
         return self._session.server if self._session is not None else ""
 
     def wake(self) -> None:
-        """Send the lookups that wait, if there is a connection that takes them."""
+        """Wake the task to send waiting lookups, if there is a connection that accepts them."""
         if self._session is not None and self._session.accepts_lookups:
             self._loop.wake(self._task)
 
     def apply_settings(self, settings: TenantSettings) -> None:
-        """Use other servers, credentials or another query; what is known of tenants stays."""
+        """Reconnect with new servers, credentials or query; the known tenants are kept."""
         self._loop.end_task(self._task)
         self._context = replace(self._context, settings=settings)
         self.sync.set_query(settings.query)
@@ -74,7 +76,7 @@
     def _run(self, start_jitter_ms: float) -> TaskSteps:
         clock = self._loop.clock
         rng = self._context.rng
-        # Otherwise nodes that start together would all connect to the directory in the same instant.
+        # Nodes that start together must not all connect to the directory at the same moment.
         yield Wait(until_ms=clock.now() + rng.uniform(0.0, start_jitter_ms))
         while True:
             server_index = self.server_selector.choose(clock.now())
@@ -82,7 +84,7 @@
                 failure = yield from self._connect_and_follow(server_index)
                 self._record_failure(server_index, failure)
             retry_at = clock.now() + self.server_selector.backoff_ms(clock.now(), rng)
-            while clock.now() < retry_at:  # a lookup that wakes the task does not end the backoff
+            while clock.now() < retry_at:  # a wake-up for a lookup must not cut the backoff short
                 yield Wait(until_ms=retry_at)
 
     def _connect_and_follow(self, server_index: int) -> Generator[Wait, int, ConnectionFailure]:
@@ -120,5 +122,5 @@
             "directory {}: {}{}",
             server,
             failure.reason,
-            "; no attempts for a while" if circuit_opened else "",
+            "; circuit breaker opened, attempts are paused" if circuit_opened else "",
         )
--- a/snowthread/tenants/replication_context.py
+++ b/snowthread/tenants/replication_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one replication share."""
+"""The objects that the modules of directory replication share."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationContext:
-    """The node's loop, settings, tenants and random draws; ``publish`` takes what a step changed."""
+    """Event loop, settings, tenants and random generator; ``publish`` receives the changes of a step."""
 
     loop: EventLoop
     settings: TenantSettings
--- a/snowthread/tenants/rules.py
+++ b/snowthread/tenants/rules.py
@@ -1,4 +1,4 @@
-"""The operator's rules about tenants, as one value."""
+"""The operator's rules about tenants, combined in one value."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantRules:
-    """The operator's rules; a default quota of 0 means that there is none."""
+    """The operator's rules for removals, staleness, unknown clients and the default tenant."""
 
     removal: RemovalRules = field(default_factory=RemovalRules)
     staleness: StalenessRules = field(default_factory=StalenessRules)
     unknown_clients: UnknownClientRules = field(default_factory=UnknownClientRules)
-    default_quota_per_s: float = 0.0
-    default_rejected: bool = False  # requests of unknown clients are rejected
-    trusted_networks: tuple[Network, ...] = ()  # from which a balancer's number counts
+    default_quota_per_s: float = 0.0  # requests per second of the default tenant; 0: no quota
+    default_rejected: bool = (
+        False  # whether requests of the default tenant, from unknown clients, are rejected
+    )
+    trusted_networks: tuple[Network, ...] = ()  # networks whose requests may name a balancer number
--- a/snowthread/tenants/server_probe.py
+++ b/snowthread/tenants/server_probe.py
@@ -1,4 +1,4 @@
-"""A cheap search that checks whether a silent server still answers."""
+"""Probe a silent server with a cheap search, to detect whether it still responds."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 from snowthread.ldap.search_filter import Present
 
 ANY_ENTRY = Present(b"objectClass")
-NO_ATTRIBUTES = ("1.1",)  # RFC 4511, section 4.5.1.8
-NOT_IN_FLIGHT = 0  # no message sent has this id
+NO_ATTRIBUTES = ("1.1",)  # requests entries without attributes (RFC 4511, section 4.5.1.8)
+NOT_IN_FLIGHT = 0  # message ids of requests start at 1
 
 
 class ServerProbe:
-    """The probes of one connection, one at a time; ``deadline`` is infinite while none is in flight."""
+    """Sends the probes of one connection, one at a time.
+
+    ``deadline`` is when the probe in flight times out; it is infinite while no probe is in flight.
+    """
 
     def __init__(self, connection: LdapConnection, base: str, timeout_ms: float) -> None:
         self.message_id = NOT_IN_FLIGHT
@@ -25,15 +28,15 @@
 
     @property
     def in_flight(self) -> bool:
-        """Whether a probe waits for its answer."""
+        """Whether a probe waits for its response."""
         return self.message_id != NOT_IN_FLIGHT
 
     def send(self, now: float) -> None:
-        """Send a probe."""
+        """Send a probe and start its timeout."""
         self.message_id = self._connection.send(self._search)
         self.deadline = now + self._timeout_ms
 
     def clear(self) -> None:
-        """Forget the probe in flight: it was answered, or a search makes it superfluous."""
+        """Clear the probe in flight, since its response arrived or a new search makes it unnecessary."""
         self.message_id = NOT_IN_FLIGHT
         self.deadline = math.inf
