--- a/snowthread/tenants/settings.py
+++ b/snowthread/tenants/settings.py
@@ -1,4 +1,4 @@
-"""The ``tenants`` block of the operator's file."""
+"""Read the ``tenants`` block of the operator's file."""
 
 from __future__ import annotations
 
@@ -38,15 +38,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantSettings:
-    """All that the block sets."""
+    """The settings of the ``tenants`` block; times are milliseconds."""
 
     servers: tuple[url.LdapUrl, ...]
     connection: ConnectionSettings
     query: DirectoryQuery
-    source: str  # base and filter: identifies the query that a snapshot answers
+    source: str  # search base and filter; a snapshot with another source is not used
     retry_policy: RetryPolicy
     rules: TenantRules
-    over_quota_weight: float
+    over_quota_weight: float  # factor on the priority weight of requests above a tenant's quota
     operation_timeout_ms: float
     refresh_timeout_ms: float
     probe_interval_ms: float
@@ -57,13 +57,13 @@
     snapshot_interval_ms: float
 
     def summary(self) -> str:
-        """Return one line for operators that says what is on."""
+        """Return one line that names the servers and the search base."""
         names = ", ".join(server.server for server in self.servers)
         return f"tenants from {names} below {self.query.base!r}"
 
     @classmethod
     def read(cls, block: Block, config: Config) -> TenantSettings:
-        """Check the block and return its settings; ConfigError names the key that can't be used."""
+        """Validate the block and return its settings; a ConfigError names the key with an invalid value."""
         _check_replaces_settings(block, config)
         servers = _read_servers(block)
         base = block.text("base")
@@ -104,15 +104,15 @@
     if config.settings.tenants and not replaces:
         raise block.error(
             "replace_settings",
-            "the node's settings name tenants too; their quotas never "
-            "mix with a directory's: set it to true to use the directory's alone",
+            "the node's settings define tenants too, and their quotas can't be combined with "
+            "those of a directory; set it to true to use the directory's only",
         )
 
 
 def _read_servers(block: Block) -> tuple[url.LdapUrl, ...]:
     servers = tuple(block.parsed("servers", url.parse, text) for text in block.text_list("servers"))
     if not servers:
-        raise block.error("servers", "at least one LDAP URL is wanted")
+        raise block.error("servers", "at least one LDAP URL is required")
     for server in servers:
         block.parsed("servers", lambda ldap_url: ldap_url.address, server)
     return servers
@@ -223,7 +223,7 @@
 
 
 class _SnapshotSettings(NamedTuple):
-    """Where the snapshot is, if there is one, and how often it is written."""
+    """The path of the snapshot file, or None to write no snapshots, and the interval between writes."""
 
     path: Path | None
     interval_ms: float
@@ -236,6 +236,6 @@
     path = Path(snapshot.text("file"))
     interval_ms = snapshot.duration_ms("every", "1m", 100.0)
     if not path.parent.is_dir():
-        raise snapshot.error("file", f"{path.parent} is no folder")
+        raise snapshot.error("file", f"{path.parent} is not a folder")
     snapshot.reject_unknown_keys()
     return _SnapshotSettings(path, interval_ms)
--- a/snowthread/tenants/snapshot.py
+++ b/snowthread/tenants/snapshot.py
@@ -1,9 +1,9 @@
-"""The snapshot file: the tenants that were known, for a cold start while the directory is down.
+"""The snapshot file of the known tenants, which is restored when a node starts while the directory is down.
 
-The file is one header line and one line of JSON. The header names the format, its version, the length and a
-BLAKE2b digest of the rest, so a torn, foreign or older file is recognised and rejected entirely. It is
-written to a new file in the same folder, synced, renamed over the old one, and the folder is synced: a crash
-leaves the old file or the new one.
+The file is one header line and one line of JSON, the body. The header holds the name of the format, its
+version, and the length and BLAKE2b digest of the body, so that a truncated or foreign file, or one of another
+version, is detected and rejected as a whole. A snapshot is written to a new file in the same folder, synced
+and renamed over the old file, and then the folder is synced. A crash thus leaves the old file or the new one.
 """
 
 from __future__ import annotations
@@ -25,27 +25,27 @@
 VERSION = 1
 DIGEST_BYTES = 16
 MAX_FILE_BYTES = 512 * 1024 * 1024
-HEADER_FIELD_COUNT = 4  # magic, version, length of the body in bytes, digest
+HEADER_FIELD_COUNT = 4  # magic, version, length of the body in bytes, digest of the body
 FILE_MODE = 0o600
 
 
 class SnapshotError(ValueError):
-    """A file is no snapshot that can be used; the text says why."""
+    """A snapshot file can't be used; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The tenants, when the directory last confirmed them, and from where the synchronisation continues."""
+    """The tenants, the time of their last confirmation, and the state to resume synchronisation from."""
 
     tenants: tuple[Tenant, ...]
-    confirmed_at: float  # milliseconds
-    source: str  # base and filter: a snapshot of another query is foreign
-    source_server: str = ""  # the server whose content it is
-    cookie: bytes | None = None
+    confirmed_at: float  # when the directory last confirmed the tenants, in milliseconds
+    source: str  # search base and filter; a snapshot of another query is rejected
+    source_server: str = ""  # the server that the tenants were read from
+    cookie: bytes | None = None  # synchronisation cookie of that server
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Return the file's bytes."""
+    """Return the bytes of the snapshot file."""
     body = orjson.dumps(
         {
             "agreed_at": snapshot.confirmed_at,
@@ -59,21 +59,21 @@
 
 
 def decode(data: bytes) -> Snapshot:
-    """Return the snapshot in a file's bytes.
+    """Return the snapshot that the bytes of a file contain.
 
     Raises:
-        SnapshotError: The bytes are damaged, or of another format.
+        SnapshotError: The bytes are damaged or have another format.
     """
     header, newline, body = data.partition(b"\n")
-    words = header.split(b" ")
-    if not newline or words[0] != MAGIC:
+    header_fields = header.split(b" ")
+    if not newline or header_fields[0] != MAGIC:
         raise SnapshotError("not a snapshot of tenants")
-    if len(words) != HEADER_FIELD_COUNT or words[1] != str(VERSION).encode():
-        raise SnapshotError(f"a format other than version {VERSION}")
-    if words[2] != str(len(body) - 1).encode() or not body.endswith(b"\n"):
-        raise SnapshotError("cut short, or longer than it says")
-    if _digest(body[:-1]) != words[3]:
-        raise SnapshotError("its contents don't match its checksum")
+    if len(header_fields) != HEADER_FIELD_COUNT or header_fields[1] != str(VERSION).encode():
+        raise SnapshotError(f"unsupported format, only version {VERSION} can be read")
+    if header_fields[2] != str(len(body) - 1).encode() or not body.endswith(b"\n"):
+        raise SnapshotError("truncated, or longer than its header says")
+    if _digest(body[:-1]) != header_fields[3]:
+        raise SnapshotError("the content does not match its digest")
     try:
         fields = orjson.loads(body)
         cookie = fields["cookie"]
@@ -85,7 +85,7 @@
             None if cookie is None else bytes.fromhex(cookie),
         )
     except (ValueError, KeyError, TypeError) as error:
-        raise SnapshotError(f"can't be read: {type(error).__name__}") from None
+        raise SnapshotError(f"invalid content: {type(error).__name__}") from None
 
 
 def _digest(body: bytes) -> bytes:
@@ -120,10 +120,10 @@
 
 
 def read(path: Path, source: str) -> Snapshot:
-    """Return the snapshot of this query.
+    """Return the snapshot in a file if it was taken with this ``source`` (search base and filter).
 
     Raises:
-        SnapshotError: The file can't be read, is damaged, or belongs to another query.
+        SnapshotError: The file can't be read, is damaged or was taken with another source.
     """
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
@@ -133,15 +133,15 @@
         raise SnapshotError(error.strerror or str(error)) from None
     snapshot = decode(data)
     if snapshot.source != source:
-        raise SnapshotError("it belongs to another directory, base or filter")
+        raise SnapshotError("taken from another directory, base or filter")
     return snapshot
 
 
 def write(path: Path, data: bytes) -> None:
-    """Replace the file by these bytes, durably.
+    """Replace the content of the file atomically and durably.
 
     Raises:
-        OSError: That failed; the old file stays.
+        OSError: The write failed; before the rename the old file is left unchanged.
     """
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
@@ -160,7 +160,7 @@
 
 @contextmanager
 def _open_descriptor(path: Path, flags: int) -> Generator[int, None, None]:
-    """Open a descriptor for the length of a block."""
+    """Open a file descriptor and close it at the end of the ``with`` block."""
     fd = os.open(path, flags, FILE_MODE)
     try:
         yield fd
--- a/snowthread/tenants/snapshot_schedule.py
+++ b/snowthread/tenants/snapshot_schedule.py
@@ -1,4 +1,4 @@
-"""When a node restores its snapshot of tenants, and when it writes the next one."""
+"""Restore a node's tenant snapshot at the start, and write new snapshots when they are due."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 MIN_SNAPSHOT_INTERVAL_MS = 1000.0
 MS_PER_S = 1000.0
-UNKNOWN_VERSION = -1  # of the table: the last snapshot was not written
+UNKNOWN_VERSION = -1  # differs from every table version, so that a failed snapshot is written again
 
 
 class SnapshotSchedule:
-    """The snapshots of one node: restores the last one at the start, then writes one when it is due."""
+    """Restores the snapshot of one node, then writes a new one when the table changed or time has passed."""
 
     def __init__(
         self,
@@ -37,10 +37,10 @@
         self._sync: DirectorySync | None = None
         self._writer: SnapshotWriter | None = None
         self._last_write_started_ms = clock.now()
-        self._last_written_version = 0  # of the table
+        self._last_written_version = 0  # version of the table in the last snapshot
 
     def start(self, sync: DirectorySync) -> None:
-        """Restore the snapshot, and the cookie from which ``sync`` continues; write snapshots from now on."""
+        """Restore the tenants and the cookie of ``sync`` from the snapshot; enable writing snapshots."""
         self._sync = sync
         path = self._settings.snapshot_path
         if path is not None:
@@ -48,20 +48,20 @@
             self._writer = SnapshotWriter(path)
 
     def apply_settings(self, settings: TenantSettings) -> None:
-        """Write as these settings say; another file is written from the next snapshot on."""
+        """Apply new settings; a new snapshot path applies from the next write on."""
         path = settings.snapshot_path
         if path != self._settings.snapshot_path:
             self._writer = None if path is None else SnapshotWriter(path)
         self._settings = settings
 
     def write_if_due(self, now: float) -> None:
-        """Report a write that has failed, and start the next one if it is due."""
+        """Log the failure of the last write, if it failed, and start the next write if it is due."""
         if self._writer is None or self._sync is None:
             return
         result = self._writer.poll()
         if result is not None and result.error:
             logger.bind(event="tenants.snapshot_failed").warning(
-                "tenants: snapshot not written: {}; retried later", result.error
+                "tenants: writing the snapshot failed: {}; will retry", result.error
             )
             self._last_written_version = UNKNOWN_VERSION
         if not self._writer.busy and self._is_due(now):
@@ -69,7 +69,9 @@
 
     def _restore(self, path: Path, sync: DirectorySync) -> None:
         if not path.exists():
-            logger.bind(event="tenants.no_snapshot").info("tenants: no snapshot at {} yet", path)
+            logger.bind(event="tenants.no_snapshot").info(
+                "tenants: no snapshot at {}; waiting for the directory", path
+            )
             return
         try:
             snapshot = tenant_snapshot.read(path, self._settings.source)
@@ -86,7 +88,7 @@
         )
         sync.cookie = ServerCookie(snapshot.source_server, snapshot.cookie)
         logger.bind(event="tenants.restored", tenants=len(snapshot.tenants)).info(
-            "tenants: {} from the snapshot, {:.0f} s old",
+            "tenants: restored {} tenants from the snapshot, {:.0f} s old",
             len(snapshot.tenants),
             self._tenants.staleness.age_ms(now) / MS_PER_S,
         )
@@ -105,7 +107,7 @@
         guard = self._tenants.guard
         self._last_write_started_ms = now
         self._last_written_version = table.version
-        # A pending removal is not in the file: a refresh from the cookie on would never report it again.
+        # The file has no pending removal, and a refresh from the cookie would not report the removal again.
         may_resume = guard.pending is None and sync.cookie.server == guard.source_server
         writer.start(
             table.tenants.values(),
--- a/snowthread/tenants/snapshot_writer.py
+++ b/snowthread/tenants/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Write snapshots in a child process: a sync of the disk may take longer than the event loop can wait."""
+"""Write snapshots in a child process, because an fsync can block longer than the event loop may."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from snowthread.tenants.model import Tenant
 from snowthread.tenants.snapshot import Snapshot, encode, write
 
-FIRST_CLOSED_DESCRIPTOR = 3  # after the standard streams
+FIRST_CLOSED_DESCRIPTOR = 3  # the first descriptor after the standard streams
 CLOSED_DESCRIPTORS_END = 4096
-FAILED_WITHOUT_ERRNO = 1
+FAILED_WITHOUT_ERRNO = 1  # exit code of a child that failed without an errno
 MAX_EXIT_CODE = 255
-NO_CHILD = 0  # no process has this id
+NO_CHILD = 0  # never the pid of a child
 
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """How a write ended; ``error`` is empty if it succeeded."""
+    """The result of a write; ``error`` is empty if the write succeeded."""
 
     error: str = ""
 
@@ -33,7 +33,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a child is writing."""
+        """Whether a child process is writing a snapshot."""
         return self._child_pid != NO_CHILD
 
     def start(
@@ -44,29 +44,29 @@
         source_server: str,
         cookie: bytes | None,
     ) -> None:
-        """Start writing a snapshot. The child encodes it too, from its own copy of the tenants."""
+        """Start a child process that encodes a snapshot, from its own copy of the tenants, and writes it."""
         pid = os.fork()
         if pid:
             self._child_pid = pid
             return
         exit_code = FAILED_WITHOUT_ERRNO
         try:
-            # A disk that hangs must not leave the node's sockets bound after the node has exited.
+            # A child blocked on a hanging disk must not keep the node's sockets bound after the node exits.
             os.closerange(FIRST_CLOSED_DESCRIPTOR, CLOSED_DESCRIPTORS_END)
             write(self.path, encode(Snapshot(tuple(tenants), confirmed_at, source, source_server, cookie)))
             exit_code = 0
         except OSError as error:
             exit_code = error.errno or FAILED_WITHOUT_ERRNO
         finally:
-            os._exit(min(exit_code, MAX_EXIT_CODE))  # neither the parent's exit handlers nor its loop may run
+            os._exit(min(exit_code, MAX_EXIT_CODE))  # runs neither exit handlers nor the event loop
 
     def poll(self) -> WriteResult | None:
-        """Return how the last write ended, once; None while it runs or if none was started."""
+        """Return the result of the last write once; None while it runs or if none was started."""
         if self._child_pid == NO_CHILD:
             return None
         try:
             pid, status = os.waitpid(self._child_pid, os.WNOHANG)
-        except ChildProcessError:  # somebody else has waited for it: its status is lost
+        except ChildProcessError:  # reaped elsewhere, so its exit status is lost
             self._child_pid = NO_CHILD
             return WriteResult()
         if not pid:
@@ -75,4 +75,6 @@
         exit_code = os.waitstatus_to_exitcode(status)
         if exit_code == 0:
             return WriteResult()
-        return WriteResult(os.strerror(exit_code) if exit_code > 0 else f"ended by signal {-exit_code}")
+        return WriteResult(
+            os.strerror(exit_code) if exit_code > 0 else f"child process killed by signal {-exit_code}"
+        )
--- a/snowthread/tenants/staleness.py
+++ b/snowthread/tenants/staleness.py
@@ -1,15 +1,15 @@
-"""How old the knowledge of the directory is, and what that allows. Pure.
-
-| stage | since the directory last confirmed it | known clients   | unknown clients               |
-| ----- | ------------------------------------- | --------------- | ----------------------------- |
-| NONE  | never, and there was no snapshot      | -               | the default tenant            |
-| FRESH | up to ``stale_ms``                    | identified      | looked up; the default tenant |
-| STALE | up to ``old_ms``                      | identified      | the default tenant            |
-| OLD   | longer                                | as ``when_old`` | the default tenant            |
-
-``when_old`` is "serve" (identified as before: a directory that is down for a day stops nobody) or "default"
-(all clients share the default tenant's quota, for operators to whom a wrong quota is worse than a small
-one). A suspension applies at every stage.
+"""Track the age of the tenant data and what a node does at that age, without I/O.
+
+| stage | age: time since the last confirmation    | known clients   | unknown clients               |
+| ----- | ---------------------------------------- | --------------- | ----------------------------- |
+| NONE  | never confirmed, and no snapshot existed | -               | default tenant                |
+| FRESH | up to ``stale_ms``                       | identified      | looked up; default tenant     |
+| STALE | up to ``old_ms``                         | identified      | default tenant                |
+| OLD   | longer                                   | as ``when_old`` | default tenant                |
+
+The setting ``when_old`` is "serve" (clients are identified as before, so that a directory that is down for a
+day affects no client) or "default" (all clients share the default tenant's quota, for operators who prefer
+a small quota to an outdated one). A suspended tenant stays suspended at every stage.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class StalenessStage(Enum):
-    """A stage of the table above."""
+    """A staleness stage; the module docstring lists what each one allows."""
 
     NONE = "none"
     FRESH = "fresh"
@@ -32,15 +32,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StalenessRules:
-    """The ages at which the stages begin, in milliseconds."""
+    """The ages in milliseconds above which data is STALE or OLD, and what OLD data is used for."""
 
     stale_ms: float = 60_000.0
     old_ms: float = 24 * HOUR_MS
-    default_when_old: bool = False
+    default_when_old: bool = False  # all clients get the default tenant while the data is OLD
 
 
 class StalenessTracker:
-    """Tracks the age of one node's knowledge."""
+    """Tracks the age of one node's tenant data."""
 
     def __init__(self, rules: StalenessRules) -> None:
         self.rules = rules
@@ -48,15 +48,15 @@
         self._last_reported = StalenessStage.NONE
 
     def confirm(self, now: float) -> None:
-        """Record that the knowledge is current: a refresh ended, or changes are followed."""
+        """Record that the data is current: a refresh completed, or the change stream is alive."""
         self.confirmed_at_ms = max(self.confirmed_at_ms, now)
 
     def age_ms(self, now: float) -> float:
-        """Return the time since the last confirmation; a clock set back counts as no time."""
+        """Return the time since the last confirmation, or 0 if the clock was set back before it."""
         return max(0.0, now - self.confirmed_at_ms)
 
     def stage(self, now: float) -> StalenessStage:
-        """Return the present stage."""
+        """Return the current stage."""
         if self.confirmed_at_ms == -math.inf:
             return StalenessStage.NONE
         age_ms = self.age_ms(now)
@@ -65,7 +65,7 @@
         return StalenessStage.STALE if age_ms <= self.rules.old_ms else StalenessStage.OLD
 
     def take_stage_change(self, now: float) -> StalenessStage | None:
-        """Return the stage if it differs from the one returned last, else None."""
+        """Return the current stage if it differs from the last one that was returned, else None."""
         stage = self.stage(now)
         if stage is self._last_reported:
             return None
--- a/tests/operator/test_hcl.py
+++ b/tests/operator/test_hcl.py
@@ -72,7 +72,10 @@
             f'tenants {{\n {GOOD} start_tls = true\n tls {{\n ca_file = "/none"\n }}\n }}',
             ["ca_file", "/none"],
         ),
-        (f'tenants {{\n {GOOD} snapshot {{\n file = "/none/at/all"\n }}\n }}', ["key 'file'", "no folder"]),
+        (
+            f'tenants {{\n {GOOD} snapshot {{\n file = "/none/at/all"\n }}\n }}',
+            ["key 'file'", "/none/at is not a folder"],
+        ),
     ],
 )
 def test_each_error_names_file_block_and_key(tmp_path: Path, text: str, words: list[str]) -> None:
--- a/tests/tenants/test_tenants_program.py
+++ b/tests/tenants/test_tenants_program.py
@@ -173,13 +173,13 @@
         setup.directory.wait()
         second = setup.start_node()
         assert setup.request() == REJECTED
-        assert "5 from the snapshot" in setup.startup_log
+        assert "restored 5 tenants from the snapshot" in setup.startup_log
         second.send_signal(signal.SIGTERM)
         second.communicate(timeout=PATIENCE_S)
         snapshot.write_bytes(snapshot.read_bytes()[:-20])
         third = setup.start_node()
         assert setup.request() == SERVED  # nothing is known: the default tenant's
-        assert "not used: cut short" in setup.startup_log
+        assert "not used: truncated" in setup.startup_log
         third.send_signal(signal.SIGTERM)
         third.communicate(timeout=PATIENCE_S)
 
