--- a/snowthread/tenants/state.py
+++ b/snowthread/tenants/state.py
@@ -1,7 +1,8 @@
-"""What a node knows about tenants, as one pure state.
+"""The tenant state of a node, without I/O.
 
-The directory's reports go in; the identity of a client comes out, and with each change the quotas for
-admission control and the log lines for operators. Times are milliseconds of the node's clock.
+Its inputs are the refreshes, changes and lookup results of the directory. Its outputs are the identity of a
+client and, for each step, the quota changes for admission control and the log lines. Times are milliseconds
+of the node's clock.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class TenantState:
-    """The tenants, the clients that nobody owns, and how old the knowledge is."""
+    """The known tenants, the lookups of unknown clients and the age of the tenant data."""
 
     def __init__(self, rules: TenantRules) -> None:
         self.rules = rules
@@ -40,15 +41,16 @@
         self.counters = TenantCounters()
 
     def default_quota(self) -> TenantQuota:
-        """Return the quota of clients that no tenant owns."""
+        """Return the quota of the default tenant, which owns all clients that no other tenant owns."""
         return TenantQuota(DEFAULT_TENANT_ID, self.rules.default_quota_per_s, self.rules.default_rejected)
 
-    def identify(self, address: str, number: int | None, now: float) -> Identity:
-        """Return the tenant of a client as far as the age of the knowledge allows.
+    def identify(self, address: str, balancer_number: int | None, now: float) -> Identity:
+        """Return the identity of a client, and count the request as one of a known or an unknown client.
 
-        ``address`` is the client's, ``number`` the balancer's number in the request.
+        ``address`` is the client's IP address, ``balancer_number`` the balancer number in its request. If
+        the rules say so, OLD tenant data identifies only the clients of suspended tenants.
         """
-        identity = self.table.identify(address, number)
+        identity = self.table.identify(address, balancer_number)
         if identity.identified_by is IdentifiedBy.UNKNOWN:
             self.counters.unknown_requests += 1
             return identity
@@ -59,7 +61,7 @@
         return identity
 
     def apply_refresh(self, refresh: RefreshCompleted, server: str, now: float) -> TenantChanges:
-        """Apply a refresh in one go."""
+        """Apply a refresh without pauses and return what it changed."""
         slices = self.apply_refresh_in_slices(refresh, server, now)
         while True:
             try:
@@ -71,9 +73,10 @@
     def apply_refresh_in_slices(
         self, refresh: RefreshCompleted, server: str, now: float
     ) -> Generator[None, None, TenantChanges]:
-        """Apply a refresh, yielding where other tasks may run; the last slice replaces the table at once.
+        """Apply a refresh, yielding between slices so that other tasks can run, and return what it changed.
 
-        Nothing else may be applied meanwhile. A refresh that is closed half way has not changed the table.
+        The table is replaced at once by the last slice; closing the generator before leaves it unchanged.
+        The caller must not apply other changes until the generator ends.
         """
         changes = TenantChanges()
         self.counters.refreshes += 1
@@ -89,7 +92,7 @@
         return changes
 
     def apply_change(self, change: EntriesChanged, server: str, now: float) -> TenantChanges:
-        """Apply a change reported between refreshes."""
+        """Apply a change that the directory reports between refreshes."""
         changes = TenantChanges()
         self.counters.changes += 1
         self.guard.mark_present(change.upserts.keys())
@@ -105,10 +108,13 @@
     def apply_lookup(
         self, address: str, tenants: Collection[Tenant], bad_entries: Iterable[BadEntry], now: float
     ) -> TenantChanges:
-        """Apply the result of looking up an unknown client. It only ever adds tenants."""
+        """Apply the result of looking up an unknown client and return what it changed.
+
+        A lookup only adds tenants; it never changes or removes a known one.
+        """
         changes = TenantChanges()
         self._report_bad_entries(bad_entries, changes)
-        # A known tenant stays as the last refresh made it: this result is but one entry.
+        # Known tenants keep the values of the last refresh or change; a lookup returns only a few entries.
         new = [tenant for tenant in tenants if tenant.id not in self.table.tenants]
         self._apply(new, NOTHING_REMOVED, changes)
         found = self.table.identify(address).identified_by is not IdentifiedBy.UNKNOWN
@@ -122,7 +128,10 @@
     def restore_snapshot(
         self, tenants: Iterable[Tenant], confirmed_at: float, source_server: str, now: float
     ) -> TenantChanges:
-        """Apply the tenants of a snapshot; it is as old as it says, and never from the future."""
+        """Apply the tenants of a snapshot.
+
+        The data is as old as ``confirmed_at`` says; a time in the future counts as ``now``.
+        """
         changes = TenantChanges()
         self._apply(tenants, NOTHING_REMOVED, changes)
         self.staleness.confirm(min(confirmed_at, now))
@@ -130,7 +139,7 @@
         return changes
 
     def apply_rules(self, rules: TenantRules) -> TenantChanges:
-        """Apply the operator's other rules, and a pending removal if they accept it."""
+        """Apply new rules of the operator, and the pending removal if they accept it."""
         changes = TenantChanges()
         if rules.trusted_networks != self.rules.trusted_networks:
             self.table.set_trusted_networks(rules.trusted_networks)
@@ -145,7 +154,7 @@
         return changes
 
     def report_staleness(self, now: float) -> TenantChanges:
-        """Return a log line if the knowledge has reached another stage of staleness."""
+        """Return a log line if the staleness stage of the tenant data has changed."""
         changes = TenantChanges()
         stage = self.staleness.take_stage_change(now)
         if stage is not None:
@@ -161,7 +170,7 @@
         return self.guard.evaluate_deletions(refresh.removed_ids & known_ids, len(self.table), server, now)
 
     def _drop_outdated(self, upserts: Iterable[Tenant]) -> list[Tenant]:
-        """Return the tenants that are not older than what is known of them."""
+        """Return the tenants without those that are older than their known version, which are counted."""
         return [tenant for tenant in upserts if not self._is_outdated(tenant)]
 
     def _is_outdated(self, tenant: Tenant) -> bool:
@@ -185,7 +194,7 @@
     def _rebuild_table(
         self, upserts: list[Tenant], decision: RemovalDecision, changes: TenantChanges
     ) -> Generator[None, None, None]:
-        """Build a new table in slices and use it when it is complete."""
+        """Build a new table in slices and replace the current one when it is complete."""
         before = self.table.tenants
         rebuilt = yield from rebuild_in_slices(
             self.table, upserts, decision.removed_ids, self.rules.trusted_networks
--- a/snowthread/tenants/sync.py
+++ b/snowthread/tenants/sync.py
@@ -1,16 +1,16 @@
-"""The protocol state of a synchronisation: a server's messages in, complete changes out. Pure.
+"""The state machine of directory synchronisation: turns a server's messages into changes, without I/O.
 
 | state      | message                            | event and next state                              |
 | ---------- | ---------------------------------- | ------------------------------------------------- |
 | IDLE       | start_refresh                      | REFRESHING                                        |
-| REFRESHING | entry, id set, cookie              | collected; nothing changes yet                    |
+| REFRESHING | entry, id set, cookie              | none: collected until the refresh ends            |
 | REFRESHING | end of the refresh                 | RefreshCompleted: FOLLOWING in PERSIST, else IDLE |
 | REFRESHING | end of a page that is not the last | NextPage: REFRESHING                              |
 | FOLLOWING  | entry, id set, cookie              | EntriesChanged: FOLLOWING                         |
-| any        | end of the search, error, reset    | SearchEnded: IDLE; what was collected is dropped  |
+| any        | end of the search, error, reset    | SearchEnded: IDLE; collected entries are dropped  |
 
-The modes are those of ``replication_mode``. A cookie counts from the end of its refresh on, and only for the
-server that gave it: cookies are opaque to clients (RFC 4533, section 2.1.2).
+PERSIST is one of the modes in ``replication_mode``. A cookie is used only after the refresh that brought it
+has completed, and only at the server that sent it, since cookies are opaque (RFC 4533, section 2.1.2).
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 from snowthread.tenants.replication_mode import ReplicationMode, ServerModes
 from snowthread.tenants.sync_events import EntriesChanged, NextPage, RefreshCompleted, SearchEnded, SyncEvent
 
-FIRST_PAGE = b""  # the cookie of the first page (RFC 2696, section 3)
+FIRST_PAGE = b""  # the cookie that requests the first page (RFC 2696, section 3)
 _SYNC_MODES = {
     ReplicationMode.PERSIST: controls.SyncMode.REFRESH_AND_PERSIST,
     ReplicationMode.REFRESH: controls.SyncMode.REFRESH_ONLY,
@@ -44,16 +44,16 @@
 
 
 class ReplicationState(Enum):
-    """A state of the table above."""
+    """A state of directory synchronisation."""
 
-    IDLE = 0
-    REFRESHING = 1
-    FOLLOWING = 2
+    IDLE = 0  # no search is in progress
+    REFRESHING = 1  # a refresh is being received
+    FOLLOWING = 2  # the refresh is complete and changes are being received
 
 
 @dataclass(frozen=True, slots=True)
 class ServerCookie:
-    """From where on a refresh is incremental: a server, and its cookie if it gave one."""
+    """A synchronisation cookie and the server that sent it; ``value`` is None if there is no cookie."""
 
     server: str = ""
     value: bytes | None = None
@@ -63,7 +63,7 @@
 
 
 class DirectorySync:
-    """The synchronisation with one directory, at one server at a time."""
+    """The synchronisation with one directory, using one server at a time."""
 
     def __init__(self, query: DirectoryQuery) -> None:
         self.query = query
@@ -77,7 +77,7 @@
         self._refresh = RefreshCollector()
 
     def start_refresh(self, server: str, full: bool = False) -> SearchRequest:
-        """Return the search that starts a refresh at this server; a ``full`` one ignores the cookie."""
+        """Return the search request that starts a refresh at a server; a ``full`` one sends no cookie."""
         self._server = server
         self.mode = self._modes.mode_of(server)
         self.state = ReplicationState.REFRESHING
@@ -89,16 +89,16 @@
         return self.query.search(controls.sync_request_control(_SYNC_MODES[self.mode], cookie))
 
     def reset(self) -> None:
-        """Drop what was collected, since the connection ended."""
+        """Return to IDLE and drop the refresh in progress, because the connection or the search ended."""
         self.state = ReplicationState.IDLE
         self._refresh = RefreshCollector()
 
     def forget_cookie(self) -> None:
-        """Make the next refresh a full one."""
+        """Discard the cookie, so that the next refresh is a full one."""
         self.cookie = NO_COOKIE
 
     def set_query(self, query: DirectoryQuery) -> None:
-        """Use another query from now on; the cookie of a different one is of no use."""
+        """Use another query; if it differs in more than the page size, the cookie and the modes are reset."""
         if replace(query, page_size=0) != replace(self.query, page_size=0):
             self.forget_cookie()
             self._modes = ServerModes(query.initial_mode, query.page_size)
@@ -109,7 +109,7 @@
         self.reset()
 
     def receive(self, response: Response) -> list[SyncEvent]:
-        """Process one message of the search and return the events that follow."""
+        """Process one message of the search and return the resulting events."""
         if self.state is ReplicationState.IDLE:
             return []
         try:
@@ -129,7 +129,7 @@
                 return self._receive_search_done(response)
         return []
 
-    # Entries and sets of ids: collected in a refresh, reported at once while following.
+    # Entries and id sets: collected while REFRESHING, reported at once while FOLLOWING.
 
     def _receive_entry(self, entry: SearchResultEntry) -> list[SyncEvent]:
         if self.mode is ReplicationMode.PAGED:
@@ -137,7 +137,7 @@
         sync_state = controls.read_sync_state(entry.controls)
         if sync_state is None:
             self._modes.fall_back(self._server, self.mode)
-            return [self._end_search("entries come without their state", Reaction.FALL_BACK)]
+            return [self._end_search("server sent an entry without a Sync State control", Reaction.FALL_BACK)]
         uuids = (sync_state.entry_uuid,)
         if sync_state.state is controls.EntryState.DELETE:
             return self._mark_removed(uuids, sync_state.cookie)
@@ -194,12 +194,14 @@
         if self.state is ReplicationState.FOLLOWING or not isinstance(info, controls.RefreshPhase):
             return []
         if not info.is_delete_phase:
-            self._refresh.is_full = True  # a present phase names all entries (RFC 4533, section 3.3.2)
+            self._refresh.is_full = (
+                True  # a present phase names all existing entries (RFC 4533, section 3.3.2)
+            )
         if info.refresh_done and self.mode is ReplicationMode.PERSIST:
             return [self._complete_refresh(ReplicationState.FOLLOWING)]
         return []
 
-    # The end of the search.
+    # Search result done messages.
 
     def _receive_search_done(self, done: SearchResultDone) -> list[SyncEvent]:
         reaction = reaction_to(done.result.result_code)
@@ -211,19 +213,23 @@
                 return [NextPage(self._page_search(cookie))]
             return [self._complete_refresh(ReplicationState.IDLE)]
         if self.state is ReplicationState.FOLLOWING:
-            return [self._end_search("the server ended the search", Reaction.RETRY)]
+            return [self._end_search("server ended the search", Reaction.RETRY)]
         return self._receive_refresh_done(controls.read_sync_done(done.controls))
 
     def _receive_refresh_done(self, sync_done: controls.SyncDone | None) -> list[SyncEvent]:
         if sync_done is None:
             self._modes.fall_back(self._server, self.mode)
-            return [self._end_search("the refresh ends without its control", Reaction.FALL_BACK)]
+            return [
+                self._end_search("server ended the refresh without a Sync Done control", Reaction.FALL_BACK)
+            ]
         self._refresh.save_cookie(sync_done.cookie)
         if not sync_done.refresh_deletes:
             self._refresh.is_full = True
         completed = self._complete_refresh(ReplicationState.IDLE)
-        if self.mode is ReplicationMode.PERSIST:  # the server refreshes but does not persist
-            return [completed, SearchEnded("the server ended the search", Reaction.RETRY)]
+        if (
+            self.mode is ReplicationMode.PERSIST
+        ):  # the server refreshes but does not report changes afterwards
+            return [completed, SearchEnded("server ended the search", Reaction.RETRY)]
         return [completed]
 
     def _end_failed_search(self, code: int, reaction: Reaction) -> SearchEnded:
@@ -236,7 +242,7 @@
                 reaction = Reaction.NEEDS_OPERATOR
             else:
                 self._modes.fall_back(self._server, self.mode)
-        return self._end_search(f"code {code}", reaction)
+        return self._end_search(f"search failed with result code {code}", reaction)
 
     def _complete_refresh(self, next_state: ReplicationState) -> RefreshCompleted:
         refresh = self._refresh
--- a/snowthread/tenants/sync_events.py
+++ b/snowthread/tenants/sync_events.py
@@ -1,4 +1,4 @@
-"""What a synchronisation with the directory reports: completed refreshes, changes, ends of a search."""
+"""The events of directory synchronisation: completed refreshes, changes, further pages, ended searches."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RefreshCompleted:
-    """A refresh is complete.
+    """A refresh completed.
 
-    If it ``is_full``, tenants that are neither in ``upserts`` nor in ``present_ids`` are deleted; else
-    only those in ``removed_ids`` are.
+    If ``is_full``, all known tenants that are neither in ``upserts`` nor in ``present_ids`` were deleted from
+    the directory; otherwise only those in ``removed_ids`` were.
     """
 
     upserts: Mapping[str, Tenant]  # by tenant id
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntriesChanged:
-    """Entries changed after the refresh."""
+    """Entries were added, changed or deleted after the refresh."""
 
     upserts: Mapping[str, Tenant]  # by tenant id
     removed_ids: frozenset[str] = frozenset()
@@ -37,14 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NextPage:
-    """The search for the next page, to be sent now."""
+    """A page ended; ``search`` is the request for the next one, to be sent now."""
 
     search: SearchRequest
 
 
 @dataclass(frozen=True, slots=True)
 class SearchEnded:
-    """The search ended without a result that can be used, or after following for a while."""
+    """The search failed, or the server ended it while changes were being received.
+
+    ``reaction`` is what the client should do about ``reason``.
+    """
 
     reason: str
     reaction: Reaction
--- a/snowthread/tenants/table.py
+++ b/snowthread/tenants/table.py
@@ -1,9 +1,9 @@
-"""Which tenant owns a client: all tenants, their networks in prefix tries, their balancers' numbers.
+"""Map a client to its tenant, by networks in prefix tries and by balancer number ranges.
 
-The result depends on the set of tenants alone, never on the order of the changes, so all nodes agree: the
-longest prefix wins; where several tenants claim the same network or number, the one with the least id owns
-it until it releases it. The client's address alone decides, except in networks that the operator trusts:
-only from those does the balancer's number in a request count.
+The longest matching prefix wins. If several tenants claim the same network or balancer number, the tenant
+with the least id owns it until it releases it. The result thus depends only on the set of tenants, not on the
+order of changes, so all nodes agree. A balancer number in a request counts only if the request comes from a
+network that the operator trusts; otherwise the client address alone decides.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
 
 MAX_CACHED_IDENTITIES = 8192
 ADDRESS_BITS = {4: 32, 6: 128}
-NO_NUMBER = -1
+NO_BALANCER_NUMBER = -1
 
 
 @dataclass(slots=True)
 class TableChanges:
-    """What one call changed in the table."""
+    """The tenants that one call changed or removed, and the conflicts that it caused."""
 
     changed: list[Tenant] = field(default_factory=list)
     removed: list[Tenant] = field(default_factory=list)
-    conflicts: list[Conflict] = field(default_factory=list)  # new ones only
+    conflicts: list[Conflict] = field(default_factory=list)  # only those that did not exist before
 
     def __bool__(self) -> bool:
         return bool(self.changed or self.removed)
 
 
 class TenantTable:
-    """All known tenants; ``version`` counts the changes."""
+    """All known tenants; ``version`` increases with each call of ``apply`` that changes the table."""
 
     def __init__(self, trusted_networks: Iterable[Network] = ()) -> None:
         self.tenants: dict[str, Tenant] = {}
         self.version = 0
-        self.network_count = 0  # claims of networks, over all tenants
-        self._claims: dict[str, list[str]] = {}  # network -> ids of the tenants that claim it, sorted
+        self.network_count = 0  # networks of all tenants; one that two tenants claim counts twice
+        self._claims: dict[str, list[str]] = {}  # network to the sorted ids of the tenants that claim it
         self._owners = _new_tries()
         self._trusted = _new_tries()
         self._ranges = BalancerRanges()
@@ -53,7 +53,7 @@
         self.set_trusted_networks(trusted_networks)
 
     def set_trusted_networks(self, networks: Iterable[Network]) -> None:
-        """Let balancers' numbers count in requests from these networks, and from no others."""
+        """Use the balancer number of requests from these networks only."""
         self._trusted = _new_tries()
         for network in networks:
             self._trusted[network.version][str(network)] = True
@@ -64,30 +64,30 @@
 
     @property
     def conflicts(self) -> list[Conflict]:
-        """The present conflicts, as far as they are recorded."""
+        """The current conflicts, for a limited number of resources."""
         return self._conflicts.current()
 
-    def identify(self, address: str, number: int | None = None) -> Identity:
-        """Return the tenant of a client.
+    def identify(self, address: str, balancer_number: int | None = None) -> Identity:
+        """Return the identity of a client.
 
-        ``address`` is the socket's, ``number`` the balancer's number in the request.
+        ``address`` is the peer address of the socket, ``balancer_number`` the number in the request.
         """
-        key = (address, NO_NUMBER if number is None else number)
+        key = (address, NO_BALANCER_NUMBER if balancer_number is None else balancer_number)
         identity = self._cache.get(key)
         if identity is None:
-            identity = self._identify_uncached(address, number)
+            identity = self._identify_uncached(address, balancer_number)
             self._cache[key] = identity
             if len(self._cache) > MAX_CACHED_IDENTITIES:
                 self._cache.popitem(last=False)
         return identity
 
-    def _identify_uncached(self, address: str, number: int | None) -> Identity:
+    def _identify_uncached(self, address: str, balancer_number: int | None) -> Identity:
         ip = parse_client_address(address)
         if ip is None:
             return UNKNOWN_IDENTITY
         text = str(ip)
-        if number is not None and text in self._trusted[ip.version]:
-            claimants = self._ranges.claimants(number)
+        if balancer_number is not None and text in self._trusted[ip.version]:
+            claimants = self._ranges.claimants(balancer_number)
             if claimants:
                 return Identity(claimants[0], IdentifiedBy.BALANCER)
         trie = self._owners[ip.version]
@@ -97,7 +97,7 @@
         return Identity(trie[network], IdentifiedBy.NETWORK, network)
 
     def apply(self, upserts: Iterable[Tenant], removed_ids: Iterable[str] = ()) -> TableChanges:
-        """Remove tenants, then add and replace others, as one change of the table."""
+        """Remove tenants, then add or replace others, as one change of the table; unknown ids are ignored."""
         changes = TableChanges()
         for tenant_id in removed_ids:
             self._remove(tenant_id, changes)
@@ -166,7 +166,7 @@
             self._record_range_conflicts(tenant, changes)
 
     def _record_range_conflicts(self, tenant: Tenant, changes: TableChanges) -> None:
-        """Review the conflicts of overlapping ranges at the ends of the ranges that changed."""
+        """Record the claimants at both ends of a tenant's changed ranges, to detect overlapping ranges."""
         for number in {end for ends in tenant.balancers for end in ends}:
             changes.conflicts += self._conflicts.record_claimants(
                 f"balancer {number}", self._ranges.claimants(number)
--- a/snowthread/tenants/table_rebuild.py
+++ b/snowthread/tenants/table_rebuild.py
@@ -1,6 +1,6 @@
-"""Build a table of tenants in slices, with a pause for other tasks after each. Pure.
+"""Build a tenant table in slices, so that other tasks can run between them, without I/O.
 
-A table of a hundred thousand networks takes most of a second to build, too long for requests to wait.
+A table of a hundred thousand networks takes most of a second to build, too long to block requests.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 from snowthread.tenants.model import Network, Tenant
 from snowthread.tenants.table import TableChanges, TenantTable
 
-MAX_ITEMS_PER_SLICE = 300  # tenants and networks: one or two milliseconds
+MAX_ITEMS_PER_SLICE = 300  # tenants and networks; a slice takes one or two milliseconds
 
 
 @dataclass(frozen=True, slots=True)
 class RebuiltTable:
-    """A new table, and how it differs from the old one."""
+    """A new table and its differences from the old one."""
 
     table: TenantTable
     changes: TableChanges
 
 
 def fits_in_one_slice(upserts: Collection[Tenant], removed_ids: Collection[str]) -> bool:
-    """Return whether the present table can take these changes without a pause."""
+    """Return whether these changes are few enough to be applied to the existing table without a pause."""
     return sum(map(_item_count, upserts)) + len(removed_ids) <= MAX_ITEMS_PER_SLICE
 
 
@@ -33,7 +33,7 @@
     removed_ids: Collection[str],
     trusted_networks: Sequence[Network],
 ) -> Generator[None, None, RebuiltTable]:
-    """Build a table with these changes, yielding between slices; the old table is not touched."""
+    """Build a table with these changes, yielding between slices; the old table is not modified."""
     tenants = {**old.tenants, **{tenant.id: tenant for tenant in upserts}}
     for tenant_id in removed_ids:
         del tenants[tenant_id]
@@ -54,5 +54,5 @@
 
 
 def _item_count(tenant: Tenant) -> int:
-    """Return the tenant's part of a slice: itself and its networks."""
+    """Return how many items of a slice a tenant counts as: itself and its networks."""
     return 1 + len(tenant.networks)
--- a/snowthread/tenants/unknown_clients.py
+++ b/snowthread/tenants/unknown_clients.py
@@ -1,9 +1,9 @@
-"""Lookups of clients that no known tenant owns. Pure.
+"""Schedule directory lookups of clients that no known tenant owns, without I/O.
 
-At most one lookup per client is in flight. A client that the directory doesn't know either is remembered for
-a bounded time (negative cache). Lookups in flight, waiting clients, remembered clients and lookups a second
-are all bounded, so that many unknown clients cost the directory next to nothing. Meanwhile their requests
-belong to the default tenant.
+At most one lookup per client is in flight. A client that the directory does not know either is kept in a
+negative cache for a limited time. The lookups in flight, the waiting clients, the negative cache and the
+lookups per second are limited, so that many unknown clients put almost no load on the directory. Until a
+lookup finds a tenant, requests of the client belong to the default tenant.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownClientRules:
-    """Whether unknown clients are looked up, and the bounds."""
+    """Whether unknown clients are looked up, the limits of lookups, and the prefix lengths to search for."""
 
     enabled: bool = True
     negative_ttl_ms: float = 60_000.0
@@ -34,7 +34,7 @@
 
 
 class UnknownClients:
-    """Clients that wait for a lookup, are looked up, or are known to be unknown."""
+    """Clients that wait for a lookup, are being looked up, or are in the negative cache."""
 
     def __init__(self, rules: UnknownClientRules) -> None:
         self.rules = rules
@@ -42,7 +42,7 @@
         self.lookups_dropped = 0
         self._waiting: OrderedDict[str, None] = OrderedDict()
         self._in_flight: set[str] = set()
-        self._negative_cache: OrderedDict[str, float] = OrderedDict()  # address -> time of expiry
+        self._negative_cache: OrderedDict[str, float] = OrderedDict()  # address to its expiry time
         self._tokens = rules.lookups_per_s
         self._refilled_at_ms = 0.0
 
@@ -51,12 +51,12 @@
 
     @property
     def waiting(self) -> int:
-        """The number of clients that wait for their lookup."""
+        """The number of clients that wait for a lookup."""
         return len(self._waiting)
 
     @property
     def negative_cache_size(self) -> int:
-        """The number of clients that are remembered as unknown to the directory."""
+        """The number of clients that are cached as unknown to the directory."""
         return len(self._negative_cache)
 
     def request_lookup(self, address: str, now: float) -> bool:
@@ -75,7 +75,7 @@
         return True
 
     def start_next_lookup(self, now: float) -> str | None:
-        """Return the client to look up now, or None if none waits or the bounds allow none."""
+        """Return the client to look up now, or None if none waits or the limits allow no lookup."""
         self._refill_tokens(now)
         if not self._waiting or len(self._in_flight) >= self.rules.max_in_flight or self._tokens < 1.0:
             return None
@@ -86,7 +86,7 @@
         return address
 
     def finish_lookup(self, address: str, found: bool, now: float) -> None:
-        """Note the result of a lookup; a client that was not found is remembered."""
+        """Record the result of a lookup; a client that was not found enters the negative cache."""
         self._in_flight.discard(address)
         if found:
             return
@@ -96,11 +96,11 @@
             self._negative_cache.popitem(last=False)
 
     def abort_lookups(self) -> None:
-        """Forget the lookups in flight, since the connection ended; next requests may repeat them."""
+        """Forget the lookups in flight because the connection ended; later requests may repeat them."""
         self._in_flight.clear()
 
     def clear_negative_cache(self) -> None:
-        """Forget which clients are unknown, since the table changed."""
+        """Clear the negative cache because the table changed."""
         self._negative_cache.clear()
 
     def _refill_tokens(self, now: float) -> None:
@@ -111,9 +111,10 @@
 
 
 def lookup_filter(address: str, attribute: str, rules: UnknownClientRules) -> Or | None:
-    """Return the filter for tenants with a network around this address, or None if it is no address.
+    """Return a filter for tenants with a network that contains this address, or None for an invalid address.
 
-    It tests for each prefix length that operators use, since a directory compares networks as text.
+    Directories compare networks as text, so the filter has one equality test for each prefix length in the
+    rules, and one for the address itself.
     """
     ip = parse_client_address(address)
     if ip is None:
