--- a/tests/support/directory_harness.py
+++ b/tests/support/directory_harness.py
@@ -1,4 +1,4 @@
-"""A replicator and emulated directories on one event loop, on a clock that the test moves."""
+"""A test harness: a replicator and emulated directories on one event loop, with a manual clock."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 EXAMPLE = Path(__file__).parents[2] / "examples" / "node.json"
 
 
-def settings(servers: list[str], more: str = "") -> TenantSettings:
-    """Return the settings of a block ``tenants`` with these servers and further keys."""
+def settings(servers: list[str], extra: str = "") -> TenantSettings:
+    """Return the settings of a block ``tenants`` with these servers and the further keys in ``extra``."""
     text = f"""tenants {{
       servers = [{", ".join(f'"{server}"' for server in servers)}]
       base = "ou=tenants,dc=example"
       spread = "1ms"
-      {more}
+      {extra}
     }}
     """
     block = hcl.Block("test.hcl", "", hcl2.loads(text)).block("tenants")
@@ -37,7 +37,7 @@
 
 
 class DirectoryHarness:
-    """Directories with the same content and, once started, a replicator."""
+    """Emulated directories with the same content and, after ``start``, a replicator that uses them."""
 
     def __init__(
         self, directories: int = 1, tenants: int = 10, capabilities: Capabilities | None = None
@@ -69,17 +69,17 @@
     def tenant_names(self) -> set[str]:
         return {tenant.name for tenant in self.tenants.table.tenants.values()}
 
-    def start(self, more: str = "", seed: int = 1, servers: list[str] | None = None) -> DirectoryHarness:
-        """Start the replicator, with these keys in its block."""
-        made = settings(servers or self.urls, more)
-        self.tenants = TenantState(made.rules)
+    def start(self, extra: str = "", seed: int = 1, servers: list[str] | None = None) -> DirectoryHarness:
+        """Start a replicator of ``servers`` (default: all directories) with the settings in ``extra``."""
+        tenant_settings = settings(servers or self.urls, extra)
+        self.tenants = TenantState(tenant_settings.rules)
         self.replicator = DirectoryReplicator(
-            self.loop, made, self.tenants, random.Random(seed), self._collect
+            self.loop, tenant_settings, self.tenants, random.Random(seed), self._collect
         )
         return self
 
     def run(self, duration_ms: float, step_ms: float = 50.0) -> None:
-        """Let time pass, in steps."""
+        """Run the event loop and advance the clock in steps, for a total of ``duration_ms``."""
         end = self.clock.now_ms + duration_ms
         while self.clock.now_ms < end:
             for _ in range(3):
@@ -87,14 +87,14 @@
             self.clock.now_ms = min(end, self.clock.now_ms + step_ms)
 
     def wait_until(
-        self, holds: Callable[[], bool], timeout_ms: float = 60_000.0, step_ms: float = 20.0
+        self, condition: Callable[[], bool], timeout_ms: float = 60_000.0, step_ms: float = 20.0
     ) -> float:
-        """Run until the condition holds and return how long that took."""
-        began = self.clock.now_ms
-        while not holds():
-            assert self.clock.now_ms - began < timeout_ms, "the condition never became true"
+        """Run until the condition is true and return how many milliseconds of clock time that took."""
+        started_at = self.clock.now_ms
+        while not condition():
+            assert self.clock.now_ms - started_at < timeout_ms, "the condition never became true"
             self.run(step_ms, step_ms)
-        return self.clock.now_ms - began
+        return self.clock.now_ms - started_at
 
     def wait_for_refresh(self) -> None:
         """Run until the first refresh is complete."""
@@ -105,7 +105,7 @@
         return [line.text for line in self.log_lines if line.event == event]
 
     def close(self) -> None:
-        """Close what is open, so that one test's descriptors are not another's."""
+        """End all tasks and close the listeners, so that no descriptor stays open for the next test."""
         self.loop.end_all_tasks()
         for directory in self.directories:
             directory._listener.close()
--- a/tests/tenants/test_removal_guard.py
+++ b/tests/tenants/test_removal_guard.py
@@ -1,4 +1,4 @@
-"""Which removals are applied, pending, confirmed and accepted."""
+"""Which removals are applied at once, pending, confirmed by a refresh or accepted by the operator."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def test_a_slow_removal_of_everything_is_pending_too() -> None:
     guard = guard_of_server_a()
     removed = 0
-    for number in range(TENANTS):  # one by one, as a script that empties the tree would
+    for number in range(TENANTS):  # one at a time, like a script that deletes all entries
         decision = guard.evaluate_deletions(ids(number), TENANTS - removed, "a", number * 1000.0)
         removed += len(decision.removed_ids)
     assert removed == 10
--- a/tests/tenants/test_staleness.py
+++ b/tests/tenants/test_staleness.py
@@ -1,4 +1,4 @@
-"""The stages of staleness."""
+"""Staleness stages follow the age of the tenant data."""
 
 from __future__ import annotations
 
--- a/tests/tenants/test_tenant_changes_in_reducer.py
+++ b/tests/tenants/test_tenant_changes_in_reducer.py
@@ -1,6 +1,7 @@
-"""A tenant changes while its requests are in any phase.
+"""A tenant is removed, suspended or changed while its requests are queued, running or complete.
 
-Each request ends exactly once, nothing runs twice, and a retry of what ran still gets its result.
+Each request is answered at most once, no attempt runs twice, and a retry of an attempt that ran still gets
+its result.
 """
 
 from __future__ import annotations
@@ -22,23 +23,24 @@
 SETTINGS = config.parse(FIELDS).settings
 REMOVED = events.TenantQuotasChanged(removed=frozenset({"a"}))
 SUSPENDED = events.TenantQuotasChanged((Tenant("a", 5.0, suspended=True),))
-RENAMED = events.TenantQuotasChanged(())  # the id stays, so admission control is not notified
+RENAMED = events.TenantQuotasChanged(())  # a rename keeps the id, so no quota changes
 SMALLER_QUOTA = events.TenantQuotasChanged((Tenant("a", 0.001),), over_quota_weight=0.05)
 NO_DISPENSE = events.TenantQuotasChanged((Tenant("a", 5.0, allowed_classes=("match",)),))
 
 
 class Node:
-    """The reducer with all that it answered and started."""
+    """The reducer, with a record of the responses, runs and calls that it produced."""
 
-    def __init__(self, **more: object) -> None:
+    def __init__(self, **changes: object) -> None:
         self.now = START
-        settings = replace(SETTINGS, cores=1, collapse_multiple=1.0, **more)  # type: ignore[arg-type]
+        settings = replace(SETTINGS, cores=1, collapse_multiple=1.0, **changes)  # type: ignore[arg-type]
         self.state = NodeState(settings, 7, (), AdmissionClock(START))
         self.answers: dict[int, list[object]] = {}
         self.started: list[str] = []
         self.calls: list[str] = []
         quotas = (Tenant("a", 5.0), Tenant("b", 5.0))
-        self.post(events.TenantQuotasChanged(quotas))  # before there is a controller
+        # Quotas that are posted before the runtime connects find no controller yet.
+        self.post(events.TenantQuotasChanged(quotas))
         self.post(events.RuntimeConnected(False, 0.0))
 
     def post(self, message: events.Event) -> None:
@@ -76,7 +78,7 @@
         self.post(events.RunCompleted(attempt_id, Outcome.SUCCESS, 50.0, result))
 
     def answer_to(self, number: int) -> str:
-        """Return the type of the one answer to a request, or an empty text; there must never be two."""
+        """Return the type name of the answer to a request, or an empty string; two answers are a failure."""
         answers = self.answers.get(number, [])
         assert len(answers) <= 1, answers
         return type(answers[0]).__name__ if answers else ""
@@ -95,21 +97,25 @@
     assert node.started == [done, running] and not node.answer_to(3) and not node.answer_to(4)
     before = len(node.started)
     node.post(change)
-    gone = change is not RENAMED and change is not SMALLER_QUOTA
-    assert node.answer_to(3) == ("Rejected" if gone else "")  # queued: rejected at once, it never ran
-    # Running, waiting for the running one, and another tenant's.
+    rejects_queued = change is not RENAMED and change is not SMALLER_QUOTA
+    assert node.answer_to(3) == ("Rejected" if rejects_queued else "")  # rejected while queued, before it ran
+    # Request 2 is running, 4 follows it, and 5 belongs to another tenant: none of them is affected.
     assert not node.answer_to(2) and not node.answer_to(4) and not node.answer_to(5)
     assert len(node.started) == before
-    retry = node.request(6, "k1")  # of what ran: its result, whatever happened to its tenant
+    # The retry of a completed attempt gets its result, whatever happened to its tenant.
+    retry = node.request(6, "k1")
     assert node.answer_to(6) == "Served" and node.answers[6] == [effects.Served(b"first")]
     node.request(7, "k7")
     if change is SUSPENDED or change is NO_DISPENSE:
-        assert node.answer_to(7) == "Rejected"  # new work of a barred tenant, or class
+        # New work of a suspended tenant, or of a class that the tenant may not send, is rejected.
+        assert node.answer_to(7) == "Rejected"
     node.complete(running, b"second")
     assert node.answers[2] == [effects.Served(b"second")] == node.answers[4]
     assert retry not in node.started
     for _ in range(6):
-        for attempt_id in [u for u in (queued, other_queued, f"{7:016x}") if u in node.started]:
+        for attempt_id in [
+            queued_id for queued_id in (queued, other_queued, f"{7:016x}") if queued_id in node.started
+        ]:
             node.complete(attempt_id)
     assert node.answer_to(5) == "Served" and node.answer_to(3) in ("Served", "Rejected")
     assert len(set(node.started)) == len(node.started)
@@ -133,7 +139,7 @@
     retry = node.request(3, "k2")
     node.post(SUSPENDED)
     assert node.answer_to(2) == "Rejected" and node.answer_to(3) == "Failed"
-    node.request(4, "k2")  # nothing ran under this key: it is barred like new work
+    node.request(4, "k2")  # nothing ran with this key, so it is rejected like new work
     assert node.answer_to(4) == "Rejected" and queued not in node.started and retry not in node.started
 
 
@@ -141,7 +147,7 @@
     node = Node()
     attempt_id = node.request(1, "k1", tenant="a")
     node.complete(attempt_id)
-    node.request(2, "k1", tenant="b")  # the same request, read as another tenant's now
+    node.request(2, "k1", tenant="b")  # the same request, now identified as another tenant's
     assert node.answer_to(2) == "Served" and node.started == [attempt_id]
 
 
@@ -171,7 +177,7 @@
     node = Node()
     node.post(events.TenantQuotasChanged((Tenant("a", 0.5), Tenant("b", 50.0)), over_quota_weight=0.05))
     blocker = node.request(1, tenant="a")
-    for n in range(12, 30):  # what of it ran lately counts, not what it sends
+    for n in range(12, 30):  # only recent runs count against the quota, not the requests sent
         node.complete(blocker)
         blocker = node.request(n, tenant="a")
     over = node.request(40, tenant="a")
--- a/tests/tenants/test_tenant_entry.py
+++ b/tests/tenants/test_tenant_entry.py
@@ -1,4 +1,4 @@
-"""Tenants read from directory entries."""
+"""Parsing of directory entries into tenants."""
 
 from __future__ import annotations
 
--- a/tests/tenants/test_tenant_identification.py
+++ b/tests/tenants/test_tenant_identification.py
@@ -1,4 +1,4 @@
-"""Identification of a node's clients, and the line on its state in the log."""
+"""Identification of a node's clients, and the log event ``tenants.state``."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def state_records() -> Iterator[list[dict[str, object]]]:
-    """Return the fields of each ``tenants.state`` line."""
+    """Collect the fields of each ``tenants.state`` event."""
     records: list[dict[str, object]] = []
 
     def collect(message: loguru.Message) -> None:
--- a/tests/tenants/test_tenant_snapshot.py
+++ b/tests/tenants/test_tenant_snapshot.py
@@ -1,4 +1,4 @@
-"""The snapshot file: damaged files are rejected, and a crash leaves the old file or the new one."""
+"""The snapshot file: damaged files are rejected, and a failed write leaves the old file."""
 
 from __future__ import annotations
 
--- a/tests/tenants/test_tenant_state.py
+++ b/tests/tenants/test_tenant_state.py
@@ -1,4 +1,4 @@
-"""What a node knows: old knowledge, outdated entries, lookups, refreshes in slices."""
+"""The tenant state: OLD data, outdated entries, lookups, refreshes in slices, bounded log lines."""
 
 from __future__ import annotations
 
--- a/tests/tenants/test_tenant_table.py
+++ b/tests/tenants/test_tenant_table.py
@@ -1,4 +1,4 @@
-"""Who owns a caller: the longest prefix, the least id, and the same at every node whatever came first."""
+"""The owner of a client: longest prefix, then least id, and independent of the order of changes."""
 
 from __future__ import annotations
 
@@ -69,7 +69,8 @@
         and table.identify("10.7.0.1", 4).identified_by is IdentifiedBy.BALANCER
     )
     assert table.identify("10.7.0.1", 6).tenant_id == "a" and table.identify("10.7.0.1", 100).tenant_id == "b"
-    assert table.identify("10.8.0.1", 4).tenant_id == "a"  # anybody could write a 4
+    # The number does not count from a network that is not trusted, where any client could send it.
+    assert table.identify("10.8.0.1", 4).tenant_id == "a"
     assert table.identify("12.0.0.1", 4).tenant_id == "default"
     table.set_trusted_networks([])
     assert table.identify("10.7.0.1", 4).tenant_id == "a"
@@ -84,7 +85,7 @@
         "network 10.0.0.0/8 is claimed by a, which owns it, and by b"
     ]
     assert table.identify("10.0.0.1").tenant_id == "a" and len(table.conflicts) == 1
-    assert not table.apply([tenant("b", "10.0.0.0/8", quota=2.0)]).conflicts  # said once
+    assert not table.apply([tenant("b", "10.0.0.0/8", quota=2.0)]).conflicts  # a conflict is reported once
     table.apply([tenant("a", "11.0.0.0/8")])
     assert table.identify("10.0.0.1").tenant_id == "b" and not table.conflicts
     table.apply([], ["b"])
--- a/tests/tenants/test_tenants_program.py
+++ b/tests/tenants/test_tenants_program.py
@@ -1,4 +1,4 @@
-"""The complete program with a directory: through stalls, suspensions, reloads, cold starts and shutdowns."""
+"""The program with a directory: stalls, suspensions, reloads, cold starts, shutdowns and commands."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 
 
 class TenantsSetup:
-    """A node's configuration, an operator's file, and a directory that takes commands."""
+    """A node configuration, an operator's file, and an emulated directory that accepts commands."""
 
-    def __init__(self, folder: Path, stack: ExitStack, more: str = "") -> None:
+    def __init__(self, folder: Path, stack: ExitStack, extra: str = "") -> None:
         self.folder = folder
         self.stack = stack
         self.directory_address = format_address(reserve_address())
         self.node_config = configuration(folder, stop_ms=1000)
         self.operator_file = folder / "tenants.hcl"
-        self.more = more
+        self.extra = extra
         self.write(self.directory_address)
         self.directory: subprocess.Popen[str]
 
-    def write(self, directory_address: str, more: str = "") -> None:
+    def write(self, directory_address: str, extra: str = "") -> None:
         self.operator_file.write_text(f"""tenants {{
           servers = ["ldap://{directory_address}"]
           base = "ou=tenants,dc=example"
@@ -53,8 +53,8 @@
           probe = "300ms"
           operation = "600ms"
           retry {{ pause_most = "300ms" }}
-          {self.more}
-          {more}
+          {self.extra}
+          {extra}
         }}
         """)
 
@@ -77,7 +77,7 @@
         self.directory.stdin.flush()
         assert self.directory.stdout.readline() == f"done: {line}\n"
 
-    def start_node(self, **more: Any) -> subprocess.Popen[str]:
+    def start_node(self, **extra: Any) -> subprocess.Popen[str]:
         if self.node_config.with_name("site").exists() is False:
             self.node_config.with_name("site").touch()
             self.stack.enter_context(site(self.node_config))
@@ -89,7 +89,7 @@
                 "--with",
                 str(self.operator_file),
                 env=environment(self.node_config),
-                **more,
+                **extra,
             )
         )
         self.startup_log = read_log_until(process, "listens on")
@@ -104,9 +104,9 @@
         )
         return str(response[2][0]) if response[2] else SERVED
 
-    def wait_until(self, holds: Callable[[], bool]) -> None:
+    def wait_until(self, condition: Callable[[], bool]) -> None:
         end = time.monotonic() + PATIENCE_S
-        while not holds():
+        while not condition():
             assert time.monotonic() < end, "the condition never became true"
             time.sleep(0.05)
 
@@ -118,7 +118,7 @@
 
 
 def read_log_until(process: subprocess.Popen[str], text: str) -> str:
-    """Return all lines up to the one with this text."""
+    """Return all log lines up to and including the first one that contains ``text``."""
     assert process.stderr is not None
     lines = ""
     for line in iter(process.stderr.readline, ""):
@@ -134,14 +134,15 @@
     read_log_until(process, "refreshed in")
     assert setup.request() == SERVED and setup.request("k1") == SERVED
     setup.command("stall")
-    began = time.monotonic()
-    while time.monotonic() < began + 2.5:  # longer than an operation may take, so the link is given up
+    started_at = time.monotonic()
+    # The stall lasts longer than the operation timeout, so the node closes the connection.
+    while time.monotonic() < started_at + 2.5:
         assert setup.request() == SERVED
     read_log_until(process, "probe timed out")
     setup.command("go")
-    setup.command("suspend Farbhof")  # 127.0.0.0/24: everybody here
+    setup.command("suspend Farbhof")  # owns 127.0.0.0/24, the network of this test's client
     setup.wait_until(lambda: setup.request() == REJECTED)
-    assert setup.request("k1") == SERVED  # a retry of what ran
+    assert setup.request("k1") == SERVED  # a retry of a request that ran gets its result
     assert setup.request("k2") == REJECTED
     process.send_signal(signal.SIGTERM)
     assert process.wait(PATIENCE_S) == 0
@@ -151,11 +152,11 @@
     setup.start_directory()
     setup.command("stall")
     process = setup.start_node()
-    assert setup.request() == SERVED  # the default tenant's
-    began = time.monotonic()
+    assert setup.request() == SERVED  # by the default tenant's quota, as no tenant is known yet
+    started_at = time.monotonic()
     process.send_signal(signal.SIGTERM)
     log = process.communicate(timeout=PATIENCE_S)[1]
-    assert process.returncode == 0 and time.monotonic() - began < 3.0
+    assert process.returncode == 0 and time.monotonic() - started_at < 3.0
     assert "Traceback" not in log and "stopped" in log
 
 
@@ -178,7 +179,7 @@
         second.communicate(timeout=PATIENCE_S)
         snapshot.write_bytes(snapshot.read_bytes()[:-20])
         third = setup.start_node()
-        assert setup.request() == SERVED  # nothing is known: the default tenant's
+        assert setup.request() == SERVED  # by the default tenant's quota, as no tenant is known
         assert "not used: truncated" in setup.startup_log
         third.send_signal(signal.SIGTERM)
         third.communicate(timeout=PATIENCE_S)
@@ -195,14 +196,15 @@
     old = setup.directory_address
     setup.directory_address = format_address(reserve_address())
     assert old != setup.directory_address
-    setup.start_directory()  # another server
+    setup.start_directory()  # a second server at the new address
     setup.write(setup.directory_address, "default {\n refuse = true\n }")
     process.send_signal(signal.SIGHUP)
     read_log_until(process, "read anew")
     assert setup.directory_address in read_log_until(process, "refreshed in")
     assert setup.request() == SERVED
     setup.command("remove Farbhof")
-    setup.wait_until(lambda: setup.request() == REJECTED)  # unknown clients are rejected now
+    # No tenant owns the client any more, and the new settings reject unknown clients.
+    setup.wait_until(lambda: setup.request() == REJECTED)
 
 
 def test_the_log_is_one_json_object_a_line_if_so_configured(setup: TenantsSetup) -> None:
@@ -237,15 +239,15 @@
 
 def test_the_commands_show_whois_and_check(setup: TenantsSetup) -> None:
     setup.start_directory()
-    setup.command("put Zwei 127.0.0.0/24 3")  # claims what another has
+    setup.command("put Zwei 127.0.0.0/24 3")  # claims a network that another tenant owns
     shown = run_command(setup, "tenants", "show", "--with", str(setup.operator_file))
     assert shown.returncode == 0 and "6 tenants" in shown.stdout and "Kolory  active  30/s" in shown.stdout
     known = run_command(setup, "tenants", "whois", "--with", str(setup.operator_file), "127.0.1.9")
     assert known.returncode == 0 and "Kolory" in known.stdout and "127.0.1.0/24" in known.stdout
     unowned = run_command(setup, "tenants", "whois", "--with", str(setup.operator_file), "10.0.0.1")
     assert unowned.returncode == 1 and "owned by no tenant" in unowned.stdout
-    faults = run_command(setup, "tenants", "check", "--with", str(setup.operator_file))
-    assert faults.returncode == 1 and "127.0.0.0/24 is claimed by" in faults.stdout
+    problems = run_command(setup, "tenants", "check", "--with", str(setup.operator_file))
+    assert problems.returncode == 1 and "127.0.0.0/24 is claimed by" in problems.stdout
     assert run_command(setup, "check", "--with", str(setup.operator_file)).stdout.startswith(
         "tenants from ldap://"
     )
--- a/tests/tenants/test_unknown_clients.py
+++ b/tests/tenants/test_unknown_clients.py
@@ -1,4 +1,4 @@
-"""Lookups of unknown clients: one at a time for each, bounded, negative results cached."""
+"""Lookups of unknown clients: one per client at a time, limited in number and rate, negatively cached."""
 
 from __future__ import annotations
 
@@ -58,10 +58,10 @@
     assert sent <= 5 * 10 + 5
 
 
-def test_a_lookup_asks_for_every_prefix_round_the_client() -> None:
-    made = lookup_filter("10.1.2.3", "net", UnknownClientRules(ipv4_prefix_lengths=(8, 24, 32)))
-    assert made is not None
-    values = [test.assertion_value for test in made.filters if isinstance(test, Comparison)]
-    assert len(values) == len(made.filters)
+def test_a_lookup_asks_for_every_prefix_around_the_client() -> None:
+    search_filter = lookup_filter("10.1.2.3", "net", UnknownClientRules(ipv4_prefix_lengths=(8, 24, 32)))
+    assert search_filter is not None
+    values = [test.assertion_value for test in search_filter.filters if isinstance(test, Comparison)]
+    assert len(values) == len(search_filter.filters)
     assert values == [b"10.0.0.0/8", b"10.1.2.0/24", b"10.1.2.3/32", b"10.1.2.3"]
     assert lookup_filter("nonsense", "net", UnknownClientRules()) is None
