--- a/snowthread/ldap/ber.py
+++ b/snowthread/ldap/ber.py
@@ -1,8 +1,9 @@
-"""BER frames: the length of the next message, from its head, and a check of its structure.
+"""Frame BER messages by their header and validate their structure.
 
-The typed decoding is asn1tools' (see ``schema``). This module does what a library does not: a limit before
-anything is buffered, definite lengths only (RFC 4511, section 5.1), every element inside its parent, and a
-bound on the depth and the number of elements, so that a hostile server costs a bounded amount of work.
+asn1tools decodes the content (see ``schema``). This module adds checks that the library does not make: a size
+limit before a message is buffered, definite lengths only (RFC 4511, section 5.1), every element within its
+parent, and limits on the nesting depth and the number of elements. The work that a hostile server can cause
+is thus limited.
 """
 
 from __future__ import annotations
@@ -10,35 +11,35 @@
 from dataclasses import dataclass
 
 SEQUENCE = 0x30
-CONSTRUCTED = 0x20  # the bit of a tag: the element consists of others
-LONG_TAG = 0x1F  # the tag continues in further octets
-LONG_FORM = 0x80  # of a length: the low bits count the octets that follow
+CONSTRUCTED = 0x20  # bit of a tag: the element consists of other elements
+LONG_TAG = 0x1F  # bits of a tag that continues in further octets
+LONG_FORM = 0x80  # bit of a length octet: the other bits are the number of length octets that follow
 MAX_LENGTH_OCTETS = 4
-MIN_HEAD_BYTES = 2  # a tag and a length
+MIN_HEAD_BYTES = 2  # one tag octet and one length octet
 
 
 class MalformedMessageError(ValueError):
-    """Bytes are no LDAP message; nothing after them can be read."""
+    """Received bytes are not a valid LDAP message; the bytes after them can't be read either."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageLimits:
-    """The limits of one message: bytes, levels of nesting, elements."""
+    """Limits on one received message."""
 
     max_frame_bytes: int = 512 * 1024
-    max_depth: int = 24
+    max_depth: int = 24  # levels of nested elements
     max_elements: int = 20_000
 
 
 def frame_length(data: bytes | bytearray | memoryview, limits: MessageLimits) -> int | None:
-    """Return the length of the first message with its head, or None if the head is not complete yet.
+    """Return the length of the first message including its header, or None if the header is incomplete.
 
     Raises:
-        MalformedMessageError: No message starts with these bytes, or it is longer than the bounds.
+        MalformedMessageError: The bytes are not the start of a message, or the message exceeds the limits.
     """
     size = len(data)
     if size and data[0] != SEQUENCE:
-        raise MalformedMessageError(f"a message starts with 0x30, not 0x{data[0]:02x}")
+        raise MalformedMessageError(f"expected a message to start with 0x30, received 0x{data[0]:02x}")
     if size < MIN_HEAD_BYTES:
         return None
     first = data[1]
@@ -46,20 +47,22 @@
         return MIN_HEAD_BYTES + first
     octets = first & ~LONG_FORM
     if octets == 0:
-        raise MalformedMessageError("an indefinite length")
+        raise MalformedMessageError("indefinite length")
     if octets > MAX_LENGTH_OCTETS:
-        raise MalformedMessageError(f"a length of {octets} octets")
+        raise MalformedMessageError(f"length of {octets} octets, which is too long")
     head_bytes = MIN_HEAD_BYTES + octets
     if size < head_bytes:
         return None
     length = int.from_bytes(data[MIN_HEAD_BYTES:head_bytes])
     if length > limits.max_frame_bytes:
-        raise MalformedMessageError(f"a message of {length} bytes, at most {limits.max_frame_bytes} are read")
+        raise MalformedMessageError(
+            f"message of {length} bytes, at most {limits.max_frame_bytes} are allowed"
+        )
     return head_bytes + length
 
 
 def check(frame: bytes, limits: MessageLimits) -> None:
-    """Check the structure of a frame in one pass.
+    """Validate the structure of a complete message in one pass.
 
     Raises:
         MalformedMessageError: A length is indefinite, an element extends beyond its parent, or the nesting
@@ -67,8 +70,8 @@
     """
     size = len(frame)
     position = 0
-    end = size  # of the element that contains the position
-    outer_ends: list[int] = []  # of the elements around it, the innermost last
+    end = size  # end of the innermost element that contains the position
+    outer_ends: list[int] = []  # ends of the elements around that one, the outermost first
     elements = 0
     max_depth = limits.max_depth
     max_elements = limits.max_elements
@@ -76,18 +79,18 @@
         while position == end:
             end = outer_ends.pop()
         if end - position < MIN_HEAD_BYTES:
-            raise MalformedMessageError("an element cut short")
+            raise MalformedMessageError("truncated element")
         tag = frame[position]
         length = frame[position + 1]
         position += MIN_HEAD_BYTES
         if tag & LONG_TAG == LONG_TAG:
-            raise MalformedMessageError("a tag of several octets")
+            raise MalformedMessageError("tag of several octets")
         if length >= LONG_FORM:
             octets = _length_octets(length, end - position)
             length = int.from_bytes(frame[position : position + octets])
             position += octets
         if length > end - position:
-            raise MalformedMessageError("an element reaches out of its parent")
+            raise MalformedMessageError("element extends beyond its parent")
         elements += 1
         if elements > max_elements:
             raise MalformedMessageError(f"more than {max_elements} elements")
@@ -95,18 +98,18 @@
             outer_ends.append(end)
             end = position + length
             if len(outer_ends) > max_depth:
-                raise MalformedMessageError(f"nested deeper than {max_depth}")
+                raise MalformedMessageError(f"elements nested deeper than {max_depth} levels")
         else:
             position += length
 
 
 def _length_octets(first: int, available: int) -> int:
-    """Return how many octets of a long form follow its first one.
+    """Return the number of octets that follow the first octet of a length in long form.
 
     Raises:
-        MalformedMessageError: There are none, too many, or fewer than that are left.
+        MalformedMessageError: The number is 0, too large or larger than the ``available`` octets.
     """
     octets = first & ~LONG_FORM
     if not 1 <= octets <= MAX_LENGTH_OCTETS or available < octets:
-        raise MalformedMessageError("a length that can't be read")
+        raise MalformedMessageError("invalid length")
     return octets
--- a/snowthread/ldap/circuit_breaker.py
+++ b/snowthread/ldap/circuit_breaker.py
@@ -1,7 +1,8 @@
-"""A circuit breaker per server. Pure.
+"""A circuit breaker for one server, without I/O.
 
-It counts failures in a row. From a number on it is open for a time that doubles with each opening, up to a
-maximum; then it is half open: one attempt goes through, and its end closes or reopens the circuit.
+The circuit opens after a number of consecutive failures, for a time that doubles with each consecutive
+opening up to a maximum. After that time it is half-open: one attempt is allowed, which closes the circuit if
+it succeeds and opens it again if it fails.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from snowthread.ldap.retry_budget import RetryPolicy
 
-MAX_DOUBLINGS = 16  # keeps the power finite; the maximum is reached long before
+MAX_DOUBLINGS = 16  # keeps the power finite; the maximum open time is reached much earlier
 
 
 class CircuitState(Enum):
@@ -25,22 +26,22 @@
 
 @dataclass(slots=True)
 class CircuitBreaker:
-    """The circuit breaker of one server."""
+    """The circuit breaker of one server; times are milliseconds."""
 
     policy: RetryPolicy
-    failures: int = 0  # in a row
-    consecutive_opens: int = 0
+    consecutive_failures: int = 0  # since the last success or opening
+    consecutive_opens: int = 0  # since the last success
     open_until_ms: float = -math.inf
-    probing: bool = False  # the one attempt of the half-open state is in flight
+    probing: bool = False  # whether the one attempt that the half-open state allows is in progress
 
     def state(self, now: float) -> CircuitState:
-        """Return the present state."""
+        """Return the current state."""
         if not self.consecutive_opens:
             return CircuitState.CLOSED
         return CircuitState.OPEN if now < self.open_until_ms else CircuitState.HALF_OPEN
 
     def allows(self, now: float) -> bool:
-        """Return whether an attempt may be started; half open, there is one at a time."""
+        """Return whether an attempt may start; the half-open state allows one at a time."""
         state = self.state(now)
         return state is CircuitState.CLOSED or (state is CircuitState.HALF_OPEN and not self.probing)
 
@@ -49,22 +50,22 @@
         self.probing = self.state(now) is CircuitState.HALF_OPEN
 
     def record_success(self) -> None:
-        """Close the circuit."""
-        self.failures = 0
+        """Record that an attempt succeeded, and close the circuit."""
+        self.consecutive_failures = 0
         self.consecutive_opens = 0
         self.probing = False
 
     def record_failure(self, now: float, open_at_once: bool = False) -> bool:
-        """Record a failed attempt and return whether the circuit opens by it.
+        """Record a failed attempt and return whether it opened the circuit.
 
-        ``open_at_once`` is for failures that a retry can't repair.
+        ``open_at_once`` opens it after this one failure, for failures that a retry can't resolve.
         """
-        self.failures += 1
-        if not (self.probing or open_at_once or self.failures >= self.policy.failures_to_open):
+        self.consecutive_failures += 1
+        if not (self.probing or open_at_once or self.consecutive_failures >= self.policy.failures_to_open):
             return False
         self.consecutive_opens += 1
         open_ms = self.policy.open_ms * 2.0 ** min(self.consecutive_opens - 1, MAX_DOUBLINGS)
         self.open_until_ms = now + min(self.policy.max_open_ms, open_ms)
         self.probing = False
-        self.failures = 0
+        self.consecutive_failures = 0
         return True
--- a/snowthread/ldap/client.py
+++ b/snowthread/ldap/client.py
@@ -1,6 +1,6 @@
-"""One connection to a directory server, as coroutines on the event loop: connect, TLS, bind, then messages.
+"""One connection to a directory server, as coroutines on the event loop: connect, TLS, bind, messages.
 
-The protocol's state is ``session``'s, what to do about a failure ``health``'s.
+``session`` keeps the protocol state; ``health`` decides how to react to a failure.
 """
 
 from __future__ import annotations
@@ -31,37 +31,40 @@
 from snowthread.net.loop import EventLoop, Wait
 from snowthread.net.tls_stream import Stream
 
-NO_RESULT_CODE = -1  # the response was of another kind
+NO_RESULT_CODE = -1  # stands for the result code of a response of the wrong type
 CLIENT_REJECTED_CODES = (ResultCode.STRONGER_AUTH_REQUIRED, ResultCode.CONFIDENTIALITY_REQUIRED)
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionFailure:
-    """A connection or operation that failed: how far it had come, why, and what that asks for."""
+    """A failed connection or operation: its progress, the reason and how the client should react."""
 
     progress: Progress
     reason: str
     reaction: Reaction = Reaction.FAIL_OVER
 
 
-CLOSED = ConnectionFailure(Progress.REPLY_BEGUN, "closed")
+CLOSED = ConnectionFailure(Progress.REPLY_BEGUN, "connection closed")
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSettings:
-    """How to connect; without ``tls_context`` there is no TLS."""
+    """How to connect and authenticate; without ``bind`` the client stays anonymous."""
 
     bind: SimpleBindRequest | ExternalBindRequest | None
-    tls_context: ssl.SSLContext | None = None
-    start_tls: bool = False  # TLS over the plain port
-    server_name: str = ""  # that the certificate must prove; empty: the host of the URL
+    tls_context: ssl.SSLContext | None = None  # None: no TLS
+    start_tls: bool = False  # request TLS by StartTLS on ldap URLs
+    server_name: str = ""  # name that the server certificate must match; empty: the host of the URL
     connect_timeout_ms: float = 2_000.0
     bind_timeout_ms: float = 3_000.0
     message_limits: MessageLimits = field(default_factory=MessageLimits)
 
 
 class LdapConnection:
-    """One connection: ``open``, then ``send`` and ``receive`` until a failure, ``close`` in any case."""
+    """One connection to a server.
+
+    Call ``open`` first, then ``send`` and ``receive`` until a failure, and ``close`` in any case.
+    """
 
     def __init__(self, loop: EventLoop, url: LdapUrl, settings: ConnectionSettings) -> None:
         self.url = url
@@ -73,7 +76,7 @@
         self._failure = CLOSED
 
     def open(self) -> Generator[Wait, int, ConnectionFailure | None]:
-        """Connect, secure and bind, each with its own deadline."""
+        """Connect, start TLS and bind, each with its own deadline; return the failure, or None."""
         deadline = self._loop.clock.now() + self._settings.connect_timeout_ms
         attempt = ConnectAttempt(self.url.address, self._loop, deadline)
         yield from attempt.steps()
@@ -97,7 +100,10 @@
         return message_id
 
     def receive(self, until: float) -> Generator[Wait, int, list[Message] | ConnectionFailure]:
-        """Return the messages received; none if the time is up or the task was woken."""
+        """Return received messages or the failure of the connection.
+
+        The list is empty if the time ``until`` was reached or the task was woken.
+        """
         stream = self._open_stream()
         if self._session.state is SessionState.CLOSED:
             return self._failure
@@ -107,14 +113,14 @@
         messages: list[Message] = []
         for item in self._session.receive(data):
             if isinstance(item, SessionEnded):
-                # The messages before the end count; the next call finds the session closed.
+                # Messages received before the end are returned first; the next call returns the failure.
                 self._failure = _failure_from(item)
                 return messages or self._failure
             messages.append(item)
         return messages
 
     def close(self) -> None:
-        """Unbind if the session allows it, and close."""
+        """Send an unbind request if the session state allows it, and close the connection."""
         stream = self._stream
         self._stream = None
         if stream is None:
@@ -131,7 +137,9 @@
     def _secure(self, stream: Stream) -> Generator[Wait, int, ConnectionFailure | None]:
         context = self._settings.tls_context
         if context is None:
-            return ConnectionFailure(Progress.SENT, "TLS: no context is set", Reaction.NEEDS_OPERATOR)
+            return ConnectionFailure(
+                Progress.SENT, "TLS: no TLS context is configured", Reaction.NEEDS_OPERATOR
+            )
         name = self._settings.server_name or self.url.host
         failure = yield from stream.secure(context, name, self._bind_deadline())
         if failure is None:
@@ -147,7 +155,9 @@
             return response
         code = response.result.result_code if isinstance(response, ExtendedResponse) else NO_RESULT_CODE
         if code != ResultCode.SUCCESS:
-            return ConnectionFailure(Progress.REPLY_BEGUN, f"StartTLS: code {code}", Reaction.NEEDS_OPERATOR)
+            return ConnectionFailure(
+                Progress.REPLY_BEGUN, f"StartTLS: result code {code}", Reaction.NEEDS_OPERATOR
+            )
         failure = yield from self._secure(stream)
         if failure is None:
             self._session.mark_secured()
@@ -162,7 +172,7 @@
             return response
         code = response.result.result_code if isinstance(response, BindResponse) else NO_RESULT_CODE
         if code != ResultCode.SUCCESS:
-            return ConnectionFailure(Progress.REPLY_BEGUN, f"bind: code {code}", reaction_to(code))
+            return ConnectionFailure(Progress.REPLY_BEGUN, f"bind: result code {code}", reaction_to(code))
         return None
 
     def _bind_deadline(self) -> float:
@@ -171,7 +181,7 @@
     def _receive_response(
         self, message_id: int, operation: str
     ) -> Generator[Wait, int, Response | ConnectionFailure]:
-        """Return the one response to the request that was just sent."""
+        """Return the response to the request just sent, or a failure if none arrives in time."""
         deadline = self._bind_deadline()
         while self._loop.clock.now() < deadline:
             received = yield from self.receive(deadline)
@@ -181,12 +191,12 @@
             for message in received:
                 if message.message_id == message_id:
                     return message.response
-        return ConnectionFailure(Progress.SENT, f"{operation}: no answer in time")
+        return ConnectionFailure(Progress.SENT, f"{operation}: timed out waiting for the response")
 
 
 def _failure_from(ended: SessionEnded) -> ConnectionFailure:
-    # A notice says that the server shuts down, whatever its code, unless it forbids this client
-    # (RFC 4511, section 4.4.1).
+    # A notice of disconnection means that the server shuts down, whatever its result code, except for the
+    # codes that reject this client (RFC 4511, section 4.4.1).
     code = ended.notice.result_code if ended.notice is not None else None
     needs_operator = code in CLIENT_REJECTED_CODES
     reaction = Reaction.NEEDS_OPERATOR if needs_operator else Reaction.FAIL_OVER
