--- a/snowthread/ldap/controls.py
+++ b/snowthread/ldap/controls.py
@@ -21,20 +21,20 @@
 SYNC_STATE_OID = "1.3.6.1.4.1.4203.1.9.1.2"
 SYNC_DONE_OID = "1.3.6.1.4.1.4203.1.9.1.3"
 SYNC_INFO_OID = "1.3.6.1.4.1.4203.1.9.1.4"
-MAX_COOKIE_BYTES = 4096  # a server may make its cookies of any length (section 2.1.2)
-UUID_BYTES = 16  # section 2.1.1
+MAX_COOKIE_BYTES = 4096  # the protocol sets no limit (RFC 4533, section 2.1.2)
+UUID_BYTES = 16  # RFC 4533, section 2.1.1
 _VALUE_LIMITS = MessageLimits(max_frame_bytes=512 * 1024, max_depth=6, max_elements=20_000)
 
 
 class SyncMode(IntEnum):
-    """What the client asks for (section 2.2)."""
+    """The mode of synchronisation that the client requests (section 2.2)."""
 
     REFRESH_ONLY = 1
     REFRESH_AND_PERSIST = 3
 
 
 class EntryState(IntEnum):
-    """The state of a synchronised entry (section 2.3)."""
+    """The state of an entry in a synchronisation (section 2.3)."""
 
     PRESENT = 0
     ADD = 1
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncState:
-    """The control of each entry of a synchronisation (section 2.3); ``entry_uuid`` is in hex."""
+    """The Sync State control, which comes with each entry (section 2.3); ``entry_uuid`` is in hex."""
 
     state: EntryState
     entry_uuid: str
@@ -53,31 +53,34 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncDone:
-    """The control at the end of a refresh (section 2.4)."""
+    """The Sync Done control, at the end of a refresh (section 2.4)."""
 
     cookie: bytes | None
-    refresh_deletes: bool  # deleted entries were named; else all entries that were not named are deleted
+    refresh_deletes: bool  # True: deleted entries were listed; False: all entries not listed are deleted
 
 
 @dataclass(frozen=True, slots=True)
 class NewCookie:
-    """A sync info message (section 2.5) with a new cookie and nothing else."""
+    """A Sync Info message (section 2.5) that only carries a new cookie."""
 
     cookie: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class RefreshPhase:
-    """A sync info message: the end of a phase of a refresh."""
+    """A Sync Info message (section 2.5) that ends a phase of a refresh."""
 
-    is_delete_phase: bool  # else it is the present phase
+    is_delete_phase: bool  # True: the delete phase; False: the present phase
     cookie: bytes | None
-    refresh_done: bool  # the refresh ends with this phase
+    refresh_done: bool  # whether the refresh ends with this phase
 
 
 @dataclass(frozen=True, slots=True)
 class SyncIdSet:
-    """A sync info message: entries by UUID, present and unchanged, or deleted with ``refresh_deletes``."""
+    """A Sync Info message (section 2.5) that lists entries by UUID in hex.
+
+    The entries are deleted if ``refresh_deletes`` is True, else present and unchanged.
+    """
 
     refresh_deletes: bool
     sync_uuids: tuple[str, ...]
@@ -88,13 +91,13 @@
 
 
 def paged_results_control(size: int, cookie: bytes = b"") -> Control:
-    """Return the control that asks for a page, from a cookie on."""
+    """Return the control that requests a page of ``size`` entries; the cookie is empty for the first page."""
     value = LDAP_MODULE.types["RealSearchControlValue"].encode({"size": size, "cookie": cookie})
     return Control(PAGED_RESULTS_OID, True, bytes(value))
 
 
 def sync_request_control(mode: SyncMode, cookie: bytes | None = None) -> Control:
-    """Return the control that asks for synchronisation, from a cookie on if there is one."""
+    """Return the control that requests synchronisation, incrementally if there is a cookie."""
     fields: dict[str, Any] = {"mode": "refreshOnly" if mode is SyncMode.REFRESH_ONLY else "refreshAndPersist"}
     if cookie is not None:
         fields["cookie"] = cookie
@@ -102,12 +105,12 @@
 
 
 def find_control(controls: tuple[Control, ...], control_type: str) -> Control | None:
-    """Return the control of that kind, or None."""
+    """Return the control with this type (an OID), or None."""
     return next((control for control in controls if control.control_type == control_type), None)
 
 
 def read_page_cookie(controls: tuple[Control, ...]) -> bytes | None:
-    """Return the cookie of the next page, empty after the last; None without such a control."""
+    """Return the cookie of the next page, empty after the last page, or None without the control."""
     control = find_control(controls, PAGED_RESULTS_OID)
     if control is None:
         return None
@@ -115,7 +118,7 @@
 
 
 def read_sync_state(controls: tuple[Control, ...]) -> SyncState | None:
-    """Return an entry's state, or None without such a control."""
+    """Return the Sync State control of an entry, or None if there is none."""
     control = find_control(controls, SYNC_STATE_OID)
     if control is None:
         return None
@@ -125,7 +128,7 @@
 
 
 def read_sync_done(controls: tuple[Control, ...]) -> SyncDone | None:
-    """Return the end of a refresh, or None without such a control."""
+    """Return the Sync Done control of a refresh, or None if there is none."""
     control = find_control(controls, SYNC_DONE_OID)
     if control is None:
         return None
@@ -134,7 +137,7 @@
 
 
 def read_sync_info(value: bytes) -> SyncInfo:
-    """Return the content of a sync info message, the value of an intermediate response."""
+    """Return the Sync Info message in the value of an intermediate response."""
     kind, fields = _decode("SyncInfoValue", value)
     if kind == "newcookie":
         return NewCookie(_checked_cookie(fields) or b"")
@@ -155,11 +158,11 @@
 
 def _uuid_hex(value: bytes) -> str:
     if len(value) != UUID_BYTES:
-        raise MalformedMessageError(f"a UUID of {len(value)} octets")
+        raise MalformedMessageError(f"UUID of {len(value)} octets instead of 16")
     return value.hex()
 
 
 def _checked_cookie(value: bytes | None) -> bytes | None:
     if value is not None and len(value) > MAX_COOKIE_BYTES:
-        raise MalformedMessageError(f"a cookie of {len(value)} octets")
+        raise MalformedMessageError(f"cookie of {len(value)} octets is too long")
     return value
--- a/snowthread/ldap/dn.py
+++ b/snowthread/ldap/dn.py
@@ -1,8 +1,8 @@
-"""Distinguished names as text (RFC 4514), parsed by lark and compared as directories do.
+"""Parse distinguished names (RFC 4514) with lark, and compare them as directories do.
 
-Two names are equal if their parts are, with types and values compared without regard to case and with runs
-of spaces as one (caseIgnoreMatch, RFC 4517, section 4.2.11). That is enough to decide whether an entry lies
-below a base.
+Two names are equal if their relative distinguished names (RDNs) are equal. Attribute types and values compare
+without regard to case, and a run of spaces counts as one space (caseIgnoreMatch, RFC 4517, section 4.2.11).
+This is sufficient to decide whether an entry is below a search base.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 _GRAMMAR = r"""
 start: (rdn ("," rdn)*)?
-rdn: part ("+" part)*
-part: TYPE VALUE?
+rdn: attribute ("+" attribute)*
+attribute: TYPE VALUE?
 TYPE: / *(?:[A-Za-z][A-Za-z0-9\-]*|[0-9]+(?:\.[0-9]+)*) *= */
 VALUE: /#(?:[0-9A-Fa-f]{2})+|(?:[^",+;<>\\\x00#]|\\[ "#+,;<=>\\]|\\[0-9A-Fa-f]{2})(?:[^",+;<>\\\x00]|\\[ "#+,;<=>\\]|\\[0-9A-Fa-f]{2})*/
 """  # noqa: E501
@@ -31,7 +31,7 @@
 
 
 class _AttributeValue(NamedTuple):
-    """One attribute of a part of a name."""
+    """One attribute type and its value, in an RDN."""
 
     type: str
     value: str
@@ -39,28 +39,28 @@
 
 @dataclass(frozen=True, slots=True)
 class DistinguishedName:
-    """A name, normalised: its parts, the nearest first, each a set of attributes."""
+    """A normalised distinguished name: its RDNs from the entry to the root, each a set of attributes."""
 
-    parts: tuple[frozenset[_AttributeValue], ...]
+    rdns: tuple[frozenset[_AttributeValue], ...]
 
     def is_below(self, base: DistinguishedName) -> bool:
-        """Return whether this is the base or lies below it."""
-        size = len(base.parts)
-        return len(self.parts) >= size and (size == 0 or self.parts[-size:] == base.parts)
+        """Return whether this name equals the base or is below it."""
+        size = len(base.rdns)
+        return len(self.rdns) >= size and (size == 0 or self.rdns[-size:] == base.rdns)
 
     @property
     def key(self) -> str:
-        """The same text for all spellings of the name."""
+        """The canonical text of the name, which is the same for all its spellings."""
         return ",".join(
-            "+".join(sorted(f"{each.type}={_escape(each.value)}" for each in part)) for part in self.parts
+            "+".join(sorted(f"{each.type}={_escape(each.value)}" for each in rdn)) for rdn in self.rdns
         )
 
 
 def ends_with_base(text: str, base: DistinguishedName) -> bool:
-    """Return whether the text ends in the base as it is usually written.
+    """Return whether the text ends with the canonical text of the base.
 
-    True is certain; after False the name has to be parsed. For thousands of entries the parser would
-    otherwise take most of the time.
+    If so, the name is below the base. If not, it may still be below it in another spelling and has to be
+    parsed. This check avoids the parser, which would take most of the time for thousands of entries.
     """
     suffix = base.key
     lower = text.lower()
@@ -77,28 +77,28 @@
 
 @lru_cache(maxsize=4096)
 def parse(text: str) -> DistinguishedName:
-    """Return the name that a text stands for.
+    """Parse the text of a distinguished name.
 
     Raises:
-        DnError: The text is no distinguished name.
+        DnError: The text is not a distinguished name.
     """
     if len(text) > MAX_TEXT_LENGTH:
         raise DnError(f"longer than {MAX_TEXT_LENGTH} characters")
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
-        raise DnError("can't be read", error.column) from None
+        raise DnError("not a valid distinguished name", error.column) from None
     return DistinguishedName(
         tuple(
-            frozenset(_read_attribute(part) for part in rdn.children if isinstance(part, Tree))
+            frozenset(_read_attribute(attribute) for attribute in rdn.children if isinstance(attribute, Tree))
             for rdn in tree.children
             if isinstance(rdn, Tree)
         )
     )
 
 
-def _read_attribute(part: Tree[Token]) -> _AttributeValue:
-    attribute_type, *values = (str(child) for child in part.children)
+def _read_attribute(attribute: Tree[Token]) -> _AttributeValue:
+    attribute_type, *values = (str(child) for child in attribute.children)
     return _AttributeValue(attribute_type.strip(" =").lower(), _normalise(values[0]) if values else "")
 
 
--- a/snowthread/ldap/filters.py
+++ b/snowthread/ldap/filters.py
@@ -1,4 +1,4 @@
-"""Search filters as text (RFC 4515), parsed by lark into typed values."""
+"""Parse the text of search filters (RFC 4515) with lark into typed values."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 _GRAMMAR = r"""
 start: filter
 ?filter: "(" _inside ")"
-_inside: all | any | negated | test | extensible
+_inside: all | any | negated | item | extensible
 all: "&" filter*
 any: "|" filter*
 negated: "!" filter
-test: HEAD (VALUE | STAR)*
+item: HEAD (VALUE | STAR)*
 extensible: MATCHING VALUE?
 HEAD: /[A-Za-z0-9][A-Za-z0-9.\-;]*(?:~=|>=|<=|=)/
 MATCHING: /(?:[A-Za-z0-9][A-Za-z0-9.\-;]*)?(?::[Dd][Nn])?(?::[A-Za-z0-9.\-]+)?:=/
@@ -52,19 +52,19 @@
 
 
 def parse(text: str) -> Filter:
-    """Return the filter that a text stands for.
+    """Parse the text of a search filter.
 
     Raises:
-        FilterError: The text is no filter; the error says where.
+        FilterError: The text is not a search filter; the error says at which character if that is known.
     """
     if len(text) > MAX_TEXT_LENGTH:
         raise FilterError(f"longer than {MAX_TEXT_LENGTH} characters")
     if _nesting_depth(text) > MAX_DEPTH:
-        raise FilterError(f"nested deeper than {MAX_DEPTH}")
+        raise FilterError(f"nested deeper than {MAX_DEPTH} levels")
     try:
         parsed: Filter = _FilterBuilder().transform(_parser().parse(text))
     except UnexpectedInput as error:
-        raise FilterError("can't be read", error.column) from None
+        raise FilterError("not a valid search filter", error.column) from None
     except VisitError as error:
         raise FilterError(str(error.orig_exc)) from None
     except LarkError as error:
@@ -82,7 +82,7 @@
 
 
 def escape(value: bytes | str) -> str:
-    """Return a value as it is written in a filter (RFC 4515, section 3)."""
+    """Return a value escaped for use in the text of a filter (RFC 4515, section 3)."""
     octets = value.encode() if isinstance(value, str) else value
     return "".join(
         chr(octet) if 0x20 < octet < 0x7F and octet not in b"*()\\" else f"\\{octet:02x}" for octet in octets
@@ -90,7 +90,7 @@
 
 
 def equality_filter(attribute: str, value: str) -> Filter:
-    """Return the filter for entries with this value."""
+    """Return the filter for entries in which the attribute has this value."""
     return Comparison(ComparisonKind.EQUALITY, attribute.encode(), value.encode())
 
 
@@ -104,7 +104,7 @@
 
 
 class _FilterBuilder(Transformer[Any, Filter]):
-    """Builds the filter; each method is named for its rule of the grammar."""
+    """Builds the filter from the parse tree; each method handles the grammar rule of the same name."""
 
     def start(self, parts: list[Any]) -> Filter:
         outermost: Filter = parts[0]
@@ -119,16 +119,16 @@
     def negated(self, parts: list[Any]) -> Filter:
         return Not(parts[0])
 
-    def test(self, parts: list[Any]) -> Filter:
+    def item(self, parts: list[Any]) -> Filter:
         head = str(parts[0])
         rest = parts[1:]
-        sign = head[-2:] if head[-2:] in _COMPARISON_KINDS else "="
-        attribute = head[: -len(sign)].encode()
+        operator = head[-2:] if head[-2:] in _COMPARISON_KINDS else "="
+        attribute = head[: -len(operator)].encode()
         if not any(token.type == "STAR" for token in rest):
             value = _unescape("".join(rest))
-            return Comparison(_COMPARISON_KINDS[sign], attribute, value)
-        if sign != "=":
-            raise FilterError(f"a star behind {sign}")
+            return Comparison(_COMPARISON_KINDS[operator], attribute, value)
+        if operator != "=":
+            raise FilterError(f"* is not allowed after {operator}")
         if len(rest) == 1:
             return Present(attribute)
         return Substrings(attribute, _substrings(rest))
@@ -139,7 +139,7 @@
         dn_attributes = bool(rest) and rest[0].lower() == "dn"
         rules = rest[1:] if dn_attributes else rest
         if not attribute and not rules:
-            raise FilterError("neither an attribute nor a rule")
+            raise FilterError("extensible match without attribute and matching rule")
         return ExtensibleMatch(
             match_value=value,
             matching_rule=rules[0].encode() if rules else None,
@@ -149,14 +149,14 @@
 
 
 def _substrings(tokens: list[Any]) -> tuple[Substring, ...]:
-    """Return the substrings of a value with stars: initial, those between stars (any), and final.
+    """Return the initial, inner and final substrings of a value that contains stars.
 
     Raises:
-        FilterError: Two stars have nothing between them.
+        FilterError: Two stars are adjacent.
     """
     stars = [index for index, token in enumerate(tokens) if token.type == "STAR"]
     if any(second - first == 1 for first, second in pairwise(stars)):
-        raise FilterError("two stars with nothing between them")
+        raise FilterError("adjacent stars")
     substrings = []
     for index, token in enumerate(tokens):
         if token.type == "VALUE":
--- a/snowthread/ldap/health.py
+++ b/snowthread/ldap/health.py
@@ -1,8 +1,9 @@
-"""Decisions about directory servers: which one is next, when, and what each result code asks for. Pure.
+"""Choose the directory server to use, the time of the next attempt and the reaction to a result code.
 
-The servers have an order. The first whose circuit breaker allows it is used, and stays in use until it fails.
-Retries come after a backoff with full jitter, and only as far as a budget that is a share of the successes
-lasts: a fleet of nodes then adds a bounded load to a failing directory, however long it fails.
+This module does no I/O. Servers are tried in the configured order; the first one whose circuit breaker allows
+an attempt is used until it fails. Retries wait for a backoff with full jitter, and a retry budget limits them
+to a share of the successes, so that a fleet of nodes adds a bounded load to a failing directory, however long
+the failure lasts.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 
 class Reaction(Enum):
-    """What the result of an operation asks for."""
+    """How the client reacts to the result of an operation."""
 
     DONE = "done"
-    RETRY = "retry"  # the same server may do it after a backoff
-    FAIL_OVER = "fail_over"  # this server can't do it now: count a failure and use the next
-    REDUCE_PAGE_SIZE = "reduce_page_size"  # ask for less at a time
-    FULL_REFRESH = "full_refresh"  # the cookie is of no use (RFC 4533, section 3.8)
-    FALL_BACK = "fall_back"  # this server lacks what was asked for: use the next replication mode
-    NEEDS_OPERATOR = "needs_operator"  # retries can't repair it: open the circuit, use another server
+    RETRY = "retry"  # try the same server again after a backoff
+    FAIL_OVER = "fail_over"  # record a failure of this server and use the next one
+    REDUCE_PAGE_SIZE = "reduce_page_size"  # request fewer entries at a time
+    FULL_REFRESH = "full_refresh"  # the cookie is invalid, so request all content (RFC 4533, section 3.8)
+    FALL_BACK = "fall_back"  # this server lacks a feature, so use the next replication mode
+    NEEDS_OPERATOR = "needs_operator"  # retries can't resolve it: open the circuit and use another server
 
 
 _REACTIONS: dict[int, Reaction] = {
@@ -35,7 +36,7 @@
     ResultCode.SIZE_LIMIT_EXCEEDED: Reaction.REDUCE_PAGE_SIZE,
     ResultCode.AUTH_METHOD_NOT_SUPPORTED: Reaction.NEEDS_OPERATOR,
     ResultCode.STRONGER_AUTH_REQUIRED: Reaction.NEEDS_OPERATOR,
-    ResultCode.REFERRAL: Reaction.FAIL_OVER,  # not followed to addresses that no operator named
+    ResultCode.REFERRAL: Reaction.FAIL_OVER,  # not followed, as no operator configured its servers
     ResultCode.ADMIN_LIMIT_EXCEEDED: Reaction.REDUCE_PAGE_SIZE,
     ResultCode.UNAVAILABLE_CRITICAL_EXTENSION: Reaction.FALL_BACK,
     ResultCode.CONFIDENTIALITY_REQUIRED: Reaction.NEEDS_OPERATOR,
@@ -53,12 +54,12 @@
 
 
 def reaction_to(code: int) -> Reaction:
-    """Return the reaction to a result code; an unknown one is the server's failure."""
+    """Return the reaction to a result code; an unknown code counts as a failure of the server."""
     return _REACTIONS.get(code, Reaction.FAIL_OVER)
 
 
 class ServerSelector:
-    """Selects the server to use, in their order."""
+    """Selects the server to use; servers are identified by their index in ``names``."""
 
     def __init__(self, names: tuple[str, ...], policy: RetryPolicy, now: float) -> None:
         self.names = names
@@ -67,14 +68,14 @@
         self.breakers = [CircuitBreaker(policy) for _ in names]
         self.fail_overs = 0
         self.current: int | None = None
-        self._next_index = 0  # where the search for a server begins
+        self._next_index = 0  # the server that is tried first by the next choice
         self._consecutive_failures = 0
 
     def choose(self, now: float) -> int | None:
         """Return the index of the server to use now, or None if no circuit allows an attempt.
 
-        The one in use is preferred while it works. After a failure the order counts from the next one on, so
-        that a server that accepts connections and then fails is not retried over and over before the others.
+        The server in use is preferred until it fails. After a failure the choice starts at the next server.
+        Otherwise a server that accepts connections and then fails would be retried before the others.
         """
         count = len(self.names)
         for offset in range(count):
@@ -90,10 +91,10 @@
         return None
 
     def backoff_ms(self, now: float, rng: random.Random) -> float:
-        """Return the milliseconds until the next attempt after a failure.
+        """Return the milliseconds to wait before the next attempt after a failure.
 
-        It is the largest of the jittered backoff, the wait for the retry budget (capped) and the wait until
-        the first circuit allows an attempt.
+        It is the largest of the jittered backoff, the wait for the retry budget (at most the maximum backoff)
+        and the time until the first circuit allows an attempt.
         """
         wait_ms = backoff_ms(max(1, self._consecutive_failures), self.policy, rng)
         wait_ms = max(wait_ms, min(self.budget.take_retry(now), self.policy.max_backoff_ms))
@@ -102,14 +103,14 @@
         return wait_ms
 
     def record_success(self, index: int) -> None:
-        """Record that a server does its work."""
+        """Record that the server with this index works."""
         self._consecutive_failures = 0
         self._next_index = index
         self.breakers[index].record_success()
         self.budget.record_success()
 
     def record_failure(self, index: int, now: float, reaction: Reaction = Reaction.FAIL_OVER) -> bool:
-        """Record a failed attempt and return whether the server's circuit opens by it."""
+        """Record a failed attempt and return whether it opened the circuit of the server."""
         self._consecutive_failures += 1
         self._next_index = index if reaction is Reaction.RETRY else (index + 1) % len(self.names)
         return self.breakers[index].record_failure(now, open_at_once=reaction is Reaction.NEEDS_OPERATOR)
--- a/snowthread/ldap/message_codec.py
+++ b/snowthread/ldap/message_codec.py
@@ -1,4 +1,4 @@
-"""Encode requests and decode responses (RFC 4511, section 4) with the schema's ASN.1."""
+"""Encode requests and decode responses (RFC 4511, section 4) according to the ASN.1 in ``schema``."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def encode(message_id: int, request: Request) -> bytes:
-    """Return a request's bytes."""
+    """Return the encoded request."""
     fields: dict[str, Any] = {"messageID": message_id, "protocolOp": _encode_request(request)}
     if isinstance(request, SearchRequest) and request.controls:
         fields["controls"] = [_encode_control(control) for control in request.controls]
@@ -52,10 +52,10 @@
 
 
 def decode(frame: bytes, limits: MessageLimits) -> Message:
-    """Return the response in one complete frame.
+    """Return the response in one complete message frame.
 
     Raises:
-        MalformedMessageError: The frame is no response, or exceeds the bounds.
+        MalformedMessageError: The frame is not a valid response or exceeds the limits.
     """
     check(frame, limits)
     try:
@@ -71,7 +71,7 @@
         kind, content = fields["protocolOp"]
         return Message(fields["messageID"], _decode_response(kind, content, controls))
     except (asn1tools.Error, UnicodeDecodeError, KeyError, IndexError, OverflowError) as error:
-        raise MalformedMessageError(f"not a message: {type(error).__name__}") from None
+        raise MalformedMessageError(f"message can't be decoded: {type(error).__name__}") from None
 
 
 def _encode_control(control: Control) -> dict[str, Any]:
@@ -170,11 +170,11 @@
         case "intermediateResponse":
             name = content.get("responseName", b"").decode()
             return IntermediateResponse(name, content.get("responseValue", b""))
-    raise MalformedMessageError(f"{kind} is nothing that a server sends")
+    raise MalformedMessageError(f"received a {kind}, which is not a response")
 
 
 def _decode_attributes(fields: Any) -> dict[str, tuple[bytes, ...]]:
-    """Return the values by lower-cased name, joined where a server sends a name twice."""
+    """Return the values by lower-cased name; the values of a repeated name are joined."""
     attributes: dict[str, tuple[bytes, ...]] = {}
     for attribute in fields:
         name = attribute["type"].decode().lower()
--- a/tests/ldap/test_ldap_codec.py
+++ b/tests/ldap/test_ldap_codec.py
@@ -241,7 +241,7 @@
             "notice",
         ),
         (message(0, protocol.search_done(0)), "unsolicited"),
-        (message(1, ber.application(Operation.SEARCH_REQUEST)), "not a message"),
+        (message(1, ber.application(Operation.SEARCH_REQUEST)), "message can't be decoded"),
     ],
 )
 def test_a_protocol_error_or_a_notice_ends_the_session(wire: bytes, text: str) -> None:
