--- a/snowthread/ldap/messages.py
+++ b/snowthread/ldap/messages.py
@@ -1,7 +1,8 @@
-"""The messages of LDAP (RFC 4511, section 4) as typed values, under the names of the RFC.
+"""LDAP messages (RFC 4511, section 4) as typed values, with the names that the RFC uses.
 
-``message_codec`` maps them to bytes and back. An attribute name is lower-cased, since names compare without
-case (RFC 4512, section 2.5); text is decoded, values stay octets.
+``message_codec`` encodes and decodes them. Attribute names are lower-cased, since they are case-insensitive
+(RFC 4512, section 2.5). Text is decoded to strings; attribute values stay octets. Section numbers without a
+document refer to RFC 4511.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class Scope(IntEnum):
-    """How far below the base object a search goes (RFC 4511, section 4.5.1.2)."""
+    """The scope of a search relative to its base object (section 4.5.1.2)."""
 
     BASE = 0
     ONE = 1
@@ -25,7 +26,7 @@
 
 
 class Secret:
-    """A text that no log, repr or traceback shows."""
+    """A password or other secret, which repr and thus logs and tracebacks do not show."""
 
     __slots__ = ("_text",)
 
@@ -33,7 +34,7 @@
         self._text = text
 
     def reveal(self) -> bytes:
-        """Return its octets, for the request that carries them."""
+        """Return the octets of the secret, to be sent in a request."""
         return self._text.encode()
 
     def __repr__(self) -> str:
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Control:
-    """A control of any kind (section 4.1.11); ``controls`` encodes and decodes the known ones."""
+    """A control of any type (section 4.1.11); the module ``controls`` encodes and decodes the known types."""
 
     control_type: str
     criticality: bool = False
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SimpleBindRequest:
-    """A simple bind (section 4.2); an empty name and secret is anonymous."""
+    """A simple bind (section 4.2); it is anonymous if name and secret are empty."""
 
     name: str
     secret: Secret
@@ -68,39 +69,39 @@
 
 @dataclass(frozen=True, slots=True)
 class ExternalBindRequest:
-    """SASL EXTERNAL (RFC 4422, appendix A): the identity is the client certificate's."""
+    """A SASL EXTERNAL bind (RFC 4422, appendix A), which uses the identity of the client certificate."""
 
-    authorization_id: str = ""  # empty: the identity of the certificate itself
+    authorization_id: str = ""  # identity to act as; empty: the one of the certificate
 
 
 @dataclass(frozen=True, slots=True)
 class UnbindRequest:
-    """The end of the session (section 4.3); there is no response."""
+    """Ends the session (section 4.3); there is no response."""
 
 
 @dataclass(frozen=True, slots=True)
 class AbandonRequest:
-    """The client gives up an operation (section 4.11); there is no response."""
+    """Abandons the operation with this message id (section 4.11); there is no response."""
 
     message_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SearchRequest:
-    """A search (section 4.5.1); a limit of 0 is none."""
+    """A search (section 4.5.1)."""
 
     base_object: str
     scope: Scope
     filter: Filter
     attributes: tuple[str, ...] = ()
-    size_limit: int = 0  # entries
-    time_limit_s: int = 0
+    size_limit: int = 0  # entries; 0: no limit
+    time_limit_s: int = 0  # 0: no limit
     controls: tuple[Control, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class ExtendedRequest:
-    """An extended operation (section 4.12)."""
+    """An extended operation (section 4.12); ``request_name`` is its OID."""
 
     request_name: str
     request_value: bytes | None = None
@@ -117,7 +118,7 @@
 class LdapResult:
     """The result of an operation (section 4.1.9)."""
 
-    result_code: int  # a number, since servers send codes that ``ResultCode`` does not name
+    result_code: int  # an int, since servers may send codes that ``ResultCode`` does not define
     matched_dn: str = ""
     diagnostic_message: str = ""
     referral: tuple[str, ...] = ()
@@ -132,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchResultEntry:
-    """One entry (section 4.5.2); attribute names keep their options."""
+    """One entry (section 4.5.2); the attribute names include their options."""
 
     object_name: str
     attributes: Mapping[str, tuple[bytes, ...]]
@@ -141,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchResultReference:
-    """The search continues at these URIs (section 4.5.3)."""
+    """A reference to the URIs at which the search could be continued (section 4.5.3)."""
 
     uris: tuple[str, ...]
 
@@ -183,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A response and the message id of its request; 0: unsolicited (section 4.4)."""
+    """A response and the message id of its request; id 0 is an unsolicited notification (section 4.4)."""
 
     message_id: int
     response: Response
--- a/snowthread/ldap/result_codes.py
+++ b/snowthread/ldap/result_codes.py
@@ -1,4 +1,4 @@
-"""Result codes of LDAP operations that the client acts on (RFC 4511, section 4.1.9 and appendix A)."""
+"""The LDAP result codes that the client reacts to (RFC 4511, section 4.1.9 and appendix A)."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class ResultCode(IntEnum):
-    """A result code; servers may send others, so results carry plain numbers."""
+    """A result code; results carry plain numbers, since servers may send codes that are not listed here."""
 
     SUCCESS = 0
     OPERATIONS_ERROR = 1
-    PROTOCOL_ERROR = 2  # also what servers answer to an extension that they don't know
+    PROTOCOL_ERROR = 2  # also sent in response to an unknown extended operation
     TIME_LIMIT_EXCEEDED = 3
     SIZE_LIMIT_EXCEEDED = 4
     AUTH_METHOD_NOT_SUPPORTED = 7
--- a/snowthread/ldap/retry_budget.py
+++ b/snowthread/ldap/retry_budget.py
@@ -1,4 +1,4 @@
-"""How often and how soon operations are retried: policy, backoff with full jitter, retry budget. Pure."""
+"""Limit how often and how soon operations are retried: backoff with full jitter, and a retry budget."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 import random
 from dataclasses import dataclass
 
-MAX_DOUBLINGS = 32  # keeps the power finite; the maximum is reached long before
+MAX_DOUBLINGS = 32  # keeps the power finite; the maximum backoff is reached much earlier
 MS_PER_S = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """The limits of retries and of the circuit breakers. Times are milliseconds."""
+    """The settings of retries and circuit breakers; times are milliseconds."""
 
-    first_backoff_ms: float = 200.0  # before the first retry, doubled for each further one
-    max_backoff_ms: float = 30_000.0
-    budget_share: float = 0.2  # retries as a share of successes
-    budget_floor_per_s: float = 0.1  # and so many a second in any case, or no server would be tried again
-    max_saved_retries: float = 10.0
-    failures_to_open: int = 3  # in a row, from which a server's circuit opens
-    open_ms: float = 5_000.0  # the first time, doubled each further time
-    max_open_ms: float = 120_000.0
+    first_backoff_ms: float = 200.0  # cap before the first retry, doubled for each further one
+    max_backoff_ms: float = 30_000.0  # upper limit of the cap
+    budget_share: float = 0.2  # retries allowed per success
+    budget_floor_per_s: float = 0.1  # retries per second without successes, so that retries never stop
+    max_saved_retries: float = 10.0  # capacity of the budget
+    failures_to_open: int = 3  # consecutive failures that open a server's circuit
+    open_ms: float = 5_000.0  # first open time, doubled for each consecutive opening
+    max_open_ms: float = 120_000.0  # upper limit of the open time
 
 
 def backoff_ms(retry: int, policy: RetryPolicy, rng: random.Random) -> float:
-    """Return the wait before a retry (counted from 1): full jitter, uniform from 0 to the cap."""
+    """Return the wait before a retry, counted from 1, with full jitter: uniform between 0 and the cap."""
     cap_ms = min(policy.max_backoff_ms, policy.first_backoff_ms * 2.0 ** min(retry - 1, MAX_DOUBLINGS))
     return rng.uniform(0.0, cap_ms)
 
 
 class RetryBudget:
-    """Retries as a share of successes, with a floor in time."""
+    """A budget that allows retries as a share of successes, plus a minimum rate over time."""
 
     def __init__(self, policy: RetryPolicy, now: float) -> None:
         self.retries_left = policy.max_saved_retries
@@ -40,11 +40,11 @@
         self._refilled_at_ms = now
 
     def record_success(self) -> None:
-        """Earn a share of a retry."""
+        """Add the share of a retry that a success earns to the budget."""
         self._deposit(self._policy.budget_share)
 
     def take_retry(self, now: float) -> float:
-        """Take a retry out of the budget and return 0, or else return the milliseconds until there is one."""
+        """Take a retry from the budget and return 0, or return the milliseconds until one is available."""
         floor_per_s = self._policy.budget_floor_per_s
         self._deposit(max(0.0, now - self._refilled_at_ms) / MS_PER_S * floor_per_s)
         self._refilled_at_ms = now
--- a/snowthread/ldap/schema.py
+++ b/snowthread/ldap/schema.py
@@ -1,7 +1,8 @@
-"""The ASN.1 of LDAP that a client needs: RFC 4511 (section 4 and appendix B), RFC 2696 and RFC 4533.
+"""The ASN.1 definitions of LDAP: RFC 4511 (section 4 and appendix B), RFC 2696 and RFC 4533.
 
-The names are those of the RFCs. Strings are octets here; the layers above decode their UTF-8. Only what a
-client sends or may receive is named; a response of any other kind is a protocol error.
+The names are those of the RFCs. Strings are defined as octets; the modules above this one decode their UTF-8.
+Only messages that a client sends or may receive are defined, so a response of another type is a protocol
+error.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 LDAP_ASN1 = """
 Ldap DEFINITIONS IMPLICIT TAGS ::= BEGIN
 
--- An ENUMERATED that also takes numbers with no name here, since servers send codes of later documents.
+-- An ENUMERATED without a list of values, since servers may send codes that later RFCs define.
 Enum ::= [UNIVERSAL 10] INTEGER
 
 LDAPMessage ::= SEQUENCE {
--- a/snowthread/ldap/search_filter.py
+++ b/snowthread/ldap/search_filter.py
@@ -1,4 +1,4 @@
-"""Search filters as typed values, under the names of RFC 4511 (section 4.5.1.7)."""
+"""Search filters as typed values, with the names of RFC 4511 (section 4.5.1.7)."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 @dataclass(frozen=True, slots=True)
 class And:
-    """All of these match; an empty one always does (RFC 4526)."""
+    """Matches if all filters match; without filters it always matches (RFC 4526)."""
 
     filters: tuple[Filter, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Or:
-    """At least one of these matches; an empty one never does (RFC 4526)."""
+    """Matches if at least one filter matches; without filters it never matches (RFC 4526)."""
 
     filters: tuple[Filter, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Not:
-    """This does not match."""
+    """Matches if the filter does not match."""
 
     filter: Filter
 
 
 class ComparisonKind(Enum):
-    """How a value is compared; the values are the names of the filter's choices."""
+    """The kind of a comparison; the enum values are the ASN.1 names of the choices in ``Filter``."""
 
     EQUALITY = "equalityMatch"
     GREATER_OR_EQUAL = "greaterOrEqual"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """A value of the attribute compares so with the assertion value."""
+    """Matches if a value of the attribute compares with the assertion value as ``kind`` says."""
 
     kind: ComparisonKind
     attribute_desc: bytes
@@ -46,7 +46,7 @@
 
 
 class SubstringKind(Enum):
-    """Where a substring stands in the value; the values are the names of the choices."""
+    """The position of a substring in a value; the enum values are the ASN.1 names of the choices."""
 
     INITIAL = "initial"
     ANY = "any"
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Substring:
-    """One substring and where it stands."""
+    """One substring and its position."""
 
     kind: SubstringKind
     value: bytes
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Substrings:
-    """A value of the attribute has these substrings, in this order."""
+    """Matches if a value of the attribute contains these substrings in this order."""
 
     attribute_desc: bytes
     substrings: tuple[Substring, ...]
@@ -71,19 +71,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Present:
-    """The entry has the attribute."""
+    """Matches if the entry has the attribute."""
 
     attribute_desc: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ExtensibleMatch:
-    """A value matches by a matching rule, of one attribute or of all that the rule applies to."""
+    """Matches if a value matches by a matching rule; without an attribute, any that the rule applies to."""
 
     match_value: bytes
     matching_rule: bytes | None = None
     attribute_desc: bytes | None = None
-    dn_attributes: bool = False  # the attributes of the entry's name count too
+    dn_attributes: bool = False  # whether the attributes in the entry's distinguished name are tested too
 
 
 Filter = And | Or | Not | Comparison | Substrings | Present | ExtensibleMatch
--- a/snowthread/ldap/session.py
+++ b/snowthread/ldap/session.py
@@ -1,16 +1,17 @@
-"""The state of one LDAP connection, sans I/O: requests to bytes, bytes to messages.
+"""The protocol state of one LDAP connection, without I/O: encodes requests and decodes responses.
 
-| state          | what may be sent          | what ends it                                          |
+| state          | requests allowed          | event: next state                                     |
 | -------------- | ------------------------- | ----------------------------------------------------- |
-| READY          | every request             | bind: BINDING; StartTLS: START_TLS_SENT               |
-| START_TLS_SENT | nothing                   | its response: success: HANDSHAKE, else READY          |
-| HANDSHAKE      | nothing                   | ``mark_secured``: READY; a byte of clear text: CLOSED |
-| BINDING        | nothing (RFC 4511, 4.2.1) | its response: READY                                   |
-| CLOSED         | nothing                   | -                                                     |
-
-Any state becomes CLOSED by an unbind, a notice of disconnection or an error in the protocol. A request that
-the table does not allow raises SessionStateError: an error of this program. An error of the server is a
-``SessionEnded`` value, after which nothing more is read: where the next message starts can't be known.
+| READY          | all                       | bind: BINDING; StartTLS: START_TLS_SENT               |
+| START_TLS_SENT | none                      | StartTLS response: success: HANDSHAKE, else READY     |
+| HANDSHAKE      | none                      | ``mark_secured``: READY; a byte of clear text: CLOSED |
+| BINDING        | none (RFC 4511, 4.2.1)    | bind response: READY                                  |
+| CLOSED         | none                      | -                                                     |
+
+An unbind request, a notice of disconnection or a protocol error changes any state to CLOSED. A request that
+the state does not allow raises SessionStateError, since it is an error in this program. A protocol error of
+the server is reported as a ``SessionEnded`` value. Nothing is read after it, because the start of the next
+message is unknown.
 """
 
 from __future__ import annotations
@@ -44,14 +45,14 @@
 from snowthread.ldap.result_codes import ResultCode
 
 MAX_OPEN_OPERATIONS = 64
-MAX_ABANDONED_OPERATIONS = 256  # whose responses may still arrive
+MAX_ABANDONED_OPERATIONS = 256  # abandoned operations whose late responses are recognised
 MAX_MESSAGE_ID = 2**31 - 1  # RFC 4511, section 4.1.1
-MAX_HEAD_BYTES = 6  # of a frame: the tag and the longest length that is read
+MAX_HEAD_BYTES = 6  # the tag and the longest allowed length of a message
 UNSOLICITED = 0  # the message id of notifications (RFC 4511, section 4.4)
 
 
 class SessionState(Enum):
-    """A state of the table above."""
+    """The protocol state of a connection."""
 
     READY = 0
     START_TLS_SENT = 1
@@ -61,11 +62,11 @@
 
 
 class SessionStateError(Exception):
-    """A request that the table does not allow in this state."""
+    """A request or call is not allowed in the current state of the session."""
 
 
 class EncodedRequest(NamedTuple):
-    """A request's message id and bytes."""
+    """An encoded request and its message id."""
 
     message_id: int
     data: bytes
@@ -73,10 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionEnded:
-    """The server made an error in the protocol or sent a notice of disconnection."""
+    """The session ended by a protocol error of the server or by a notice of disconnection."""
 
     reason: str
-    notice: LdapResult | None = None  # of a notice of disconnection
+    notice: LdapResult | None = None  # the result in a notice of disconnection
 
 
 _EXPECTED_RESPONSES: dict[type, tuple[type, ...]] = {
@@ -89,42 +90,45 @@
 
 
 class Session:
-    """Numbers requests, matches responses, and buffers no more than one bounded message."""
+    """Assigns message ids, matches responses to requests and buffers at most one incomplete message."""
 
     def __init__(self, limits: MessageLimits | None = None) -> None:
         self.limits = limits or MessageLimits()
         self.state = SessionState.READY
-        self._open: dict[int, type] = {}  # message id -> type of the request
+        self._open_requests: dict[int, type] = {}  # message id to the type of the request
         self._abandoned: OrderedDict[int, None] = OrderedDict()
         self._last_message_id = 0
         self._buffer = bytearray()
 
     @property
     def buffered_bytes(self) -> int:
-        """The bytes of a message that is not complete yet."""
+        """The number of buffered bytes of an incomplete message."""
         return len(self._buffer)
 
     def send(self, request: Request) -> EncodedRequest:
-        """Return a request's message id and bytes; SessionStateError if it may not be sent now."""
+        """Encode a request and assign its message id.
+
+        A request that the state does not allow is a SessionStateError.
+        """
         self._check_may_send(request)
         message_id = self._last_message_id % MAX_MESSAGE_ID + 1
         self._last_message_id = message_id
         data = encode(message_id, request)
         if type(request) in _EXPECTED_RESPONSES:
-            self._open[message_id] = type(request)
+            self._open_requests[message_id] = type(request)
         match request:
             case SimpleBindRequest() | ExternalBindRequest():
                 self.state = SessionState.BINDING
             case ExtendedRequest(request_name=name) if name == START_TLS_OID:
                 self.state = SessionState.START_TLS_SENT
-            case AbandonRequest(message_id=abandoned_id) if abandoned_id in self._open:
+            case AbandonRequest(message_id=abandoned_id) if abandoned_id in self._open_requests:
                 self._abandon(abandoned_id)
             case UnbindRequest():
                 self.state = SessionState.CLOSED
         return EncodedRequest(message_id, data)
 
     def receive(self, data: bytes) -> list[Message | SessionEnded]:
-        """Return the messages that are complete, in order; after a SessionEnded the session is closed."""
+        """Return the messages completed by ``data``, in order; a SessionEnded is the last item."""
         if self.state is SessionState.CLOSED:
             return []
         self._buffer += data
@@ -149,23 +153,23 @@
         return received
 
     def mark_secured(self) -> None:
-        """Record that the TLS handshake is done: the protocol starts over on the secured stream.
+        """Record that the TLS handshake is complete, so that requests may be sent on the secured stream.
 
         Raises:
-            SessionStateError: No response to StartTLS has asked for a handshake.
+            SessionStateError: No successful StartTLS response preceded the handshake.
         """
         if self.state is not SessionState.HANDSHAKE:
-            raise SessionStateError("nothing was to be secured")
+            raise SessionStateError("mark_secured without a StartTLS handshake")
         self.state = SessionState.READY
 
     def _next_frame(self, data: bytes, position: int) -> bytes | None:
-        """Return the complete message at a position, or None if some of it is still to come.
+        """Return the complete message at a position, or None if the message is incomplete.
 
         Raises:
             MalformedMessageError: Clear text arrived between the StartTLS response and the TLS handshake.
         """
         if self.state is SessionState.HANDSHAKE:
-            raise MalformedMessageError("clear text behind the response to StartTLS")
+            raise MalformedMessageError("clear text after the StartTLS response")
         length = frame_length(data[position : position + MAX_HEAD_BYTES], self.limits)
         if length is None or position + length > len(data):
             return None
@@ -173,22 +177,26 @@
 
     def _check_may_send(self, request: Request) -> None:
         if self.state is not SessionState.READY:
-            raise SessionStateError(f"{type(request).__name__} while {self.state.name}")
-        if self._open and isinstance(request, SimpleBindRequest | ExternalBindRequest):
-            raise SessionStateError("a bind while operations are open")
-        if self._open and isinstance(request, ExtendedRequest) and request.request_name == START_TLS_OID:
-            raise SessionStateError("StartTLS while operations are open")
-        if type(request) in _EXPECTED_RESPONSES and len(self._open) >= MAX_OPEN_OPERATIONS:
-            raise SessionStateError(f"more than {MAX_OPEN_OPERATIONS} operations open")
+            raise SessionStateError(f"{type(request).__name__} is not allowed in state {self.state.name}")
+        if self._open_requests and isinstance(request, SimpleBindRequest | ExternalBindRequest):
+            raise SessionStateError("bind is not allowed while operations are open")
+        if (
+            self._open_requests
+            and isinstance(request, ExtendedRequest)
+            and request.request_name == START_TLS_OID
+        ):
+            raise SessionStateError("StartTLS is not allowed while operations are open")
+        if type(request) in _EXPECTED_RESPONSES and len(self._open_requests) >= MAX_OPEN_OPERATIONS:
+            raise SessionStateError(f"{MAX_OPEN_OPERATIONS} operations are open already")
 
     def _abandon(self, message_id: int) -> None:
-        del self._open[message_id]
+        del self._open_requests[message_id]
         self._abandoned[message_id] = None
         while len(self._abandoned) > MAX_ABANDONED_OPERATIONS:
             self._abandoned.popitem(last=False)
 
     def _is_abandoned(self, message: Message) -> bool:
-        """Return whether the message belongs to an abandoned operation, and forget that with its last one."""
+        """Return whether a message belongs to an abandoned operation; the last one ends that operation."""
         if message.message_id not in self._abandoned:
             return False
         if isinstance(message.response, _FINAL_RESPONSES):
@@ -196,20 +204,20 @@
         return True
 
     def _match_response(self, message: Message) -> SessionEnded | None:
-        """Match a response with its request, and change the state if it is the final one."""
+        """Match a response to its request and update the state; return the end of the session, if it ends."""
         message_id = message.message_id
         response = message.response
         if message_id == UNSOLICITED:
             return _session_end_from(message)
         if message_id in self._abandoned:
             return None
-        request_type = self._open.get(message_id)
+        request_type = self._open_requests.get(message_id)
         if request_type is None:
-            return SessionEnded(f"a response with id {message_id} to no open request")
+            return SessionEnded(f"response with message id {message_id}, which has no open request")
         if not isinstance(response, _EXPECTED_RESPONSES[request_type]):
-            return SessionEnded(f"{type(response).__name__} answers a {request_type.__name__}")
+            return SessionEnded(f"received {type(response).__name__} in response to {request_type.__name__}")
         if isinstance(response, _FINAL_RESPONSES):
-            del self._open[message_id]
+            del self._open_requests[message_id]
             if self.state is SessionState.BINDING:
                 self.state = SessionState.READY
             elif self.state is SessionState.START_TLS_SENT:
@@ -220,7 +228,7 @@
     def _close(self, ended: SessionEnded) -> SessionEnded:
         self.state = SessionState.CLOSED
         self._buffer.clear()
-        self._open.clear()
+        self._open_requests.clear()
         return ended
 
 
@@ -228,4 +236,4 @@
     response = message.response
     if isinstance(response, ExtendedResponse) and response.response_name == NOTICE_OF_DISCONNECTION_OID:
         return SessionEnded(f"notice of disconnection, code {response.result.result_code}", response.result)
-    return SessionEnded("an unsolicited message of no known kind")
+    return SessionEnded("unknown unsolicited notification")
--- a/snowthread/ldap/url.py
+++ b/snowthread/ldap/url.py
@@ -1,4 +1,4 @@
-"""LDAP URLs (RFC 4516): where a server is."""
+"""Parse LDAP URLs (RFC 4516), which give the address of a server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LdapUrl:
-    """One URL; ``scheme`` is ldap or ldaps, ``scope`` and ``filter`` are None if it names none."""
+    """A parsed LDAP URL; ``scheme`` is ldap or ldaps, ``scope`` and ``filter`` are None if not given."""
 
     scheme: str
     host: str
@@ -30,10 +30,10 @@
 
     @property
     def address(self) -> Address:
-        """Where to connect.
+        """The address to connect to.
 
         Raises:
-            UrlError: The host is no number; names are not looked up.
+            UrlError: The host is not a numeric IP address; host names are not resolved.
         """
         try:
             return Address.parse(
@@ -44,16 +44,16 @@
 
     @property
     def server(self) -> str:
-        """The scheme, host and port, to which cookies belong."""
+        """The scheme, host and port, which identify a server, for instance as the sender of a cookie."""
         host = f"[{self.host}]" if ":" in self.host else self.host
         return f"{self.scheme}://{host}:{self.port}"
 
 
 def parse(text: str) -> LdapUrl:
-    """Return a URL's parts, each checked.
+    """Parse and validate an LDAP URL.
 
     Raises:
-        UrlError: The text is no LDAP URL that can be used here; the error says which part is wrong.
+        UrlError: The text is not a valid or supported LDAP URL; the error says which part is wrong.
     """
     try:
         split = urlsplit(text)
@@ -63,14 +63,14 @@
     if split.scheme not in DEFAULT_PORTS:
         raise UrlError(f"{text!r}: the scheme must be ldap or ldaps")
     if split.fragment or split.username is not None:
-        raise UrlError(f"{text!r}: neither a user nor a fragment may stand in it")
+        raise UrlError(f"{text!r}: user names and fragments are not allowed")
     base = unquote(split.path[1:], errors="strict") if split.path else ""
     query = _parse_query(text, split.query)
     try:
         dn.parse(base)
         if query.filter:
             filters.parse(query.filter)
-    except ValueError as error:  # a lone surrogate is one without being an LdapTextError
+    except ValueError as error:  # a lone surrogate raises UnicodeEncodeError, which is no LdapTextError
         raise UrlError(f"{text!r}: {error}") from None
     return LdapUrl(
         split.scheme,
@@ -84,7 +84,7 @@
 
 
 class _Query(NamedTuple):
-    """What stands behind the first question mark (RFC 4516, section 2)."""
+    """The part of a URL after the first question mark (RFC 4516, section 2)."""
 
     attributes: str
     scope: Scope | None
@@ -97,7 +97,7 @@
         raise UrlError(f"{text!r}: more than four question marks")
     attributes, scope, search, extensions = (*parts, "", "", "", "")[:MAX_QUERY_PARTS]
     if scope.lower() not in _SCOPES:
-        raise UrlError(f"{text!r}: no scope is called {scope!r}")
+        raise UrlError(f"{text!r}: unknown scope {scope!r}")
     if any(extension.startswith("!") for extension in extensions.split(",")):
-        raise UrlError(f"{text!r}: an extension that is critical and not known")
+        raise UrlError(f"{text!r}: unknown critical extension")
     return _Query(attributes, _SCOPES[scope.lower()], search)
--- a/tests/ldap/test_ldap_codec.py
+++ b/tests/ldap/test_ldap_codec.py
@@ -226,7 +226,7 @@
     assert session.receive(entry(search_id, "cn=late", [])) == []  # crossed the abandon request
     assert session.receive(done(search_id)) == [] and session.state is SessionState.READY
     (ended,) = session.receive(done(search_id))
-    assert isinstance(ended, SessionEnded) and "to no open request" in ended.reason
+    assert isinstance(ended, SessionEnded) and "which has no open request" in ended.reason
     with pytest.raises(SessionStateError):
         session.send(UnbindRequest())
 
@@ -234,13 +234,13 @@
 @pytest.mark.parametrize(
     ("wire", "text"),
     [
-        (done(9), "to no open request"),
-        (bind_response(1), "BindResponse answers a SearchRequest"),
+        (done(9), "message id 9, which has no open request"),
+        (bind_response(1), "received BindResponse in response to SearchRequest"),
         (
             message(0, protocol.extended_response(52, oid=protocol.NOTICE_OF_DISCONNECTION)),
             "notice",
         ),
-        (message(0, protocol.search_done(0)), "unsolicited"),
+        (message(0, protocol.search_done(0)), "unknown unsolicited notification"),
         (message(1, ber.application(Operation.SEARCH_REQUEST)), "message can't be decoded"),
     ],
 )
