--- a/snowthread/operator/__init__.py
+++ b/snowthread/operator/__init__.py
@@ -1,5 +1,6 @@
-"""The features of an operator's file: HCL, one block per feature. Imported only if a node has such a file.
+"""The optional features in an operator's file: HCL with one block per feature.
 
-``features`` reads the complete file with :mod:`snowthread.hcl` and gives each block to the feature that it
-belongs to; a feature reads its own block with the same module and does not depend on this package.
+``features`` reads the complete file with :mod:`snowthread.hcl` and passes each block to the feature that it
+configures. A feature reads its own block with the same module and does not depend on this package, which is
+imported only if a node has an operator's file.
 """
--- a/snowthread/operator/features.py
+++ b/snowthread/operator/features.py
@@ -1,6 +1,7 @@
-"""The features that an operator's file turns on, all read and checked before any is applied.
+"""Read the settings of the optional features from an operator's file.
 
-A feature's package is imported only if the file has its block.
+All blocks are read and validated before any is applied. The package of a feature is imported only if the file
+contains its block.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Features:
-    """The settings of each feature; None where the file has no block for it."""
+    """The settings of each feature, or None for a feature without a block in the file."""
 
     path: Path
     tenants: TenantSettings | None
@@ -31,9 +32,9 @@
 
     @classmethod
     def load(cls, path: Path, config: Config) -> Features:
-        """Read the complete file; ConfigError says what can't be used.
+        """Read and validate the complete file; a ConfigError says what is invalid.
 
-        Secrets and certificates are read too, so that a reload is applied completely or not at all.
+        Passwords and certificates are read too, so that a reload is applied completely or not at all.
         """
         file = hcl.read_file(path)
         features = cls(
@@ -47,9 +48,10 @@
         return features
 
     def changes_needing_restart(self, old: Features) -> list[str]:
-        """Return the blocks whose changes since ``old`` take effect only at the next start."""
+        """Return the names of the blocks whose changes since ``old`` take effect only after a restart."""
         changed = {
-            "tenants": (self.tenants is None) != (old.tenants is None),  # other changes apply at once
+            "tenants": (self.tenants is None)
+            != (old.tenants is None),  # other changes of this block apply at once
             "records": self.records != old.records,
             "comeback": self.recovery != old.recovery,
             "site": self.site != old.site,
@@ -57,10 +59,10 @@
         return [name for name, differs in changed.items() if differs]
 
     def summary_lines(self) -> list[str]:
-        """Return one line per feature for operators that says what is on."""
+        """Return one line for each enabled feature, or one line that says that none is enabled."""
         features = (self.tenants, self.records, self.recovery, self.site)
         summaries = [feature.summary() for feature in features if feature is not None]
-        return summaries or [f"{self.path}: no feature is on"]
+        return summaries or [f"{self.path}: no features are enabled"]
 
 
 def _read_tenants(block: hcl.Block | None, config: Config) -> TenantSettings | None:
--- a/tests/ldap/test_directory_emulator.py
+++ b/tests/ldap/test_directory_emulator.py
@@ -1,4 +1,4 @@
-"""The emulated directory speaks LDAP: another library's client understands it."""
+"""The emulated directory conforms to LDAP: the client of an independent library (ldap3) can use it."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 @pytest.fixture
 def client() -> Iterator[ldap3.Connection]:
     with loopback(socket.SOCK_STREAM) as sock:
-        where = address(sock)
+        server_address = address(sock)
     process = subprocess.Popen(
-        [sys.executable, "-m", "emulators.directory", where],
+        [sys.executable, "-m", "emulators.directory", server_address],
         cwd=ROOT,
         text=True,
         stdin=subprocess.PIPE,
@@ -29,7 +29,7 @@
     )
     try:
         assert process.stdout is not None and "5 tenants" in process.stdout.readline()
-        host, _, port = where.rpartition(":")
+        host, _, port = server_address.rpartition(":")
         server = ldap3.Server(host, int(port), get_info=ldap3.NONE, connect_timeout=20)
         with ldap3.Connection(server, auto_bind=True, receive_timeout=20) as connection:
             yield connection
--- a/tests/ldap/test_ldap_codec.py
+++ b/tests/ldap/test_ldap_codec.py
@@ -1,4 +1,4 @@
-"""LDAP's bytes: client and emulated directory understand each other, and nothing else passes."""
+"""LDAP encoding: the client and the emulated directory interoperate, and invalid bytes are rejected."""
 
 from __future__ import annotations
 
@@ -139,7 +139,7 @@
     check(b"\x30\x04\x30\x02\x05\x00", LIMITS)
 
 
-def test_the_emulator_reads_a_search_as_it_was_meant() -> None:
+def test_the_emulator_decodes_a_search_as_the_client_encoded_it() -> None:
     request = SearchRequest(
         "dc=x",
         Scope.ONE,
@@ -223,7 +223,7 @@
     with pytest.raises(SessionStateError):
         session.send(SimpleBindRequest("", Secret("")))
     session.send(AbandonRequest(search_id))
-    assert session.receive(entry(search_id, "cn=late", [])) == []  # crossed the abandon request
+    assert session.receive(entry(search_id, "cn=late", [])) == []  # sent before the abandon request arrived
     assert session.receive(done(search_id)) == [] and session.state is SessionState.READY
     (ended,) = session.receive(done(search_id))
     assert isinstance(ended, SessionEnded) and "which has no open request" in ended.reason
@@ -249,8 +249,8 @@
     assert isinstance(ended, SessionEnded) and text in ended.reason
 
 
-def test_clear_text_behind_the_response_to_start_tls_is_a_protocol_error() -> None:
-    # An attacker on the path could otherwise inject messages before the stream is secured.
+def test_clear_text_after_the_start_tls_response_is_a_protocol_error() -> None:
+    # An attacker on the network path could otherwise inject messages before the stream is secured.
     accepted = message(1, protocol.extended_response(0))
     session = Session()
     session.send(ExtendedRequest(START_TLS_OID))
@@ -258,7 +258,7 @@
     assert isinstance(received[-1], SessionEnded) and "clear text" in received[-1].reason
 
 
-def test_nothing_is_sent_between_the_response_to_start_tls_and_the_handshake() -> None:
+def test_nothing_is_sent_between_the_start_tls_response_and_the_handshake() -> None:
     session = Session()
     session.send(ExtendedRequest(START_TLS_OID))
     assert len(session.receive(message(1, protocol.extended_response(0)))) == 1
--- a/tests/ldap/test_ldap_texts.py
+++ b/tests/ldap/test_ldap_texts.py
@@ -1,4 +1,4 @@
-"""The textual forms of LDAP: filters (RFC 4515), distinguished names (RFC 4514) and URLs (RFC 4516)."""
+"""Parsing of filters (RFC 4515), distinguished names (RFC 4514) and LDAP URLs (RFC 4516)."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
     assert dn.parse("cn=a  b").key == dn.parse("cn=a b").key != dn.parse("cn=ab").key
 
 
-def test_a_name_that_ends_in_the_base_as_usually_written_is_plainly_below_it() -> None:
+def test_a_name_that_ends_with_the_canonical_base_is_below_it() -> None:
     assert dn.ends_with_base("cn=X,OU=Tenants,dc=example", PLAIN_BASE)
 
 
--- a/tests/ldap/test_ldap_tls.py
+++ b/tests/ldap/test_ldap_tls.py
@@ -1,4 +1,4 @@
-"""TLS to a directory: certificates and names are verified; an invalid one never leads to clear text."""
+"""TLS to a directory: certificates and host names are verified, with no fallback to clear text."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
     monkeypatch.setenv("DIRECTORY_PASSWORD", PASSWORD)
     harnesses: list[DirectoryHarness] = []
 
-    def begin(
+    def start_harness(
         context: ssl.SSLContext | None,
         ldaps: bool,
         trusted: trustme.CA | None = None,
-        more: str = "",
+        extra: str = "",
         bind: str = 'dn = "cn=node"\n password_env = "DIRECTORY_PASSWORD"\n',
         tls: str = "",
     ) -> DirectoryHarness:
@@ -60,11 +60,11 @@
           bind {{
             {bind}
           }}
-          {more}""",
+          {extra}""",
             servers=urls,
         )
 
-    yield begin
+    yield start_harness
     for harness in harnesses:
         harness.close()
 
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize("at", [1, 200, 1500])
 def test_a_stall_in_the_handshake_times_out(start: NewHarness, authority: trustme.CA, at: int) -> None:
     harness = start(
-        server_context(authority, "127.0.0.1"), True, more='bind_within = "1s"\n retry { open = "1s" }'
+        server_context(authority, "127.0.0.1"), True, extra='bind_within = "1s"\n retry { open = "1s" }'
     )
     harness.directories[0].faults.stall_at = at
     harness.run(10_000.0)
--- a/tests/ldap/test_retry_budget.py
+++ b/tests/ldap/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Backoff and the retry budget."""
+"""Backoff with full jitter, and the retry budget."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def test_retries_are_a_share_of_the_successes_however_many_there_are() -> None:
     budget = RetryBudget(POLICY, 0.0)
     retries = 0
-    for _ in range(1000):  # all at one instant: the floor in time adds nothing
+    for _ in range(1000):  # all at the same time, so the minimum rate over time adds no retries
         budget.record_success()
         retries += budget.take_retry(0.0) == 0.0
     assert 200 <= retries <= 206
@@ -29,7 +29,7 @@
 def test_without_successes_a_retry_is_allowed_now_and_then() -> None:
     budget = RetryBudget(POLICY, 0.0)
     retries = [now for now in range(0, 100_000, 100) if budget.take_retry(float(now)) == 0.0]
-    assert 5 + 9 <= len(retries) <= 5 + 10  # those saved, then one in ten seconds
+    assert 5 + 9 <= len(retries) <= 5 + 10  # the 5 of a full budget, then one per ten seconds
     budget.take_retry(100_000.0)
     wait_ms = budget.take_retry(100_001.0)
     assert 9_000.0 < wait_ms <= 10_000.0
--- a/tests/ldap/test_server_selector.py
+++ b/tests/ldap/test_server_selector.py
@@ -1,4 +1,4 @@
-"""Which server is used and when: circuit breakers, the order of the servers, a reaction for each code."""
+"""Circuit breakers, the choice of the server, backoff, and the reaction to each result code."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     assert breaker.state(999.0) is CircuitState.OPEN and not breaker.allows(999.0)
     assert breaker.state(1000.0) is CircuitState.HALF_OPEN and breaker.allows(1000.0)
     breaker.start_attempt(1000.0)
-    assert not breaker.allows(1000.0)  # one probe at a time
+    assert not breaker.allows(1000.0)  # one attempt at a time while half-open
     assert breaker.record_failure(1100.0) and breaker.open_until_ms == 1100.0 + 2000.0
 
 
@@ -70,12 +70,12 @@
     servers = ServerSelector(("a", "b", "c"), POLICY, 0.0)
     assert servers.choose(0.0) == 0
     servers.record_success(0)
-    assert servers.choose(1.0) == 0  # the one in use is preferred
+    assert servers.choose(1.0) == 0  # the server in use is preferred
     servers.record_failure(0, 1.0)
     assert servers.choose(1.0) == 1 and servers.fail_overs == 1
-    servers.record_failure(1, 1.0, Reaction.RETRY)  # busy: the same one after a backoff
+    servers.record_failure(1, 1.0, Reaction.RETRY)  # a busy server is tried again after a backoff
     assert servers.choose(2.0) == 1
-    servers.record_failure(1, 2.0, Reaction.NEEDS_OPERATOR)  # its circuit opens at once
+    servers.record_failure(1, 2.0, Reaction.NEEDS_OPERATOR)  # opens the circuit at once
     assert servers.breakers[1].state(2.0) is CircuitState.OPEN and servers.choose(2.0) == 2
 
 
@@ -101,4 +101,5 @@
             attempts += 1
             servers.record_failure(index, now)
         now += max(1.0, servers.backoff_ms(now, rng))
-    assert 600 / 8 * 0.5 <= attempts <= 600 / 8 + 20  # the circuit is open for 8 s at the longest
+    # The circuit is open for at most 8 s, so there is about one attempt per 8 s in 600 s.
+    assert 600 / 8 * 0.5 <= attempts <= 600 / 8 + 20
--- a/tests/operator/test_hcl.py
+++ b/tests/operator/test_hcl.py
@@ -1,4 +1,4 @@
-"""The operator's file: errors name file, block and key, and a file is applied completely or not at all."""
+"""The operator's file: errors name the file, block and key, and one error rejects the whole file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,9 @@
 from snowthread.operator.features import Features
 
 NODE = config.load({"NODE_CONFIG": str(EXAMPLE)})
-GOOD = 'servers = ["ldap://127.0.0.1:3389"]\n base = "ou=tenants,dc=example"\n'
+REQUIRED = (
+    'servers = ["ldap://127.0.0.1:3389"]\n base = "ou=tenants,dc=example"\n'  # the keys without defaults
+)
 
 
 def load(folder: Path, text: str, node: config.Config = NODE) -> Features:
@@ -30,7 +32,7 @@
 
 
 def test_defaults_and_units(tmp_path: Path) -> None:
-    tenants = load(tmp_path, f'tenants {{\n {GOOD} operation = "1.5s"\n poll = "2m"\n }}').tenants
+    tenants = load(tmp_path, f'tenants {{\n {REQUIRED} operation = "1.5s"\n poll = "2m"\n }}').tenants
     assert tenants is not None and (tenants.operation_timeout_ms, tenants.poll_interval_ms) == (
         1500.0,
         120_000.0,
@@ -45,35 +47,53 @@
         ("tenants {\n x = \n}", ["line 2", "not HCL"]),
         ("tenant {\n}", ["key 'tenant'", "no such key"]),
         ("tenants {\n}", ["block 'tenants'", "key 'servers'", "missing"]),
-        (f"tenants {{\n {GOOD} page_sice = 5\n }}", ["key 'page_sice'", "no such key"]),
-        (f"tenants {{\n {GOOD} page_size = 5\n }}", ["key 'page_size'", "at least 10"]),
-        (f"tenants {{\n {GOOD} page_size = 50.5\n }}", ["key 'page_size'", "whole number"]),
-        (f'tenants {{\n {GOOD} page_size = "50"\n }}', ["key 'page_size'", "number"]),
-        (f'tenants {{\n {GOOD} start_tls = "yes"\n }}', ["key 'start_tls'", "true or false"]),
-        (f"tenants {{\n {GOOD} poll = 30\n }}", ["key 'poll'", "string"]),
-        (f'tenants {{\n {GOOD} poll = "30"\n }}', ["key 'poll'", "length of time"]),
-        (f"tenants {{\n {GOOD} poll = var.period\n }}", ["key 'poll'", "no expression"]),
-        (f'tenants {{\n {GOOD} filter = "(a=b"\n }}', ["key 'filter'", "character"]),
-        (f'tenants {{\n {GOOD} mode = "push"\n }}', ["key 'mode'", "persist, refresh, paged"]),
-        (f'tenants {{\n {GOOD} trust_numbers_from = ["10.0.0.0/99"]\n }}', ["trust_numbers_from", "/99"]),
-        (f"tenants {{\n {GOOD} removal {{\n share = 2\n }}\n }}", ["block 'tenants.removal'", "key 'share'"]),
-        (f"tenants {{\n {GOOD} removal {{\n }}\n removal {{\n }}\n }}", ["key 'removal'", "2 times"]),
-        (f"tenants {{\n {GOOD} removal = 3\n }}", ["key 'removal'", "a block is wanted"]),
+        (f"tenants {{\n {REQUIRED} page_sice = 5\n }}", ["key 'page_sice'", "no such key"]),
+        (f"tenants {{\n {REQUIRED} page_size = 5\n }}", ["key 'page_size'", "at least 10"]),
+        (f"tenants {{\n {REQUIRED} page_size = 50.5\n }}", ["key 'page_size'", "whole number"]),
+        (f'tenants {{\n {REQUIRED} page_size = "50"\n }}', ["key 'page_size'", "number"]),
+        (f'tenants {{\n {REQUIRED} start_tls = "yes"\n }}', ["key 'start_tls'", "true or false"]),
+        (f"tenants {{\n {REQUIRED} poll = 30\n }}", ["key 'poll'", "string"]),
+        (f'tenants {{\n {REQUIRED} poll = "30"\n }}', ["key 'poll'", "length of time"]),
+        (f"tenants {{\n {REQUIRED} poll = var.period\n }}", ["key 'poll'", "no expression"]),
+        (f'tenants {{\n {REQUIRED} filter = "(a=b"\n }}', ["key 'filter'", "character"]),
+        (f'tenants {{\n {REQUIRED} mode = "push"\n }}', ["key 'mode'", "persist, refresh, paged"]),
+        (
+            f'tenants {{\n {REQUIRED} trust_numbers_from = ["10.0.0.0/99"]\n }}',
+            ["trust_numbers_from", "/99"],
+        ),
+        (
+            f"tenants {{\n {REQUIRED} removal {{\n share = 2\n }}\n }}",
+            ["block 'tenants.removal'", "key 'share'"],
+        ),
+        (
+            f"tenants {{\n {REQUIRED} removal {{\n }}\n removal {{\n }}\n }}",
+            ["key 'removal'", "2 times"],
+        ),
+        (f"tenants {{\n {REQUIRED} removal = 3\n }}", ["key 'removal'", "a block is wanted"]),
         ('tenants {\n servers = ["ldap://ldap.example"]\n base = "dc=x"\n }', ["servers", "numeric"]),
         ('tenants {\n servers = ["ldap://127.0.0.1"]\n base = "dc"\n }', ["key 'base'", "character"]),
-        (f'tenants {{\n {GOOD} bind {{\n dn = "cn=a"\n }}\n }}', ["block 'tenants.bind'", "password_file"]),
         (
-            f'tenants {{\n {GOOD} bind {{\n dn = "cn=a"\n password_env = "NO_SUCH_VARIABLE"\n }}\n }}',
+            f'tenants {{\n {REQUIRED} bind {{\n dn = "cn=a"\n }}\n }}',
+            ["block 'tenants.bind'", "password_file"],
+        ),
+        (
+            f'tenants {{\n {REQUIRED} bind {{\n dn = "cn=a"\n password_env = "NO_SUCH_VARIABLE"\n }}\n }}',
             ["password_env", "no password"],
         ),
-        (f'tenants {{\n {GOOD} bind {{\n method = "external"\n }}\n }}', ["key 'method'", "cert_file"]),
-        (f'tenants {{\n {GOOD} tls {{\n ca_file = "/none"\n }}\n }}', ["key 'ca_file'", "no server"]),
         (
-            f'tenants {{\n {GOOD} start_tls = true\n tls {{\n ca_file = "/none"\n }}\n }}',
+            f'tenants {{\n {REQUIRED} bind {{\n method = "external"\n }}\n }}',
+            ["key 'method'", "cert_file"],
+        ),
+        (
+            f'tenants {{\n {REQUIRED} tls {{\n ca_file = "/none"\n }}\n }}',
+            ["key 'ca_file'", "no server"],
+        ),
+        (
+            f'tenants {{\n {REQUIRED} start_tls = true\n tls {{\n ca_file = "/none"\n }}\n }}',
             ["ca_file", "/none"],
         ),
         (
-            f'tenants {{\n {GOOD} snapshot {{\n file = "/none/at/all"\n }}\n }}',
+            f'tenants {{\n {REQUIRED} snapshot {{\n file = "/none/at/all"\n }}\n }}',
             ["key 'file'", "/none/at is not a folder"],
         ),
     ],
@@ -88,7 +108,7 @@
 
 def test_error_about_a_key_has_file_block_and_key_as_attributes(tmp_path: Path) -> None:
     with pytest.raises(BlockKeyError) as caught:
-        load(tmp_path, f"tenants {{\n {GOOD} removal {{\n share = 2\n }}\n }}")
+        load(tmp_path, f"tenants {{\n {REQUIRED} removal {{\n share = 2\n }}\n }}")
     error = caught.value
     assert error.path == str(tmp_path / "features.hcl")
     assert (error.block, error.key) == ("tenants.removal", "share")
@@ -105,7 +125,7 @@
     for body in (
         f"{remote} start_tls = true\n {bind}",
         remote.replace("ldap:", "ldaps:") + bind,
-        GOOD + bind,
+        REQUIRED + bind,
         remote + bind.replace("}", "allow_clear_text = true\n }"),
     ):
         tenants = load(tmp_path, f"tenants {{\n {body} }}").tenants
@@ -117,8 +137,8 @@
     fields["settings"]["projects"] = [{"name": "x", "quota_per_s": 3.0}]
     node = config.parse(fields)
     with pytest.raises(ConfigError, match="replace_settings"):
-        load(tmp_path, f"tenants {{\n {GOOD} }}", node)
-    assert load(tmp_path, f"tenants {{\n {GOOD} replace_settings = true\n }}", node).tenants is not None
+        load(tmp_path, f"tenants {{\n {REQUIRED} }}", node)
+    assert load(tmp_path, f"tenants {{\n {REQUIRED} replace_settings = true\n }}", node).tenants is not None
 
 
 def test_equal_blocks_make_equal_settings() -> None:
@@ -127,7 +147,7 @@
 
 
 def test_changes_that_need_a_new_start_are_listed(tmp_path: Path) -> None:
-    tenants = f"tenants {{\n {GOOD} }}\n"
+    tenants = f"tenants {{\n {REQUIRED} }}\n"
     records = f'records {{\n folder = "{tmp_path}"\n }}\n'
     both = load(tmp_path, tenants + records)
     assert load(tmp_path, tenants + records).changes_needing_restart(both) == []
