--- a/snowthread/recovery/cli.py
+++ b/snowthread/recovery/cli.py
@@ -33,7 +33,7 @@
     from snowthread.config import ConfigError
     from snowthread.recovery import storage
 
-    if storage.read(folder, storage.KEY_LOG_FILE):
+    if storage.read_state_file(folder, storage.KEY_LOG_FILE):
         raise ConfigError(f"{folder}: has a ring of keys; where it is torn the node has to be blind")
     error = storage.create_key_log(folder)
     if error is not None:
@@ -50,19 +50,19 @@
     from snowthread.recovery.snapshot_assessment import assess
 
     now_ms = time.time() * MS_PER_S
-    data = storage.read(folder)
+    data = storage.read_state_file(folder)
     snapshot = decode(data).snapshot
     generation = snapshot.generation if snapshot is not None else 0
     assessment = assess(data, generation=generation, now_ms=now_ms, fresh_for_ms=fresh_for * MS_PER_S)
     click.echo(f"incarnation {storage.read_incarnation(folder)}")
-    click.echo(f"snapshot: {_with_reason(assessment.verdict.value, assessment.reason)}")
+    click.echo(f"snapshot: {_with_reason(assessment.status.value, assessment.reason)}")
     if snapshot is not None:
         _show_snapshot(snapshot, now_ms)
     _show_key_log(storage.read_key_log(folder), now_ms)
 
 
-def _with_reason(verdict: str, reason: str) -> str:
-    return f"{verdict}: {reason}" if reason else verdict
+def _with_reason(status: str, reason: str) -> str:
+    return f"{status}: {reason}" if reason else status
 
 
 def _show_snapshot(snapshot: Snapshot, now_ms: float) -> None:
@@ -80,11 +80,11 @@
         )
 
 
-def _show_key_log(found: KeyLogContents, now_ms: float) -> None:
-    open_windows = sum(until_ms > now_ms for until_ms in found.keys.values())
-    blind_s = (found.any_until_ms - now_ms) / MS_PER_S
+def _show_key_log(contents: KeyLogContents, now_ms: float) -> None:
+    open_windows = sum(until_ms > now_ms for until_ms in contents.keys.values())
+    blind_s = (contents.all_indeterminate_until_ms - now_ms) / MS_PER_S
     blind = f", blind for {blind_s:.1f} s" if blind_s > 0.0 else ""
     click.echo(
-        f"ring of keys: {_with_reason(found.verdict.value, found.reason)}; "
+        f"ring of keys: {_with_reason(contents.status.value, contents.reason)}; "
         f"{open_windows} with an open window{blind}"
     )
--- a/snowthread/recovery/key_log.py
+++ b/snowthread/recovery/key_log.py
@@ -1,6 +1,6 @@
 """Format of the key log: which runs with an idempotency key an earlier incarnation may have begun.
 
-Pure: bytes in, contents and verdict out.
+Pure: bytes in, contents and status out.
 
 Layout (little-endian), ``HEADER`` then ``slots`` of ``SLOT``::
 
@@ -10,7 +10,7 @@
 A key is written to slot ``sequence % slots`` before the start of its run is sent to the runtime. A key whose
 slot holds another key with an open window is not written, and so not run: the log's size is a bound.
 
-| found                                            | verdict | indeterminate keys                        |
+| found                                            | status | indeterminate keys                        |
 | ------------------------------------------------ | ------- | ----------------------------------------- |
 | all of it                                        | whole   | those with an open window                 |
 | all of it, with the ``any_until`` of an earlier  | whole   | all until ``any_until``, then as above    |
@@ -39,23 +39,23 @@
 MAX_SLOTS = 1 << 20
 
 
-class KeyLogVerdict(Enum):
+class KeyLogStatus(Enum):
     """What was found in place of a key log."""
 
     COMPLETE = "whole"
     MISSING = "missing"
-    TORN = "torn"
-    FOREIGN = "foreign"
+    CORRUPT = "torn"
+    UNKNOWN_FORMAT = "foreign"
 
 
 @dataclass(frozen=True, slots=True)
 class KeyLogContents:
     """What a start finds in a key log."""
 
-    verdict: KeyLogVerdict
+    status: KeyLogStatus
     reason: str = ""
     keys: dict[bytes, float] = field(default_factory=dict)  # by digest: end of the window, wall ms
-    any_until_ms: float = 0.0  # until then any key may have run, wall ms
+    all_indeterminate_until_ms: float = 0.0  # until then any key may have run, wall ms
     sequence: int = 0  # of the newest key
 
 
@@ -69,47 +69,47 @@
     return HEADER_BYTES + slots * SLOT_BYTES
 
 
-def new_key_log(any_until_ms: float = 0.0, slots: int = DEFAULT_SLOTS) -> bytes:
-    """Return an empty key log; until ``any_until_ms`` (wall ms) any key may have run."""
-    head = HEADER.pack(MAGIC, FORMAT_VERSION, slots, any_until_ms)
+def encode_empty_key_log(all_indeterminate_until_ms: float = 0.0, slots: int = DEFAULT_SLOTS) -> bytes:
+    """Return an empty key log; until ``all_indeterminate_until_ms`` (wall ms) any key may have run."""
+    head = HEADER.pack(MAGIC, FORMAT_VERSION, slots, all_indeterminate_until_ms)
     return (head + CRC.pack(zlib.crc32(head))).ljust(HEADER_BYTES, b"\0") + bytes(slots * SLOT_BYTES)
 
 
 class _UnusableError(Exception):
     """Bytes that are no complete key log of this format."""
 
-    def __init__(self, verdict: KeyLogVerdict, reason: str) -> None:
-        self.verdict = verdict
+    def __init__(self, status: KeyLogStatus, reason: str) -> None:
+        self.status = status
         self.reason = reason
         super().__init__(reason)
 
 
-def read_key_log(data: bytes) -> KeyLogContents:
-    """Return the contents of a key log, with the verdict on its bytes."""
+def decode_key_log(data: bytes) -> KeyLogContents:
+    """Return the contents of a key log, with the status on its bytes."""
     try:
         return _read_contents(data)
     except _UnusableError as error:
-        return KeyLogContents(error.verdict, error.reason)
+        return KeyLogContents(error.status, error.reason)
 
 
 def _read_contents(data: bytes) -> KeyLogContents:
     if not data:
-        raise _UnusableError(KeyLogVerdict.MISSING, "no key log")
+        raise _UnusableError(KeyLogStatus.MISSING, "no key log")
     if len(data) < HEADER_BYTES:
-        raise _UnusableError(KeyLogVerdict.TORN, f"{len(data)} bytes")
-    magic, version, slots, any_until_ms = HEADER.unpack_from(data)
+        raise _UnusableError(KeyLogStatus.CORRUPT, f"{len(data)} bytes")
+    magic, version, slots, all_indeterminate_until_ms = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise _UnusableError(KeyLogVerdict.FOREIGN, "not a key log")
+        raise _UnusableError(KeyLogStatus.UNKNOWN_FORMAT, "not a key log")
     if version != FORMAT_VERSION:
-        raise _UnusableError(KeyLogVerdict.FOREIGN, f"format {version}, known {FORMAT_VERSION}")
+        raise _UnusableError(KeyLogStatus.UNKNOWN_FORMAT, f"format {version}, known {FORMAT_VERSION}")
     if CRC.unpack_from(data, HEADER.size)[0] != zlib.crc32(data[: HEADER.size]):
-        raise _UnusableError(KeyLogVerdict.TORN, "the header does not check")
+        raise _UnusableError(KeyLogStatus.CORRUPT, "the header does not check")
     if not 0 < slots <= MAX_SLOTS or len(data) != key_log_size(slots):
-        raise _UnusableError(KeyLogVerdict.TORN, f"{len(data)} bytes, {slots} slots")
-    return _read_slots(data, slots, any_until_ms)
+        raise _UnusableError(KeyLogStatus.CORRUPT, f"{len(data)} bytes, {slots} slots")
+    return _read_slots(data, slots, all_indeterminate_until_ms)
 
 
-def _read_slots(data: bytes, slots: int, any_until_ms: float) -> KeyLogContents:
+def _read_slots(data: bytes, slots: int, all_indeterminate_until_ms: float) -> KeyLogContents:
     keys: dict[bytes, float] = {}
     newest = 0
     for index in range(slots):
@@ -120,10 +120,10 @@
         sequence, until_ms, digest = SLOT.unpack(body)
         checksum = CRC.unpack_from(data, offset + SLOT.size)[0]
         if checksum != zlib.crc32(body) or sequence % slots != index:
-            raise _UnusableError(KeyLogVerdict.TORN, f"slot {index} does not check")
+            raise _UnusableError(KeyLogStatus.CORRUPT, f"slot {index} does not check")
         keys[digest] = max(until_ms, keys.get(digest, 0.0))
         newest = max(newest, sequence)
-    return KeyLogContents(KeyLogVerdict.COMPLETE, "", keys, any_until_ms, newest)
+    return KeyLogContents(KeyLogStatus.COMPLETE, "", keys, all_indeterminate_until_ms, newest)
 
 
 class KeyLog:
--- a/snowthread/recovery/key_recorder.py
+++ b/snowthread/recovery/key_recorder.py
@@ -10,7 +10,7 @@
 from snowthread.core.idempotency import IndeterminateKeys, key_digest
 from snowthread.core.state import NodeState
 from snowthread.recovery import storage
-from snowthread.recovery.key_log import KeyLogVerdict
+from snowthread.recovery.key_log import KeyLogStatus
 from snowthread.recovery.settings import RecoverySettings
 from snowthread.recovery.storage import OpenedKeyLog
 
@@ -26,10 +26,10 @@
         ``longest_window_ms`` is the longest idempotency window of all request classes: where the log is
         incomplete, any key may have run until that time has passed.
         """
-        any_until_ms = now_ms + longest_window_ms
-        opened = storage.open_key_log(settings.folder, any_until_ms)
+        all_indeterminate_until_ms = now_ms + longest_window_ms
+        opened = storage.open_key_log(settings.folder, all_indeterminate_until_ms)
         self._key_log = opened.key_log
-        _mark_indeterminate_keys(state, opened, any_until_ms, now_ms)
+        _mark_indeterminate_keys(state, opened, all_indeterminate_until_ms, now_ms)
 
     def record_start(self, state: NodeState, start: effects.StartRun, now_ms: float) -> bool:
         """Write the key of a run that is about to start; return False where it must not start.
@@ -47,24 +47,26 @@
 
 
 def _mark_indeterminate_keys(
-    state: NodeState, opened: OpenedKeyLog, any_until_ms: float, now_ms: float
+    state: NodeState, opened: OpenedKeyLog, all_indeterminate_until_ms: float, now_ms: float
 ) -> None:
-    found = opened.found
+    contents = opened.contents
     if opened.error is not None:
         logger.bind(event="recovery.key_log").error(
             "no key log, no request with a key is run: {}", opened.error
         )
-        any_until_ms = math.inf
-    elif found.verdict is KeyLogVerdict.COMPLETE:
-        any_until_ms = found.any_until_ms
-    keys = {digest: until_ms for digest, until_ms in found.keys.items() if until_ms > now_ms}
-    if keys or any_until_ms > now_ms:
-        state.indeterminate_keys = IndeterminateKeys(keys, any_until_ms)
-    logger.bind(event="recovery.key_log", verdict=found.verdict.value, keys=len(keys)).info(
+        all_indeterminate_until_ms = math.inf
+    elif contents.status is KeyLogStatus.COMPLETE:
+        all_indeterminate_until_ms = contents.all_indeterminate_until_ms
+    keys = {digest: until_ms for digest, until_ms in contents.keys.items() if until_ms > now_ms}
+    if keys or all_indeterminate_until_ms > now_ms:
+        state.indeterminate_keys = IndeterminateKeys(keys, all_indeterminate_until_ms)
+    logger.bind(event="recovery.key_log", verdict=contents.status.value, keys=len(keys)).info(
         "key log: {}{}{}; {} keys indeterminate{}",
-        found.verdict.value,
-        ": " if found.reason else "",
-        found.reason,
+        contents.status.value,
+        ": " if contents.reason else "",
+        contents.reason,
         len(keys),
-        f", all for {(any_until_ms - now_ms) / 1000.0:.1f} s" if any_until_ms > now_ms else "",
+        f", all for {(all_indeterminate_until_ms - now_ms) / 1000.0:.1f} s"
+        if all_indeterminate_until_ms > now_ms
+        else "",
     )
--- a/snowthread/recovery/learned_snapshots.py
+++ b/snowthread/recovery/learned_snapshots.py
@@ -14,7 +14,7 @@
 from snowthread.recovery import storage
 from snowthread.recovery.membership import FleetView
 from snowthread.recovery.settings import RecoverySettings
-from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotVerdict, encode
+from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotStatus, encode
 from snowthread.recovery.snapshot_assessment import SnapshotAssessment, assess
 
 # Of a machine, relative to a warm one.
@@ -32,7 +32,7 @@
         self._settings = settings
         self._state = state
         self._post = post
-        self._found = storage.read(settings.folder)
+        self._found = storage.read_state_file(settings.folder)
         self._aging = LearnedStateAging(LearnedState({}))
         self.assessment: SnapshotAssessment | None = None
 
@@ -54,13 +54,13 @@
         )
         self.assessment = assessment
         self._found = b""
-        logger.bind(event="recovery.snapshot", verdict=assessment.verdict.value).info(
+        logger.bind(event="recovery.snapshot", verdict=assessment.status.value).info(
             "snapshot: {}{}{}",
-            assessment.verdict.value,
+            assessment.status.value,
             ": " if assessment.reason else "",
             assessment.reason,
         )
-        if assessment.verdict is not SnapshotVerdict.FRESH:
+        if assessment.status is not SnapshotStatus.FRESH:
             return
         learned = _to_learned_state(assessment.initial_state)
         self._aging = LearnedStateAging(learned)
@@ -78,7 +78,7 @@
             return
         learned = _to_learned_times(learned_state.export_learned_state(controller))
         data = encode(Snapshot(view.generation, incarnation, now_ms, learned))
-        storage.warn_if_failed(storage.write(self._settings.folder, data, sync=False))
+        storage.log_write_failure(storage.write_state_file(self._settings.folder, data, sync=False))
 
 
 def _to_learned_state(learned: LearnedTimes) -> LearnedState:
--- a/snowthread/recovery/registry_member.py
+++ b/snowthread/recovery/registry_member.py
@@ -31,7 +31,7 @@
         self._membership = Membership(incarnation, configured_nodes)
         self._is_silent = True  # until it answers
         if incarnation:
-            storage.warn_if_failed(storage.write_incarnation(self._folder, incarnation))
+            storage.log_write_failure(storage.write_incarnation(self._folder, incarnation))
 
     @property
     def incarnation(self) -> int:
@@ -78,7 +78,7 @@
             logger.bind(event="recovery.incarnation").warning(
                 "the registry knows a later incarnation than {}: continues as {}", earlier, incarnation
             )
-        storage.warn_if_failed(storage.write_incarnation(self._folder, incarnation))
+        storage.log_write_failure(storage.write_incarnation(self._folder, incarnation))
         self._report()
 
     def log_silence(self, now_ms: float) -> None:
--- a/snowthread/recovery/snapshot.py
+++ b/snowthread/recovery/snapshot.py
@@ -34,14 +34,14 @@
 MAX_BODY_BYTES = 1 << 20  # a snapshot has kilobytes; one with a longer body is foreign
 
 
-class SnapshotVerdict(Enum):
+class SnapshotStatus(Enum):
     """Whether a snapshot found at a start may be trusted, and if not, why."""
 
     FRESH = "fresh"
     MISSING = "missing"
-    TORN = "torn"
-    FOREIGN = "foreign"
-    OLDER = "older"
+    CORRUPT = "torn"
+    UNKNOWN_FORMAT = "foreign"
+    OLDER_GENERATION = "older"
     STALE = "stale"
     FUTURE = "future"
 
@@ -68,9 +68,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodedSnapshot:
-    """What bytes say: FRESH with a snapshot where they are complete and known, else the verdict and why."""
+    """What bytes say: FRESH with a snapshot where they are complete and known, else the status and why."""
 
-    verdict: SnapshotVerdict
+    status: SnapshotStatus
     reason: str = ""
     snapshot: Snapshot | None = None
 
@@ -78,8 +78,8 @@
 class _UnusableError(Exception):
     """Bytes that are no complete snapshot of this format."""
 
-    def __init__(self, verdict: SnapshotVerdict, reason: str) -> None:
-        self.verdict = verdict
+    def __init__(self, status: SnapshotStatus, reason: str) -> None:
+        self.status = status
         self.reason = reason
         super().__init__(reason)
 
@@ -113,28 +113,28 @@
 def decode(data: bytes) -> DecodedSnapshot:
     """Return what the bytes say."""
     try:
-        return DecodedSnapshot(SnapshotVerdict.FRESH, "", _decode_snapshot(data))
+        return DecodedSnapshot(SnapshotStatus.FRESH, "", _decode_snapshot(data))
     except _UnusableError as error:
-        return DecodedSnapshot(error.verdict, error.reason)
+        return DecodedSnapshot(error.status, error.reason)
 
 
 def _decode_snapshot(data: bytes) -> Snapshot:
     if not data:
-        raise _UnusableError(SnapshotVerdict.MISSING, "no snapshot")
+        raise _UnusableError(SnapshotStatus.MISSING, "no snapshot")
     if len(data) < HEADER.size:
         is_start = MAGIC.startswith(data[: len(MAGIC)])
-        verdict = SnapshotVerdict.TORN if is_start else SnapshotVerdict.FOREIGN
-        raise _UnusableError(verdict, f"{len(data)} bytes")
+        status = SnapshotStatus.CORRUPT if is_start else SnapshotStatus.UNKNOWN_FORMAT
+        raise _UnusableError(status, f"{len(data)} bytes")
     magic, version, generation, incarnation, written_ms, length = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise _UnusableError(SnapshotVerdict.FOREIGN, "not a snapshot")
+        raise _UnusableError(SnapshotStatus.UNKNOWN_FORMAT, "not a snapshot")
     if version != FORMAT_VERSION:
-        raise _UnusableError(SnapshotVerdict.FOREIGN, f"format {version}, known {FORMAT_VERSION}")
+        raise _UnusableError(SnapshotStatus.UNKNOWN_FORMAT, f"format {version}, known {FORMAT_VERSION}")
     if length > MAX_BODY_BYTES:
-        raise _UnusableError(SnapshotVerdict.FOREIGN, f"body of {length} bytes")
+        raise _UnusableError(SnapshotStatus.UNKNOWN_FORMAT, f"body of {length} bytes")
     learned = _parse_body(_checked_body(data, length))
     if learned is None or not math.isfinite(written_ms):
-        raise _UnusableError(SnapshotVerdict.FOREIGN, "body is not a snapshot's")
+        raise _UnusableError(SnapshotStatus.UNKNOWN_FORMAT, "body is not a snapshot's")
     return Snapshot(generation, incarnation, written_ms, learned)
 
 
@@ -148,9 +148,9 @@
     full_size = end + DIGEST_BYTES
     if len(data) != full_size:
         reason = f"{len(data)} bytes where the header says {full_size}"
-        raise _UnusableError(SnapshotVerdict.TORN, reason)
+        raise _UnusableError(SnapshotStatus.CORRUPT, reason)
     if _digest(data[:end]) != data[end:]:
-        raise _UnusableError(SnapshotVerdict.TORN, "digest does not match")
+        raise _UnusableError(SnapshotStatus.CORRUPT, "digest does not match")
     return data[HEADER.size : end]
 
 
--- a/snowthread/recovery/snapshot_assessment.py
+++ b/snowthread/recovery/snapshot_assessment.py
@@ -2,7 +2,7 @@
 
 Pure: no clock, no files.
 
-| verdict   | when                                                      | the node starts from |
+| status   | when                                                      | the node starts from |
 | --------- | --------------------------------------------------------- | -------------------- |
 | fresh     | complete, known version, generation >= the fleet's, young | the snapshot         |
 | missing   | no bytes                                                  | priors               |
@@ -17,7 +17,7 @@
 
 from dataclasses import dataclass
 
-from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotVerdict, decode
+from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotStatus, decode
 
 CLOCK_SLACK_MS = 2000.0
 
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotAssessment:
-    """The verdict, why, and what to start from: what was learned where it is fresh, else the priors."""
+    """The status, why, and what to start from: what was learned where it is fresh, else the priors."""
 
-    verdict: SnapshotVerdict
+    status: SnapshotStatus
     reason: str
     initial_state: LearnedTimes
     snapshot: Snapshot | None = None  # what was read, where it could be read at all
@@ -50,15 +50,15 @@
     decoded = decode(data)
     snapshot = decoded.snapshot
     if snapshot is None:
-        return SnapshotAssessment(decoded.verdict, decoded.reason, PRIORS)
+        return SnapshotAssessment(decoded.status, decoded.reason, PRIORS)
     age_ms = now_ms - snapshot.written_ms
     if snapshot.generation < generation:
         reason = f"generation {snapshot.generation}, the fleet's is {generation}"
-        return SnapshotAssessment(SnapshotVerdict.OLDER, reason, PRIORS, snapshot)
+        return SnapshotAssessment(SnapshotStatus.OLDER_GENERATION, reason, PRIORS, snapshot)
     if age_ms < -slack_ms:
         reason = f"written {-age_ms:.0f} ms after now"
-        return SnapshotAssessment(SnapshotVerdict.FUTURE, reason, PRIORS, snapshot)
+        return SnapshotAssessment(SnapshotStatus.FUTURE, reason, PRIORS, snapshot)
     if age_ms > fresh_for_ms:
         reason = f"{age_ms:.0f} ms old, fresh for {fresh_for_ms:.0f}"
-        return SnapshotAssessment(SnapshotVerdict.STALE, reason, PRIORS, snapshot)
-    return SnapshotAssessment(SnapshotVerdict.FRESH, "", snapshot.learned, snapshot)
+        return SnapshotAssessment(SnapshotStatus.STALE, reason, PRIORS, snapshot)
+    return SnapshotAssessment(SnapshotStatus.FRESH, "", snapshot.learned, snapshot)
--- a/snowthread/recovery/storage.py
+++ b/snowthread/recovery/storage.py
@@ -18,7 +18,7 @@
 from loguru import logger
 
 from snowthread.recovery import key_log
-from snowthread.recovery.key_log import KeyLog, KeyLogContents, KeyLogVerdict
+from snowthread.recovery.key_log import KeyLog, KeyLogContents, KeyLogStatus
 
 SNAPSHOT_FILE = "warm.snap"
 KEY_LOG_FILE = "keys.ring"
@@ -54,12 +54,14 @@
 class OpenedKeyLog:
     """What a start finds in the key log, and the log to append to, or why there is none."""
 
-    found: KeyLogContents
+    contents: KeyLogContents
     key_log: KeyLog | None = None
     error: StorageFailure | None = None
 
 
-def write(folder: Path, data: bytes, name: str = SNAPSHOT_FILE, sync: bool = True) -> StorageFailure | None:
+def write_state_file(
+    folder: Path, data: bytes, name: str = SNAPSHOT_FILE, sync: bool = True
+) -> StorageFailure | None:
     """Write a file atomically; return None once it is in place, else the error.
 
     Without ``sync`` the file outlives the process but may not outlive a power failure, and the caller does
@@ -101,17 +103,17 @@
         os.close(descriptor)
 
 
-def warn_if_failed(error: StorageFailure | None) -> None:
+def log_write_failure(error: StorageFailure | None) -> None:
     """Log a failed write of state that the node can do without."""
     if error is not None:
         logger.bind(event="recovery.write_failed").warning("state not written: {}", error)
 
 
-def read(folder: Path, name: str = SNAPSHOT_FILE, most: int = MAX_READ_BYTES) -> bytes:
-    """Return the first ``most`` bytes of a file, empty where there is none or it cannot be read."""
+def read_state_file(folder: Path, name: str = SNAPSHOT_FILE, max_bytes: int = MAX_READ_BYTES) -> bytes:
+    """Return the first ``max_bytes`` bytes of a file, empty where there is none or it cannot be read."""
     try:
         with (folder / name).open("rb") as file:
-            return file.read(most)
+            return file.read(max_bytes)
     except OSError:
         return b""
 
@@ -119,19 +121,21 @@
 def read_incarnation(folder: Path) -> int:
     """Return the last incarnation that was written; 0 where there is none or it cannot be read."""
     try:
-        return max(0, int(read(folder, INCARNATION_FILE, MAX_INCARNATION_BYTES) or b"0"))
+        return max(0, int(read_state_file(folder, INCARNATION_FILE, MAX_INCARNATION_BYTES) or b"0"))
     except ValueError:
         return 0
 
 
 def write_incarnation(folder: Path, number: int) -> StorageFailure | None:
     """Write an incarnation; return None or the error. The registry knows it too, so a start goes on."""
-    return write(folder, b"%d\n" % number, INCARNATION_FILE)
+    return write_state_file(folder, b"%d\n" % number, INCARNATION_FILE)
 
 
 def read_key_log(folder: Path) -> KeyLogContents:
     """Return the contents of the folder's key log."""
-    return key_log.read_key_log(read(folder, KEY_LOG_FILE, key_log.key_log_size(key_log.MAX_SLOTS) + 1))
+    return key_log.decode_key_log(
+        read_state_file(folder, KEY_LOG_FILE, key_log.key_log_size(key_log.MAX_SLOTS) + 1)
+    )
 
 
 def create_key_log(folder: Path) -> StorageFailure | None:
@@ -139,20 +143,23 @@
 
     It is the operator's statement that no earlier incarnation of this node ran requests with keys.
     """
-    return write(folder, key_log.new_key_log(), KEY_LOG_FILE)
+    return write_state_file(folder, key_log.encode_empty_key_log(), KEY_LOG_FILE)
 
 
-def open_key_log(folder: Path, any_until_ms: float) -> OpenedKeyLog:
+def open_key_log(folder: Path, all_indeterminate_until_ms: float) -> OpenedKeyLog:
     """Read the key log and open it for appending.
 
-    An incomplete one is replaced by an empty one in which any key may have run until ``any_until_ms`` (wall
-    ms), so that the next start does not take it for a complete one.
+    A missing or invalid log is replaced by an empty one, in which every key is indeterminate until
+    ``all_indeterminate_until_ms`` (wall clock ms). The next start therefore does not take it for a log that
+    lists all keys.
     """
-    found = read_key_log(folder)
-    if found.verdict is not KeyLogVerdict.COMPLETE:
-        error = write(folder, key_log.new_key_log(any_until_ms), KEY_LOG_FILE)
+    contents = read_key_log(folder)
+    if contents.status is not KeyLogStatus.COMPLETE:
+        error = write_state_file(
+            folder, key_log.encode_empty_key_log(all_indeterminate_until_ms), KEY_LOG_FILE
+        )
         if error is not None:
-            return OpenedKeyLog(found, error=error)
+            return OpenedKeyLog(contents, error=error)
     try:
         descriptor = os.open(folder / KEY_LOG_FILE, os.O_RDWR)
         try:
@@ -160,5 +167,5 @@
         finally:
             os.close(descriptor)
     except (OSError, ValueError) as failure:
-        return OpenedKeyLog(found, error=StorageFailure(StorageStep.MAP, str(failure)))
-    return OpenedKeyLog(found, KeyLog(memoryview(mapped), found.sequence))
+        return OpenedKeyLog(contents, error=StorageFailure(StorageStep.MAP, str(failure)))
+    return OpenedKeyLog(contents, KeyLog(memoryview(mapped), contents.sequence))
--- a/tests/recovery/test_key_log.py
+++ b/tests/recovery/test_key_log.py
@@ -13,17 +13,17 @@
 from snowthread.recovery.key_log import (
     SLOT_BYTES,
     KeyLog,
-    KeyLogVerdict,
+    KeyLogStatus,
+    decode_key_log,
+    encode_empty_key_log,
     key_log_size,
-    new_key_log,
-    read_key_log,
 )
 
 NOW = 1_800_000_000_000.0
 
 
 def filled_key_log(slots: int = 8, keys: int = 3) -> bytearray:
-    data = bytearray(new_key_log(slots=slots))
+    data = bytearray(encode_empty_key_log(slots=slots))
     log = KeyLog(memoryview(data), 0)
     for index in range(keys):
         assert log.append(key_digest(f"key{index}"), NOW + 1000.0 + index, NOW)
@@ -31,22 +31,22 @@
 
 
 def test_written_keys_are_found_with_their_windows() -> None:
-    found = read_key_log(bytes(filled_key_log()))
-    assert found.verdict is KeyLogVerdict.COMPLETE and found.sequence == 3
+    found = decode_key_log(bytes(filled_key_log()))
+    assert found.status is KeyLogStatus.COMPLETE and found.sequence == 3
     assert found.keys == {key_digest(f"key{index}"): NOW + 1000.0 + index for index in range(3)}
 
 
 def test_every_cut_and_every_flipped_byte_that_matters_is_detected() -> None:
     data = bytes(filled_key_log())
     for length in range(1, len(data)):
-        assert read_key_log(data[:length]).verdict is not KeyLogVerdict.COMPLETE, length
+        assert decode_key_log(data[:length]).status is not KeyLogStatus.COMPLETE, length
     written = range(key_log.HEADER_BYTES + SLOT_BYTES, key_log.HEADER_BYTES + 4 * SLOT_BYTES)
     for offset in [*range(22), *written]:
         altered = data[:offset] + bytes([data[offset] ^ 0x10]) + data[offset + 1 :]
         is_padding = offset in written and (offset - key_log.HEADER_BYTES) % SLOT_BYTES >= 36
-        assert (read_key_log(altered).verdict is KeyLogVerdict.COMPLETE) == is_padding, offset
-    assert read_key_log(b"").verdict is KeyLogVerdict.MISSING
-    assert read_key_log(b"x" * key_log_size(8)).verdict is KeyLogVerdict.FOREIGN
+        assert (decode_key_log(altered).status is KeyLogStatus.COMPLETE) == is_padding, offset
+    assert decode_key_log(b"").status is KeyLogStatus.MISSING
+    assert decode_key_log(b"x" * key_log_size(8)).status is KeyLogStatus.UNKNOWN_FORMAT
 
 
 def test_full_key_log_rejects_a_key_rather_than_overwrite_one_with_an_open_window() -> None:
@@ -54,29 +54,31 @@
     log = KeyLog(memoryview(data), 4)
     assert not log.append(key_digest("one more"), NOW + 5000.0, NOW) and log.rejected_appends == 1
     assert log.append(key_digest("one more"), NOW + 5000.0, NOW + 1002.0)  # the oldest window is over
-    keys = read_key_log(bytes(data)).keys
+    keys = decode_key_log(bytes(data)).keys
     assert len(keys) == 4 and key_digest("one more") in keys and key_digest("key1") in keys
 
 
 def test_missing_or_torn_key_log_makes_any_key_indeterminate_over_a_second_start(tmp_path: Path) -> None:
     opened = storage.open_key_log(tmp_path, NOW + 16_000.0)
-    assert opened.found.verdict is KeyLogVerdict.MISSING
+    assert opened.contents.status is KeyLogStatus.MISSING
     assert opened.key_log is not None and opened.error is None
     opened.key_log.append(key_digest("k"), NOW + 9000.0, NOW)
-    again = storage.open_key_log(tmp_path, NOW + 99_000.0).found  # restarted inside its window
-    assert again.verdict is KeyLogVerdict.COMPLETE and again.any_until_ms == NOW + 16_000.0
+    again = storage.open_key_log(tmp_path, NOW + 99_000.0).contents  # restarted inside its window
+    assert again.status is KeyLogStatus.COMPLETE and again.all_indeterminate_until_ms == NOW + 16_000.0
     assert again.keys == {key_digest("k"): NOW + 9000.0}
     path = tmp_path / storage.KEY_LOG_FILE
     path.write_bytes(path.read_bytes()[: path.stat().st_size // 2])
-    torn = storage.open_key_log(tmp_path, NOW + 50_000.0).found
-    assert torn.verdict is KeyLogVerdict.TORN
-    assert storage.open_key_log(tmp_path, 0.0).found.any_until_ms == NOW + 50_000.0
+    torn = storage.open_key_log(tmp_path, NOW + 50_000.0).contents
+    assert torn.status is KeyLogStatus.CORRUPT
+    assert storage.open_key_log(tmp_path, 0.0).contents.all_indeterminate_until_ms == NOW + 50_000.0
 
 
 def test_key_log_that_the_operator_made_is_trusted(tmp_path: Path) -> None:
     assert storage.create_key_log(tmp_path) is None
     opened = storage.open_key_log(tmp_path, NOW + 16_000.0)
-    assert opened.found.verdict is KeyLogVerdict.COMPLETE and opened.found.any_until_ms == 0.0
+    assert (
+        opened.contents.status is KeyLogStatus.COMPLETE and opened.contents.all_indeterminate_until_ms == 0.0
+    )
     assert opened.key_log is not None
 
 
--- a/tests/recovery/test_manager.py
+++ b/tests/recovery/test_manager.py
@@ -92,7 +92,7 @@
 
 
 def recorded_keys(folder: Path) -> int:
-    return len(key_log.read_key_log(storage.read(folder, storage.KEY_LOG_FILE, 1 << 20)).keys)
+    return len(key_log.decode_key_log(storage.read_state_file(folder, storage.KEY_LOG_FILE, 1 << 20)).keys)
 
 
 def test_key_is_recorded_before_its_run_starts(harness: Harness, tmp_path: Path) -> None:
--- a/tests/recovery/test_snapshot.py
+++ b/tests/recovery/test_snapshot.py
@@ -12,7 +12,7 @@
     HEADER,
     LearnedTimes,
     Snapshot,
-    SnapshotVerdict,
+    SnapshotStatus,
     decode,
     encode,
 )
@@ -23,39 +23,39 @@
 SNAPSHOT = Snapshot(generation=7, incarnation=3, written_ms=NOW - 1000.0, learned=LEARNED)
 
 
-def verdict_of(data: bytes, generation: int = 7, fresh_for_ms: float = 30_000.0) -> SnapshotVerdict:
-    return assess(data, generation=generation, now_ms=NOW, fresh_for_ms=fresh_for_ms).verdict
+def status_of(data: bytes, generation: int = 7, fresh_for_ms: float = 30_000.0) -> SnapshotStatus:
+    return assess(data, generation=generation, now_ms=NOW, fresh_for_ms=fresh_for_ms).status
 
 
 def test_complete_recent_snapshot_of_this_generation_is_used() -> None:
     result = assess(encode(SNAPSHOT), generation=7, now_ms=NOW, fresh_for_ms=30_000.0)
-    assert result.verdict is SnapshotVerdict.FRESH and result.initial_state == LEARNED
+    assert result.status is SnapshotStatus.FRESH and result.initial_state == LEARNED
 
 
 @pytest.mark.parametrize(
-    ("changed", "verdict"),
+    ("changed", "status"),
     [
-        ({"generation": 6}, SnapshotVerdict.OLDER),
-        ({"written_ms": NOW - 60_000.0}, SnapshotVerdict.STALE),
-        ({"written_ms": NOW + 10_000.0}, SnapshotVerdict.FUTURE),
+        ({"generation": 6}, SnapshotStatus.OLDER_GENERATION),
+        ({"written_ms": NOW - 60_000.0}, SnapshotStatus.STALE),
+        ({"written_ms": NOW + 10_000.0}, SnapshotStatus.FUTURE),
     ],
 )
 def test_snapshot_of_another_time_or_generation_is_not_trusted(
-    changed: dict[str, float], verdict: SnapshotVerdict
+    changed: dict[str, float], status: SnapshotStatus
 ) -> None:
     fields = {"generation": 7, "incarnation": 3, "written_ms": NOW - 1000.0} | changed
     data = encode(Snapshot(int(fields["generation"]), 3, float(fields["written_ms"]), LEARNED))
     result = assess(data, generation=7, now_ms=NOW, fresh_for_ms=30_000.0)
-    assert result.verdict is verdict and result.initial_state == PRIORS and result.reason
+    assert result.status is status and result.initial_state == PRIORS and result.reason
 
 
 def test_every_truncated_snapshot_is_torn_or_foreign() -> None:
     data = encode(SNAPSHOT)
     for length in range(len(data)):
-        assert verdict_of(data[:length]) in {
-            SnapshotVerdict.MISSING,
-            SnapshotVerdict.TORN,
-            SnapshotVerdict.FOREIGN,
+        assert status_of(data[:length]) in {
+            SnapshotStatus.MISSING,
+            SnapshotStatus.CORRUPT,
+            SnapshotStatus.UNKNOWN_FORMAT,
         }, length
 
 
@@ -64,15 +64,15 @@
     for offset in range(len(data)):
         altered = data[:offset] + bytes([data[offset] ^ 0x20]) + data[offset + 1 :]
         # the digest covers the header too: no field can change and pass
-        assert verdict_of(altered) is not SnapshotVerdict.FRESH, offset
+        assert status_of(altered) is not SnapshotStatus.FRESH, offset
 
 
 def test_other_files_are_foreign() -> None:
-    assert verdict_of(b"not a snapshot at all, but long enough for a header") is SnapshotVerdict.FOREIGN
+    assert status_of(b"not a snapshot at all, but long enough for a header") is SnapshotStatus.UNKNOWN_FORMAT
     other = bytearray(encode(SNAPSHOT))
     HEADER.pack_into(other, 0, b"STWS", 1, 7, 3, NOW, 10)
-    assert verdict_of(bytes(other)) is SnapshotVerdict.FOREIGN
-    assert verdict_of(b"") is SnapshotVerdict.MISSING
+    assert status_of(bytes(other)) is SnapshotStatus.UNKNOWN_FORMAT
+    assert status_of(b"") is SnapshotStatus.MISSING
 
 
 @pytest.mark.parametrize(
@@ -88,27 +88,27 @@
 def test_invalid_body_is_foreign_even_with_a_right_digest(body: bytes) -> None:
     head = HEADER.pack(b"STWS", 2, 7, 3, NOW, len(body))
     data = head + body + hashlib.blake2b(head + body, digest_size=16).digest()
-    assert verdict_of(data) is SnapshotVerdict.FOREIGN
+    assert status_of(data) is SnapshotStatus.UNKNOWN_FORMAT
 
 
 def test_written_snapshot_is_read_back_and_a_crash_before_the_rename_leaves_the_old_one(
     tmp_path: Path,
 ) -> None:
-    assert storage.read(tmp_path) == b""
+    assert storage.read_state_file(tmp_path) == b""
     first = encode(SNAPSHOT)
-    assert storage.write(tmp_path, first) is None
-    assert storage.read(tmp_path) == first
+    assert storage.write_state_file(tmp_path, first) is None
+    assert storage.read_state_file(tmp_path) == first
     temporary = tmp_path / (storage.SNAPSHOT_FILE + storage.TEMPORARY_SUFFIX)
     temporary.write_bytes(first[:20])  # a write that never came to its rename
-    assert storage.read(tmp_path) == first
-    error = storage.write(tmp_path / "gone", first)  # no folder: an error value, nothing is raised
+    assert storage.read_state_file(tmp_path) == first
+    error = storage.write_state_file(tmp_path / "gone", first)  # no folder: an error value, nothing is raised
     assert error is not None and error.step is storage.StorageStep.OPEN
 
 
 def test_torn_file_in_place_is_detected(tmp_path: Path) -> None:
     data = encode(SNAPSHOT)
     (tmp_path / storage.SNAPSHOT_FILE).write_bytes(data[: len(data) // 2])
-    assert verdict_of(storage.read(tmp_path)) is SnapshotVerdict.TORN
+    assert status_of(storage.read_state_file(tmp_path)) is SnapshotStatus.CORRUPT
 
 
 def test_written_incarnation_is_read_back_and_an_unreadable_one_counts_as_none(tmp_path: Path) -> None:
@@ -120,4 +120,4 @@
 
 def test_decode_returns_what_was_encoded() -> None:
     decoded = decode(encode(SNAPSHOT))
-    assert decoded.verdict is SnapshotVerdict.FRESH and decoded.snapshot == SNAPSHOT
+    assert decoded.status is SnapshotStatus.FRESH and decoded.snapshot == SNAPSHOT
--- a/tests/stored/test_stored_recovery.py
+++ b/tests/stored/test_stored_recovery.py
@@ -14,7 +14,7 @@
 from snowthread.core.idempotency import key_digest
 from snowthread.recovery import key_log, storage
 from snowthread.recovery.membership import FleetView, Membership, MemberStatus
-from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotVerdict, decode, encode
+from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotStatus, decode, encode
 from snowthread.recovery.snapshot_assessment import assess
 
 STORED = Path(__file__).parents[2] / "tests" / "data" / "stored"
@@ -32,10 +32,10 @@
 
 
 def test_stored_snapshot_is_read_with_what_was_learned() -> None:
-    data = storage.read(STORED / "warm")
+    data = storage.read_state_file(STORED / "warm")
     decoded = decode(data)
     snapshot = decoded.snapshot
-    assert (decoded.verdict, decoded.reason) == (SnapshotVerdict.FRESH, "") and snapshot is not None
+    assert (decoded.status, decoded.reason) == (SnapshotStatus.FRESH, "") and snapshot is not None
     assert snapshot.generation == 9 and snapshot.incarnation == 5
     assert snapshot.written_ms == 1_764_576_000_000.0
     assert snapshot.learned.core_time_s == {"dispense": 0.125, "match": 0.3}
@@ -45,18 +45,21 @@
 
 
 def test_stored_snapshot_is_assessed_as_fresh_stale_or_older() -> None:
-    data = storage.read(STORED / "warm")
+    data = storage.read_state_file(STORED / "warm")
     fresh = assess(data, generation=9, now_ms=START + 1000.0, fresh_for_ms=60_000.0)
-    assert fresh.verdict is SnapshotVerdict.FRESH and fresh.initial_state == LEARNED
+    assert fresh.status is SnapshotStatus.FRESH and fresh.initial_state == LEARNED
     assert (
-        assess(data, generation=9, now_ms=START + 60_001.0, fresh_for_ms=60_000.0).verdict
-        is SnapshotVerdict.STALE
+        assess(data, generation=9, now_ms=START + 60_001.0, fresh_for_ms=60_000.0).status
+        is SnapshotStatus.STALE
+    )
+    assert (
+        assess(data, generation=10, now_ms=START, fresh_for_ms=60_000.0).status
+        is SnapshotStatus.OLDER_GENERATION
     )
-    assert assess(data, generation=10, now_ms=START, fresh_for_ms=60_000.0).verdict is SnapshotVerdict.OLDER
 
 
 def test_snapshot_written_anew_has_the_stored_name_and_bytes(tmp_path: Path) -> None:
-    assert storage.write(tmp_path, encode(SNAPSHOT)) is None
+    assert storage.write_state_file(tmp_path, encode(SNAPSHOT)) is None
     assert (tmp_path / "warm.snap").read_bytes() == (STORED / "warm" / "warm.snap").read_bytes()
 
 
@@ -112,7 +115,7 @@
 
 def make_key_log() -> bytes:
     """Return a small key log that holds three keys."""
-    buffer = bytearray(key_log.new_key_log(BLIND_UNTIL, KEY_LOG_SLOTS))
+    buffer = bytearray(key_log.encode_empty_key_log(BLIND_UNTIL, KEY_LOG_SLOTS))
     keys = key_log.KeyLog(memoryview(buffer), 0)
     for key, until in KEYS:
         assert keys.append(key_digest(key), until, START)
@@ -120,14 +123,14 @@
 
 
 def test_stored_key_log_holds_its_keys_until_their_times() -> None:
-    found = key_log.read_key_log((STORED / "warm" / "keys.ring").read_bytes())
-    assert found.verdict is key_log.KeyLogVerdict.COMPLETE and found.reason == ""
+    found = key_log.decode_key_log((STORED / "warm" / "keys.ring").read_bytes())
+    assert found.status is key_log.KeyLogStatus.COMPLETE and found.reason == ""
     assert found.keys == {
         key_digest("key-1"): 1_764_576_001_000.0,
         key_digest("key-2"): 1_764_576_002_000.5,
         key_digest("schlüssel-3"): 1_764_576_003_000.0,
     }
-    assert found.sequence == 3 and found.any_until_ms == 1_764_575_940_000.0
+    assert found.sequence == 3 and found.all_indeterminate_until_ms == 1_764_575_940_000.0
 
 
 def test_key_digests_are_those_of_the_stored_key_log() -> None:
@@ -142,19 +145,19 @@
 def test_stored_key_log_is_opened_and_takes_the_next_key(tmp_path: Path) -> None:
     (tmp_path / "keys.ring").write_bytes((STORED / "warm" / "keys.ring").read_bytes())
     result = storage.open_key_log(tmp_path, 0.0)
-    found, opened = result.found, result.key_log
-    assert found.verdict is key_log.KeyLogVerdict.COMPLETE and opened is not None and result.error is None
+    found, opened = result.contents, result.key_log
+    assert found.status is key_log.KeyLogStatus.COMPLETE and opened is not None and result.error is None
     assert opened.append(key_digest("key-4"), START + 4000.0, START)
-    again = key_log.read_key_log((tmp_path / "keys.ring").read_bytes())
+    again = key_log.decode_key_log((tmp_path / "keys.ring").read_bytes())
     assert again.sequence == 4 and again.keys[key_digest("key-4")] == START + 4000.0 and len(again.keys) == 4
 
 
 def test_any_altered_byte_of_the_stored_key_log_is_detected() -> None:
     data = (STORED / "warm" / "keys.ring").read_bytes()
-    whole = key_log.read_key_log(data)
+    whole = key_log.decode_key_log(data)
     header = set(range(24))  # without its padding, which is not read
     slots = {32 + 40 * slot + offset for slot in (1, 2, 3) for offset in range(36)}
     for offset in sorted(header | slots):
         altered = bytearray(data)
         altered[offset] ^= 0x01
-        assert key_log.read_key_log(bytes(altered)) != whole, offset
+        assert key_log.decode_key_log(bytes(altered)) != whole, offset
