--- a/snowthread/recovery/cli.py
+++ b/snowthread/recovery/cli.py
@@ -46,14 +46,14 @@
 def show(folder: Path, fresh_for: float) -> None:
     """Show what a start now would find."""
     from snowthread.recovery import storage
-    from snowthread.recovery.snapshot import decode
-    from snowthread.recovery.snapshot_assessment import assess
+    from snowthread.recovery.snapshot import decode_snapshot
+    from snowthread.recovery.snapshot_assessment import assess_snapshot
 
     now_ms = time.time() * MS_PER_S
     data = storage.read_state_file(folder)
-    snapshot = decode(data).snapshot
+    snapshot = decode_snapshot(data).snapshot
     generation = snapshot.generation if snapshot is not None else 0
-    assessment = assess(data, generation=generation, now_ms=now_ms, fresh_for_ms=fresh_for * MS_PER_S)
+    assessment = assess_snapshot(data, generation=generation, now_ms=now_ms, max_age_ms=fresh_for * MS_PER_S)
     click.echo(f"incarnation {storage.read_incarnation(folder)}")
     click.echo(f"snapshot: {_with_reason(assessment.status.value, assessment.reason)}")
     if snapshot is not None:
@@ -67,10 +67,10 @@
 
 def _show_snapshot(snapshot: Snapshot, now_ms: float) -> None:
     learned = snapshot.learned
-    age_s = (now_ms - snapshot.written_ms) / MS_PER_S
+    age_s = (now_ms - snapshot.written_at_ms) / MS_PER_S
     click.echo(
         f"  generation {snapshot.generation}, written {age_s:.1f} s ago, "
-        f"{learned.read_per_s:.1f} requests a second"
+        f"{learned.requests_per_s:.1f} requests a second"
     )
     for name, core_time_s in learned.core_time_s.items():
         click.echo(
--- a/snowthread/recovery/learned_snapshots.py
+++ b/snowthread/recovery/learned_snapshots.py
@@ -14,8 +14,8 @@
 from snowthread.recovery import storage
 from snowthread.recovery.membership import FleetView
 from snowthread.recovery.settings import RecoverySettings
-from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotStatus, encode
-from snowthread.recovery.snapshot_assessment import SnapshotAssessment, assess
+from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotStatus, encode_snapshot
+from snowthread.recovery.snapshot_assessment import SnapshotAssessment, assess_snapshot
 
 # Of a machine, relative to a warm one.
 MIN_SPEED_RATIO = 0.01
@@ -46,11 +46,11 @@
 
         ``now_ms`` is wall time. A machine that is cold works at the settings' cold speed until it is warm.
         """
-        assessment = assess(
+        assessment = assess_snapshot(
             self._found,
             generation=generation,
             now_ms=now_ms,
-            fresh_for_ms=self._settings.snapshot_max_age_ms,
+            max_age_ms=self._settings.snapshot_max_age_ms,
         )
         self.assessment = assessment
         self._found = b""
@@ -62,7 +62,7 @@
         )
         if assessment.status is not SnapshotStatus.FRESH:
             return
-        learned = _to_learned_state(assessment.initial_state)
+        learned = _to_learned_state(assessment.initial_times)
         self._aging = LearnedStateAging(learned)
         speed = self._state.settings.cold_speed if is_cold else MAX_SPEED_RATIO
         self._post(events.LearnedStateRestored(learned, min(MAX_SPEED_RATIO, max(MIN_SPEED_RATIO, speed))))
@@ -77,7 +77,7 @@
         if controller is None:
             return
         learned = _to_learned_times(learned_state.export_learned_state(controller))
-        data = encode(Snapshot(view.generation, incarnation, now_ms, learned))
+        data = encode_snapshot(Snapshot(view.generation, incarnation, now_ms, learned))
         storage.log_write_failure(storage.write_state_file(self._settings.folder, data, sync=False))
 
 
@@ -88,7 +88,7 @@
         )
         for name, core_time_s in learned.core_time_s.items()
     }
-    return LearnedState(times, learned.read_per_s)
+    return LearnedState(times, learned.requests_per_s)
 
 
 def _to_learned_times(learned: LearnedState) -> LearnedTimes:
@@ -96,5 +96,5 @@
         core_time_s={name: times.core_time_s for name, times in learned.times.items()},
         run_time_s={name: times.run_time_s for name, times in learned.times.items()},
         call_time_s={name: times.call_time_s for name, times in learned.times.items()},
-        read_per_s=learned.request_rate,
+        requests_per_s=learned.request_rate,
     )
--- a/snowthread/recovery/manager.py
+++ b/snowthread/recovery/manager.py
@@ -124,7 +124,7 @@
 
     def _update_fleet(self) -> None:
         size = self._member.fleet_size()
-        self._pacer.update_fleet(size.listed, size.cold)
+        self._pacer.update_fleet(size.listed_nodes, size.cold_nodes)
 
     def reconnect_delay_ms(self) -> float:
         """Return how long to wait before the next attempt to connect to the runtime."""
--- a/snowthread/recovery/membership.py
+++ b/snowthread/recovery/membership.py
@@ -1,4 +1,4 @@
-"""Membership of a node in its fleet by the registry's answers, with generations and incarnations.
+"""FleetMembership of a node in its fleet by the registry's answers, with generations and incarnations.
 
 Pure: bytes of answers in, status and report suffix out.
 
@@ -22,14 +22,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
-SILENT_MS = 3000.0  # without an answer, until the registry counts as silent
+REGISTRY_TIMEOUT_MS = 3000.0  # without an answer, until the registry counts as silent
 MAX_INCARNATION = 2**31
 
 
-class MemberStatus(Enum):
+class MembershipStatus(Enum):
     """Whether the registry has answered, and whether another process has this node's name."""
 
-    UNHEARD = "unheard"
+    UNCONFIRMED = "unheard"
     MEMBER = "member"
     REPLACED = "replaced"
 
@@ -39,21 +39,21 @@
     """The fleet as the registry reported it last."""
 
     generation: int
-    listed: int
-    cold: int
-    at_ms: float
+    listed_nodes: int
+    cold_nodes: int
+    received_at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
     """How many nodes are listed and how many of them are cold."""
 
-    listed: int
-    cold: int
+    listed_nodes: int
+    cold_nodes: int
 
 
 @dataclass(slots=True)
-class Membership:
+class FleetMembership:
     """One node's place in the fleet.
 
     ``incarnation`` 0 says that no count was stored and the registry may know one. It is reported as it is: a
@@ -61,8 +61,8 @@
     """
 
     incarnation: int
-    peers: int  # nodes of the fleet by the settings: all count as cold until the registry answers
-    status: MemberStatus = MemberStatus.UNHEARD
+    configured_nodes: int  # nodes of the fleet by the settings: all count as cold until the registry answers
+    status: MembershipStatus = MembershipStatus.UNCONFIRMED
     view: FleetView | None = None
     invalid_answers: int = 0
 
@@ -88,20 +88,20 @@
             return False
         self.view = FleetView(generation, listed, cold, now_ms)
         if highest > self.incarnation or not self.incarnation:
-            if self.status is MemberStatus.UNHEARD:
+            if self.status is MembershipStatus.UNCONFIRMED:
                 self.incarnation = highest + 1
             else:
-                self.status = MemberStatus.REPLACED
-        if self.status is MemberStatus.UNHEARD:
-            self.status = MemberStatus.MEMBER
+                self.status = MembershipStatus.REPLACED
+        if self.status is MembershipStatus.UNCONFIRMED:
+            self.status = MembershipStatus.MEMBER
         return True
 
     def fleet_size(self) -> FleetSize:
         """Return the nodes listed and cold as last reported; before any answer all are cold."""
         if self.view is None:
-            return FleetSize(self.peers, self.peers)
-        return FleetSize(max(1, self.view.listed), self.view.cold)
+            return FleetSize(self.configured_nodes, self.configured_nodes)
+        return FleetSize(max(1, self.view.listed_nodes), self.view.cold_nodes)
 
-    def is_silent(self, now_ms: float) -> bool:
-        """Return whether the registry has not answered for ``SILENT_MS``."""
-        return self.view is None or now_ms - self.view.at_ms > SILENT_MS
+    def is_registry_silent(self, now_ms: float) -> bool:
+        """Return whether the registry has not answered for ``REGISTRY_TIMEOUT_MS``."""
+        return self.view is None or now_ms - self.view.received_at_ms > REGISTRY_TIMEOUT_MS
--- a/snowthread/recovery/registry_member.py
+++ b/snowthread/recovery/registry_member.py
@@ -8,7 +8,7 @@
 
 from snowthread.core import events
 from snowthread.recovery import storage
-from snowthread.recovery.membership import FleetSize, FleetView, Membership, MemberStatus
+from snowthread.recovery.membership import FleetMembership, FleetSize, FleetView, MembershipStatus
 from snowthread.recovery.settings import RecoverySettings
 
 
@@ -28,8 +28,8 @@
         self._report = report
         earlier = storage.read_incarnation(self._folder)
         incarnation = earlier + 1 if earlier else 0  # 0: the registry may know a count that was lost here
-        self._membership = Membership(incarnation, configured_nodes)
-        self._is_silent = True  # until it answers
+        self._membership = FleetMembership(incarnation, configured_nodes)
+        self._is_registry_silent = True  # until it answers
         if incarnation:
             storage.log_write_failure(storage.write_incarnation(self._folder, incarnation))
 
@@ -46,7 +46,7 @@
     @property
     def is_replaced(self) -> bool:
         """Whether another process has this node's name."""
-        return self._membership.status is MemberStatus.REPLACED
+        return self._membership.status is MembershipStatus.REPLACED
 
     def fleet_size(self) -> FleetSize:
         """Return the nodes listed and cold as last reported; before any answer all are cold."""
@@ -83,9 +83,10 @@
 
     def log_silence(self, now_ms: float) -> None:
         """Log where the registry has fallen silent or answers again."""
-        is_silent = self._membership.is_silent(now_ms)
-        if is_silent != self._is_silent:
-            self._is_silent = is_silent
+        is_registry_silent = self._membership.is_registry_silent(now_ms)
+        if is_registry_silent != self._is_registry_silent:
+            self._is_registry_silent = is_registry_silent
             logger.bind(event="recovery.registry").info(
-                "the registry {}", "is silent: what it reported last holds" if is_silent else "answers"
+                "the registry {}",
+                "is silent: what it reported last holds" if is_registry_silent else "answers",
             )
--- a/snowthread/recovery/snapshot.py
+++ b/snowthread/recovery/snapshot.py
@@ -53,7 +53,7 @@
     core_time_s: Mapping[str, float] = field(default_factory=dict)  # of a run on a core, unloaded
     run_time_s: Mapping[str, float] = field(default_factory=dict)  # of a run with its calls
     call_time_s: Mapping[str, float] = field(default_factory=dict)  # of a call, unloaded
-    read_per_s: float = 0.0  # requests
+    requests_per_s: float = 0.0  # requests
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
 
     generation: int
     incarnation: int
-    written_ms: float  # wall time
+    written_at_ms: float  # wall time
     learned: LearnedTimes
 
 
@@ -84,7 +84,7 @@
         super().__init__(reason)
 
 
-def encode(snapshot: Snapshot) -> bytes:
+def encode_snapshot(snapshot: Snapshot) -> bytes:
     """Return the bytes of a snapshot.
 
     Raises:
@@ -96,7 +96,7 @@
             "core_s": dict(learned.core_time_s),
             "wall_s": dict(learned.run_time_s),
             "call_s": dict(learned.call_time_s),
-            "read_per_s": learned.read_per_s,
+            "read_per_s": learned.requests_per_s,
         },
         allow_nan=False,
         separators=(",", ":"),
@@ -105,12 +105,12 @@
     if len(body) > MAX_BODY_BYTES:
         raise ValueError(f"a snapshot's body of {len(body)} bytes is over {MAX_BODY_BYTES}")
     head = HEADER.pack(
-        MAGIC, FORMAT_VERSION, snapshot.generation, snapshot.incarnation, snapshot.written_ms, len(body)
+        MAGIC, FORMAT_VERSION, snapshot.generation, snapshot.incarnation, snapshot.written_at_ms, len(body)
     )
     return head + body + _digest(head + body)
 
 
-def decode(data: bytes) -> DecodedSnapshot:
+def decode_snapshot(data: bytes) -> DecodedSnapshot:
     """Return what the bytes say."""
     try:
         return DecodedSnapshot(SnapshotStatus.FRESH, "", _decode_snapshot(data))
@@ -125,7 +125,7 @@
         is_start = MAGIC.startswith(data[: len(MAGIC)])
         status = SnapshotStatus.CORRUPT if is_start else SnapshotStatus.UNKNOWN_FORMAT
         raise _UnusableError(status, f"{len(data)} bytes")
-    magic, version, generation, incarnation, written_ms, length = HEADER.unpack_from(data)
+    magic, version, generation, incarnation, written_at_ms, length = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise _UnusableError(SnapshotStatus.UNKNOWN_FORMAT, "not a snapshot")
     if version != FORMAT_VERSION:
@@ -133,9 +133,9 @@
     if length > MAX_BODY_BYTES:
         raise _UnusableError(SnapshotStatus.UNKNOWN_FORMAT, f"body of {length} bytes")
     learned = _parse_body(_checked_body(data, length))
-    if learned is None or not math.isfinite(written_ms):
+    if learned is None or not math.isfinite(written_at_ms):
         raise _UnusableError(SnapshotStatus.UNKNOWN_FORMAT, "body is not a snapshot's")
-    return Snapshot(generation, incarnation, written_ms, learned)
+    return Snapshot(generation, incarnation, written_at_ms, learned)
 
 
 def _checked_body(data: bytes, length: int) -> bytes:
@@ -168,12 +168,12 @@
     core_time_s = _parse_times(fields.get("core_s"))
     run_time_s = _parse_times(fields.get("wall_s"))
     call_time_s = _parse_times(fields.get("call_s"))
-    read_per_s = fields.get("read_per_s")
+    requests_per_s = fields.get("read_per_s")
     if core_time_s is None or run_time_s is None or call_time_s is None:
         return None
-    if not _is_measured(read_per_s):
+    if not _is_measured(requests_per_s):
         return None
-    return LearnedTimes(core_time_s, run_time_s, call_time_s, float(read_per_s))
+    return LearnedTimes(core_time_s, run_time_s, call_time_s, float(requests_per_s))
 
 
 def _parse_times(value: object) -> dict[str, float] | None:
--- a/snowthread/recovery/snapshot_assessment.py
+++ b/snowthread/recovery/snapshot_assessment.py
@@ -9,20 +9,20 @@
 | torn      | shorter than its header says, or the digest is wrong      | priors               |
 | foreign   | other magic, unknown version, or a body that is no object | priors               |
 | older     | generation below the fleet's                              | priors               |
-| stale     | older than ``fresh_for_ms``                               | priors               |
-| future    | written after ``now`` beyond ``slack_ms``                 | priors               |
+| stale     | older than ``max_age_ms``                               | priors               |
+| future    | written after ``now`` beyond ``clock_tolerance_ms``                 | priors               |
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotStatus, decode
+from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotStatus, decode_snapshot
 
-CLOCK_SLACK_MS = 2000.0
+CLOCK_TOLERANCE_MS = 2000.0
 
 # A cold node knows nothing: its decisions learn, and slow start admits a few runs at first.
-PRIORS = LearnedTimes()
+NO_LEARNED_TIMES = LearnedTimes()
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,34 +31,34 @@
 
     status: SnapshotStatus
     reason: str
-    initial_state: LearnedTimes
+    initial_times: LearnedTimes
     snapshot: Snapshot | None = None  # what was read, where it could be read at all
 
 
-def assess(
+def assess_snapshot(
     data: bytes,
     *,
     generation: int,
     now_ms: float,
-    fresh_for_ms: float,
-    slack_ms: float = CLOCK_SLACK_MS,
+    max_age_ms: float,
+    clock_tolerance_ms: float = CLOCK_TOLERANCE_MS,
 ) -> SnapshotAssessment:
     """Assess the bytes found at a start by the fleet's ``generation`` and the wall time ``now_ms``.
 
-    ``slack_ms`` is how far the clock that wrote the snapshot may have been ahead.
+    ``clock_tolerance_ms`` is how far the clock that wrote the snapshot may have been ahead.
     """
-    decoded = decode(data)
+    decoded = decode_snapshot(data)
     snapshot = decoded.snapshot
     if snapshot is None:
-        return SnapshotAssessment(decoded.status, decoded.reason, PRIORS)
-    age_ms = now_ms - snapshot.written_ms
+        return SnapshotAssessment(decoded.status, decoded.reason, NO_LEARNED_TIMES)
+    age_ms = now_ms - snapshot.written_at_ms
     if snapshot.generation < generation:
         reason = f"generation {snapshot.generation}, the fleet's is {generation}"
-        return SnapshotAssessment(SnapshotStatus.OLDER_GENERATION, reason, PRIORS, snapshot)
-    if age_ms < -slack_ms:
+        return SnapshotAssessment(SnapshotStatus.OLDER_GENERATION, reason, NO_LEARNED_TIMES, snapshot)
+    if age_ms < -clock_tolerance_ms:
         reason = f"written {-age_ms:.0f} ms after now"
-        return SnapshotAssessment(SnapshotStatus.FUTURE, reason, PRIORS, snapshot)
-    if age_ms > fresh_for_ms:
-        reason = f"{age_ms:.0f} ms old, fresh for {fresh_for_ms:.0f}"
-        return SnapshotAssessment(SnapshotStatus.STALE, reason, PRIORS, snapshot)
+        return SnapshotAssessment(SnapshotStatus.FUTURE, reason, NO_LEARNED_TIMES, snapshot)
+    if age_ms > max_age_ms:
+        reason = f"{age_ms:.0f} ms old, fresh for {max_age_ms:.0f}"
+        return SnapshotAssessment(SnapshotStatus.STALE, reason, NO_LEARNED_TIMES, snapshot)
     return SnapshotAssessment(SnapshotStatus.FRESH, "", snapshot.learned, snapshot)
--- a/tests/recovery/test_manager.py
+++ b/tests/recovery/test_manager.py
@@ -15,7 +15,7 @@
 from snowthread.net.loop import EventLoop
 from snowthread.recovery import key_log, storage
 from snowthread.recovery.manager import RecoveryManager
-from snowthread.recovery.membership import SILENT_MS, FleetView
+from snowthread.recovery.membership import REGISTRY_TIMEOUT_MS, FleetView
 from snowthread.recovery.settings import RecoverySettings
 
 EXAMPLE = Path(__file__).parent.parent.parent / "examples" / "node.json"
@@ -156,11 +156,11 @@
     manager = harness.manager
     manager.handle_registry_answer(b"FLEET 1 5 3 0")
     before = manager._pacer.sharing_nodes
-    last_heard_at = harness.loop.clock.now() - SILENT_MS - 1.0
+    last_heard_at = harness.loop.clock.now() - REGISTRY_TIMEOUT_MS - 1.0
     manager._member._membership.view = FleetView(1, 5, 3, last_heard_at)
-    manager._member._is_silent = False
+    manager._member._is_registry_silent = False
     until = harness.loop.clock.now() + 2500.0
-    while harness.loop.clock.now() < until and not manager._member._is_silent:
+    while harness.loop.clock.now() < until and not manager._member._is_registry_silent:
         harness.loop.run_once(0.05)
-    assert manager._member._is_silent
+    assert manager._member._is_registry_silent
     assert manager._pacer.sharing_nodes == before == 5
--- a/tests/stored/test_stored_recovery.py
+++ b/tests/stored/test_stored_recovery.py
@@ -13,9 +13,15 @@
 from snowthread.clients.registry import encode_report
 from snowthread.core.idempotency import key_digest
 from snowthread.recovery import key_log, storage
-from snowthread.recovery.membership import FleetView, Membership, MemberStatus
-from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotStatus, decode, encode
-from snowthread.recovery.snapshot_assessment import assess
+from snowthread.recovery.membership import FleetMembership, FleetView, MembershipStatus
+from snowthread.recovery.snapshot import (
+    LearnedTimes,
+    Snapshot,
+    SnapshotStatus,
+    decode_snapshot,
+    encode_snapshot,
+)
+from snowthread.recovery.snapshot_assessment import assess_snapshot
 
 STORED = Path(__file__).parents[2] / "tests" / "data" / "stored"
 START = 1_764_576_000_000.0
@@ -26,40 +32,40 @@
     core_time_s={"dispense": 0.125, "match": 0.3},
     run_time_s={"dispense": 0.5, "match": 1.75},
     call_time_s={"dispense": 0.25},
-    read_per_s=42.5,
+    requests_per_s=42.5,
 )
 SNAPSHOT = Snapshot(9, 5, START, LEARNED)
 
 
 def test_stored_snapshot_is_read_with_what_was_learned() -> None:
     data = storage.read_state_file(STORED / "warm")
-    decoded = decode(data)
+    decoded = decode_snapshot(data)
     snapshot = decoded.snapshot
     assert (decoded.status, decoded.reason) == (SnapshotStatus.FRESH, "") and snapshot is not None
     assert snapshot.generation == 9 and snapshot.incarnation == 5
-    assert snapshot.written_ms == 1_764_576_000_000.0
+    assert snapshot.written_at_ms == 1_764_576_000_000.0
     assert snapshot.learned.core_time_s == {"dispense": 0.125, "match": 0.3}
     assert snapshot.learned.run_time_s == {"dispense": 0.5, "match": 1.75}
     assert snapshot.learned.call_time_s == {"dispense": 0.25}
-    assert snapshot.learned.read_per_s == 42.5
+    assert snapshot.learned.requests_per_s == 42.5
 
 
 def test_stored_snapshot_is_assessed_as_fresh_stale_or_older() -> None:
     data = storage.read_state_file(STORED / "warm")
-    fresh = assess(data, generation=9, now_ms=START + 1000.0, fresh_for_ms=60_000.0)
-    assert fresh.status is SnapshotStatus.FRESH and fresh.initial_state == LEARNED
+    fresh = assess_snapshot(data, generation=9, now_ms=START + 1000.0, max_age_ms=60_000.0)
+    assert fresh.status is SnapshotStatus.FRESH and fresh.initial_times == LEARNED
     assert (
-        assess(data, generation=9, now_ms=START + 60_001.0, fresh_for_ms=60_000.0).status
+        assess_snapshot(data, generation=9, now_ms=START + 60_001.0, max_age_ms=60_000.0).status
         is SnapshotStatus.STALE
     )
     assert (
-        assess(data, generation=10, now_ms=START, fresh_for_ms=60_000.0).status
+        assess_snapshot(data, generation=10, now_ms=START, max_age_ms=60_000.0).status
         is SnapshotStatus.OLDER_GENERATION
     )
 
 
 def test_snapshot_written_anew_has_the_stored_name_and_bytes(tmp_path: Path) -> None:
-    assert storage.write_state_file(tmp_path, encode(SNAPSHOT)) is None
+    assert storage.write_state_file(tmp_path, encode_snapshot(SNAPSHOT)) is None
     assert (tmp_path / "warm.snap").read_bytes() == (STORED / "warm" / "warm.snap").read_bytes()
 
 
@@ -68,7 +74,7 @@
     for offset in range(len(data)):
         altered = bytearray(data)
         altered[offset] ^= 0x01
-        assert decode(bytes(altered)).snapshot is None, offset
+        assert decode_snapshot(bytes(altered)).snapshot is None, offset
 
 
 def test_stored_incarnation_is_read_and_written_alike(tmp_path: Path) -> None:
@@ -80,9 +86,9 @@
 def member_reports() -> list[bytes]:
     """Return report datagrams: of a member without a count yet, a cold, a warm, and a node of no fleet."""
     return [
-        encode_report("node-a", True, Membership(0, 3).report_suffix(True)),
-        encode_report("node-a", True, Membership(5, 3).report_suffix(True)),
-        encode_report("node-a", False, Membership(5, 3).report_suffix(False)),
+        encode_report("node-a", True, FleetMembership(0, 3).report_suffix(True)),
+        encode_report("node-a", True, FleetMembership(5, 3).report_suffix(True)),
+        encode_report("node-a", False, FleetMembership(5, 3).report_suffix(False)),
         encode_report("node-b", True),
     ]
 
@@ -99,10 +105,10 @@
 
 
 def test_answer_to_a_membership_report_is_read() -> None:
-    membership = Membership(0, 3)
+    membership = FleetMembership(0, 3)
     assert membership.handle_answer(b"FLEET 9 3 1 4", START)
-    assert membership.view == FleetView(generation=9, listed=3, cold=1, at_ms=START)
-    assert membership.incarnation == 5 and membership.status is MemberStatus.MEMBER
+    assert membership.view == FleetView(generation=9, listed_nodes=3, cold_nodes=1, received_at_ms=START)
+    assert membership.incarnation == 5 and membership.status is MembershipStatus.MEMBER
     assert not membership.handle_answer(b"FLOTE 9 3 1 4", START) and membership.invalid_answers == 1
 
 
