--- a/snowthread/recovery/snapshot.py
+++ b/snowthread/recovery/snapshot.py
@@ -1,19 +1,19 @@
-"""Format of the snapshot of what a node learned.
+"""Binary format of the snapshot in which a node stores its learned times.
 
-Pure: no clock, no files. Layout (big-endian)::
+Pure: no clock, no files. The layout is big-endian::
 
     magic   4 bytes  b"STWS"
     version u16      FORMAT_VERSION
-    gen     u64      the fleet's generation when it was written, as the registry reported it
+    gen     u64      the fleet's generation at the time of writing, as the registry reported it
     life    u32      the node's incarnation: how many starts its state folder has seen
-    at_ms   f64      wall time of writing, milliseconds since the epoch
-    length  u32      bytes of the body
+    at_ms   f64      wall clock time of writing, milliseconds since the Unix epoch
+    length  u32      length of the body in bytes
     body    JSON     :class:`LearnedTimes` as an object
-    digest  16 bytes BLAKE2b-128 of all that comes before it
+    digest  16 bytes BLAKE2b-128 of all bytes before it
 
-How old a snapshot may be, and of which generation of the fleet, is decided by
-:mod:`snowthread.recovery.snapshot_assessment`. Keys are not in a snapshot: they change with each request, and
-have :mod:`snowthread.recovery.key_log`.
+:mod:`snowthread.recovery.snapshot_assessment` decides whether the age and the generation of a snapshot allow
+its use. Idempotency keys are not part of a snapshot, because they change with each request; they are in the
+:mod:`snowthread.recovery.key_log`.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 from typing import TypeGuard
 
 MAGIC = b"STWS"
-FORMAT_VERSION = 2  # version 1 had keys and rates that were never restored
+FORMAT_VERSION = 2  # Version 1 also stored keys and rates, which were never restored.
 HEADER = struct.Struct(">4sHQIdI")
 DIGEST_BYTES = 16
-MAX_BODY_BYTES = 1 << 20  # a snapshot has kilobytes; one with a longer body is foreign
+MAX_BODY_BYTES = 1 << 20  # A snapshot has some kilobytes; a longer body is taken for an unknown format.
 
 
 class SnapshotStatus(Enum):
-    """Whether a snapshot found at a start may be trusted, and if not, why."""
+    """Whether a snapshot found at start may be used, and if not, why."""
 
     FRESH = "fresh"
     MISSING = "missing"
@@ -48,35 +48,38 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedTimes:
-    """What a node learned: times in seconds by class name, and its request rate."""
+    """Times in seconds by class name, and the request rate, as learned by a node."""
 
-    core_time_s: Mapping[str, float] = field(default_factory=dict)  # of a run on a core, unloaded
-    run_time_s: Mapping[str, float] = field(default_factory=dict)  # of a run with its calls
-    call_time_s: Mapping[str, float] = field(default_factory=dict)  # of a call, unloaded
-    requests_per_s: float = 0.0  # requests
+    # Core time of one run on an unloaded machine, in seconds by class name.
+    core_time_s: Mapping[str, float] = field(default_factory=dict)
+    # Duration of one run including its calls, in seconds by class name.
+    run_time_s: Mapping[str, float] = field(default_factory=dict)
+    # Duration of one call to an unloaded database, in seconds by class name.
+    call_time_s: Mapping[str, float] = field(default_factory=dict)
+    requests_per_s: float = 0.0  # Requests that the node read per second.
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A snapshot as it is stored."""
+    """The contents of a stored snapshot."""
 
     generation: int
     incarnation: int
-    written_at_ms: float  # wall time
+    written_at_ms: float  # Wall clock time of writing, in ms.
     learned: LearnedTimes
 
 
 @dataclass(frozen=True, slots=True)
 class DecodedSnapshot:
-    """What bytes say: FRESH with a snapshot where they are complete and known, else the status and why."""
+    """The result of decoding: FRESH with the snapshot if it is valid, otherwise a status and its reason."""
 
     status: SnapshotStatus
     reason: str = ""
     snapshot: Snapshot | None = None
 
 
-class _UnusableError(Exception):
-    """Bytes that are no complete snapshot of this format."""
+class _InvalidSnapshotError(Exception):
+    """The bytes are not a complete snapshot of the supported version."""
 
     def __init__(self, status: SnapshotStatus, reason: str) -> None:
         self.status = status
@@ -85,10 +88,10 @@
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the bytes of a snapshot.
+    """Encode a snapshot.
 
     Raises:
-        ValueError: The body is over :data:`MAX_BODY_BYTES`, or a value is not finite.
+        ValueError: The body is longer than :data:`MAX_BODY_BYTES`, or a value is not finite.
     """
     learned = snapshot.learned
     body = json.dumps(
@@ -103,7 +106,7 @@
         sort_keys=True,
     ).encode()
     if len(body) > MAX_BODY_BYTES:
-        raise ValueError(f"a snapshot's body of {len(body)} bytes is over {MAX_BODY_BYTES}")
+        raise ValueError(f"snapshot body has {len(body)} bytes; at most {MAX_BODY_BYTES} are allowed")
     head = HEADER.pack(
         MAGIC, FORMAT_VERSION, snapshot.generation, snapshot.incarnation, snapshot.written_at_ms, len(body)
     )
@@ -111,46 +114,50 @@
 
 
 def decode_snapshot(data: bytes) -> DecodedSnapshot:
-    """Return what the bytes say."""
+    """Decode a snapshot; its age and generation are not checked."""
     try:
-        return DecodedSnapshot(SnapshotStatus.FRESH, "", _decode_snapshot(data))
-    except _UnusableError as error:
+        return DecodedSnapshot(SnapshotStatus.FRESH, "", _decode_valid_snapshot(data))
+    except _InvalidSnapshotError as error:
         return DecodedSnapshot(error.status, error.reason)
 
 
-def _decode_snapshot(data: bytes) -> Snapshot:
+def _decode_valid_snapshot(data: bytes) -> Snapshot:
     if not data:
-        raise _UnusableError(SnapshotStatus.MISSING, "no snapshot")
+        raise _InvalidSnapshotError(SnapshotStatus.MISSING, "the snapshot file is missing or empty")
     if len(data) < HEADER.size:
         is_start = MAGIC.startswith(data[: len(MAGIC)])
         status = SnapshotStatus.CORRUPT if is_start else SnapshotStatus.UNKNOWN_FORMAT
-        raise _UnusableError(status, f"{len(data)} bytes")
+        raise _InvalidSnapshotError(status, f"{len(data)} bytes are too few for a header")
     magic, version, generation, incarnation, written_at_ms, length = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise _UnusableError(SnapshotStatus.UNKNOWN_FORMAT, "not a snapshot")
+        raise _InvalidSnapshotError(SnapshotStatus.UNKNOWN_FORMAT, "the file does not start as a snapshot")
     if version != FORMAT_VERSION:
-        raise _UnusableError(SnapshotStatus.UNKNOWN_FORMAT, f"format {version}, known {FORMAT_VERSION}")
+        raise _InvalidSnapshotError(
+            SnapshotStatus.UNKNOWN_FORMAT, f"format version {version}; version {FORMAT_VERSION} is supported"
+        )
     if length > MAX_BODY_BYTES:
-        raise _UnusableError(SnapshotStatus.UNKNOWN_FORMAT, f"body of {length} bytes")
+        raise _InvalidSnapshotError(
+            SnapshotStatus.UNKNOWN_FORMAT, f"a body of {length} bytes is longer than any snapshot's"
+        )
     learned = _parse_body(_checked_body(data, length))
     if learned is None or not math.isfinite(written_at_ms):
-        raise _UnusableError(SnapshotStatus.UNKNOWN_FORMAT, "body is not a snapshot's")
+        raise _InvalidSnapshotError(SnapshotStatus.UNKNOWN_FORMAT, "the body has missing or invalid fields")
     return Snapshot(generation, incarnation, written_at_ms, learned)
 
 
 def _checked_body(data: bytes, length: int) -> bytes:
-    """Return the body, once the data has its full size and the digest is right.
+    """Return the body after checking the total size and the digest.
 
     Raises:
-        _UnusableError: It is torn.
+        _InvalidSnapshotError: The size or the digest is wrong.
     """
     end = HEADER.size + length
     full_size = end + DIGEST_BYTES
     if len(data) != full_size:
-        reason = f"{len(data)} bytes where the header says {full_size}"
-        raise _UnusableError(SnapshotStatus.CORRUPT, reason)
+        reason = f"the file has {len(data)} bytes; its header gives {full_size}"
+        raise _InvalidSnapshotError(SnapshotStatus.CORRUPT, reason)
     if _digest(data[:end]) != data[end:]:
-        raise _UnusableError(SnapshotStatus.CORRUPT, "digest does not match")
+        raise _InvalidSnapshotError(SnapshotStatus.CORRUPT, "digest mismatch")
     return data[HEADER.size : end]
 
 
@@ -171,7 +178,7 @@
     requests_per_s = fields.get("read_per_s")
     if core_time_s is None or run_time_s is None or call_time_s is None:
         return None
-    if not _is_measured(requests_per_s):
+    if not _is_valid_measurement(requests_per_s):
         return None
     return LearnedTimes(core_time_s, run_time_s, call_time_s, float(requests_per_s))
 
@@ -181,13 +188,13 @@
         return None
     times = {}
     for name, time_s in value.items():
-        if not _is_measured(time_s):
+        if not _is_valid_measurement(time_s):
             return None
         times[str(name)] = float(time_s)
     return times
 
 
-def _is_measured(value: object) -> TypeGuard[float]:
+def _is_valid_measurement(value: object) -> TypeGuard[float]:
     if not isinstance(value, int | float) or isinstance(value, bool):
         return False
     return math.isfinite(value) and value >= 0
--- a/snowthread/recovery/snapshot_assessment.py
+++ b/snowthread/recovery/snapshot_assessment.py
@@ -1,16 +1,17 @@
-"""Assessment of a snapshot found at a start: whether the node may start from it.
+"""Decides whether a node may use the snapshot that it finds at start.
 
-Pure: no clock, no files.
+Pure: no clock, no files. Only a fresh snapshot is used. In all other cases the node starts without learned
+times.
 
-| status   | when                                                      | the node starts from |
-| --------- | --------------------------------------------------------- | -------------------- |
-| fresh     | complete, known version, generation >= the fleet's, young | the snapshot         |
-| missing   | no bytes                                                  | priors               |
-| torn      | shorter than its header says, or the digest is wrong      | priors               |
-| foreign   | other magic, unknown version, or a body that is no object | priors               |
-| older     | generation below the fleet's                              | priors               |
-| stale     | older than ``max_age_ms``                               | priors               |
-| future    | written after ``now`` beyond ``clock_tolerance_ms``                 | priors               |
+| status  | condition                                                                            |
+| ------- | ------------------------------------------------------------------------------------ |
+| fresh   | complete, supported version, generation not below the fleet's, not too old           |
+| missing | no bytes                                                                             |
+| torn    | shorter than its header says or otherwise of the wrong size, or the digest is wrong  |
+| foreign | unknown magic or version, or the body is not an object with the fields of a snapshot |
+| older   | generation below the fleet's                                                         |
+| stale   | older than ``max_age_ms``                                                            |
+| future  | written more than ``clock_tolerance_ms`` after the current time                      |
 """
 
 from __future__ import annotations
@@ -21,18 +22,22 @@
 
 CLOCK_TOLERANCE_MS = 2000.0
 
-# A cold node knows nothing: its decisions learn, and slow start admits a few runs at first.
+# Without a snapshot, a cold node has no learned times. It learns as it runs, and slow start admits only a few
+# runs at first.
 NO_LEARNED_TIMES = LearnedTimes()
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotAssessment:
-    """The status, why, and what to start from: what was learned where it is fresh, else the priors."""
+    """The status of a snapshot, the reason for it, and the learned times to start with.
+
+    ``initial_times`` are those of the snapshot if it is fresh, and otherwise :data:`NO_LEARNED_TIMES`.
+    """
 
     status: SnapshotStatus
     reason: str
     initial_times: LearnedTimes
-    snapshot: Snapshot | None = None  # what was read, where it could be read at all
+    snapshot: Snapshot | None = None  # The decoded snapshot; None if the bytes could not be decoded.
 
 
 def assess_snapshot(
@@ -43,9 +48,14 @@
     max_age_ms: float,
     clock_tolerance_ms: float = CLOCK_TOLERANCE_MS,
 ) -> SnapshotAssessment:
-    """Assess the bytes found at a start by the fleet's ``generation`` and the wall time ``now_ms``.
+    """Assess the bytes of a snapshot found at start.
 
-    ``clock_tolerance_ms`` is how far the clock that wrote the snapshot may have been ahead.
+    Args:
+        data: The contents of the snapshot file.
+        generation: The fleet's generation, as the registry reports it.
+        now_ms: Current wall clock time in ms.
+        max_age_ms: Age in ms up to which a snapshot is fresh.
+        clock_tolerance_ms: How far in ms the clock that wrote the snapshot may have been ahead.
     """
     decoded = decode_snapshot(data)
     snapshot = decoded.snapshot
@@ -53,12 +63,12 @@
         return SnapshotAssessment(decoded.status, decoded.reason, NO_LEARNED_TIMES)
     age_ms = now_ms - snapshot.written_at_ms
     if snapshot.generation < generation:
-        reason = f"generation {snapshot.generation}, the fleet's is {generation}"
+        reason = f"generation {snapshot.generation} is below the fleet's generation {generation}"
         return SnapshotAssessment(SnapshotStatus.OLDER_GENERATION, reason, NO_LEARNED_TIMES, snapshot)
     if age_ms < -clock_tolerance_ms:
-        reason = f"written {-age_ms:.0f} ms after now"
+        reason = f"written {-age_ms:.0f} ms after the current time"
         return SnapshotAssessment(SnapshotStatus.FUTURE, reason, NO_LEARNED_TIMES, snapshot)
     if age_ms > max_age_ms:
-        reason = f"{age_ms:.0f} ms old, fresh for {max_age_ms:.0f}"
+        reason = f"{age_ms:.0f} ms old; snapshots are fresh for {max_age_ms:.0f} ms"
         return SnapshotAssessment(SnapshotStatus.STALE, reason, NO_LEARNED_TIMES, snapshot)
     return SnapshotAssessment(SnapshotStatus.FRESH, "", snapshot.learned, snapshot)
--- a/tests/recovery/test_snapshot.py
+++ b/tests/recovery/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots found at a start: complete and fresh ones are used, all others rejected with a reason."""
+"""Tests snapshots found at start: complete and fresh ones are used, all others rejected with a reason."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     data = encode_snapshot(SNAPSHOT)
     for offset in range(len(data)):
         altered = data[:offset] + bytes([data[offset] ^ 0x20]) + data[offset + 1 :]
-        # the digest covers the header too: no field can change and pass
+        # The digest covers the header too, so that no field can change undetected.
         assert status_of(altered) is not SnapshotStatus.FRESH, offset
 
 
@@ -99,9 +99,9 @@
     assert storage.write_state_file(tmp_path, first) is None
     assert storage.read_state_file(tmp_path) == first
     temporary = tmp_path / (storage.SNAPSHOT_FILE + storage.TEMPORARY_SUFFIX)
-    temporary.write_bytes(first[:20])  # a write that never came to its rename
+    temporary.write_bytes(first[:20])  # A crash interrupted this write before its rename.
     assert storage.read_state_file(tmp_path) == first
-    error = storage.write_state_file(tmp_path / "gone", first)  # no folder: an error value, nothing is raised
+    error = storage.write_state_file(tmp_path / "gone", first)  # Returned, not raised.
     assert error is not None and error.step is storage.StorageStep.OPEN
 
 
