--- a/snowthread/recovery/membership.py
+++ b/snowthread/recovery/membership.py
@@ -1,20 +1,23 @@
-"""FleetMembership of a node in its fleet by the registry's answers, with generations and incarnations.
-
-Pure: bytes of answers in, status and report suffix out.
-
-The suffix of a report is the node's incarnation and ``cold`` or ``warm``; the answer to each report is
-``FLEET generation listed cold highest`` where ``highest`` is the highest incarnation heard for this name.
-
-| state        | answer                              | next                                                  |
-| ------------ | ----------------------------------- | ----------------------------------------------------- |
-| unheard      | ``highest`` is ours, above 0        | member                                                |
-| unheard      | ``highest`` is above ours, or ours  | member with ``highest + 1``: our count was lost, or   |
-|              | is 0 (no count was stored)          | this is the first incarnation                         |
-| member       | ``highest`` is ours                 | member                                                |
-| member       | ``highest`` is above ours           | replaced: another process has our name                |
-| replaced     | any                                 | replaced: off the list for good                       |
-| any          | not an answer                       | the same, counted                                     |
-| any          | a generation below one heard before | the same, counted: an old answer                      |
+"""Membership of a node in its fleet, tracked from the registry's answers to the node's reports.
+
+Pure: takes the bytes of answers, and returns the status and the suffix of the next report.
+
+Each report ends with the node's incarnation and ``cold`` or ``warm``. The registry answers with
+``FLEET generation listed cold highest``. ``listed`` and ``cold`` count nodes, and ``highest`` is the highest
+incarnation that the registry knows for the name of the reporting node. "Own" is this process's incarnation.
+
+| status    | answer                               | next status                                           |
+| --------- | ------------------------------------ | ----------------------------------------------------- |
+| unheard   | ``highest`` equals own, own is not 0 | member                                                |
+| unheard   | ``highest`` is above own             | member with incarnation ``highest + 1``, because the  |
+|           |                                      | stored incarnation was lost                           |
+| unheard   | own is 0                             | member with incarnation ``highest + 1``: nothing was  |
+|           |                                      | stored, or this is the node's first start             |
+| member    | ``highest`` equals own               | member                                                |
+| member    | ``highest`` is above own             | replaced: another process uses the node's name        |
+| replaced  | any                                  | replaced, permanently; the node stays unlisted        |
+| any       | malformed                            | unchanged; the answer is counted as invalid           |
+| any       | generation below one received before | unchanged; the outdated answer is counted as invalid  |
 """
 
 from __future__ import annotations
@@ -22,12 +25,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-REGISTRY_TIMEOUT_MS = 3000.0  # without an answer, until the registry counts as silent
+REGISTRY_TIMEOUT_MS = 3000.0  # After this time without an answer the registry counts as silent.
 MAX_INCARNATION = 2**31
 
 
 class MembershipStatus(Enum):
-    """Whether the registry has answered, and whether another process has this node's name."""
+    """Whether the registry has confirmed the node, or knows another process by the same name."""
 
     UNCONFIRMED = "unheard"
     MEMBER = "member"
@@ -36,7 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """The fleet as the registry reported it last."""
+    """The fleet as described by the registry's last valid answer.
+
+    ``received_at_ms`` is the wall clock time of the answer in ms.
+    """
 
     generation: int
     listed_nodes: int
@@ -46,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """How many nodes are listed and how many of them are cold."""
+    """The number of listed nodes, and how many of them are cold."""
 
     listed_nodes: int
     cold_nodes: int
@@ -54,42 +60,48 @@
 
 @dataclass(slots=True)
 class FleetMembership:
-    """One node's place in the fleet.
+    """The membership of one node in its fleet.
 
-    ``incarnation`` 0 says that no count was stored and the registry may know one. It is reported as it is: a
-    count begun anew would pass for that of an earlier incarnation.
+    ``incarnation`` is 0 if none was stored; the registry may still know an earlier one. The 0 is reported as
+    it is, because restarting the count at 1 could repeat the number of an earlier incarnation.
     """
 
     incarnation: int
-    configured_nodes: int  # nodes of the fleet by the settings: all count as cold until the registry answers
+    # Configured size of the fleet; until the registry answers, all of these nodes count as cold.
+    configured_nodes: int
     status: MembershipStatus = MembershipStatus.UNCONFIRMED
     view: FleetView | None = None
     invalid_answers: int = 0
 
-    def report_suffix(self, cold: bool) -> str:
-        """Return what a report says after the node's state: incarnation and cold or warm."""
-        return f"{self.incarnation} {'cold' if cold else 'warm'}"
+    def report_suffix(self, is_cold: bool) -> str:
+        """Return the end of a report to the registry: the incarnation and ``cold`` or ``warm``."""
+        return f"{self.incarnation} {'cold' if is_cold else 'warm'}"
 
     def handle_answer(self, data: bytes, now_ms: float) -> bool:
-        """Read an answer that came at wall time ``now_ms``.
+        """Update the membership from an answer of the registry.
+
+        Args:
+            data: The datagram.
+            now_ms: Wall clock time in ms at which it was received.
 
-        Returns True where it is valid, and the status or the view may have changed.
+        Returns:
+            Whether the answer is valid; an invalid one is counted and changes nothing else.
         """
         words = data.split()
         try:
-            generation, listed, cold, highest = (int(word) for word in words[1:])
+            generation, listed_nodes, cold_nodes, highest_incarnation = (int(word) for word in words[1:])
         except ValueError:
             self.invalid_answers += 1
             return False
         known_generation = self.view.generation if self.view is not None else 0
-        is_plausible = 0 <= cold <= listed and 0 <= highest <= MAX_INCARNATION
+        is_plausible = 0 <= cold_nodes <= listed_nodes and 0 <= highest_incarnation <= MAX_INCARNATION
         if words[0] != b"FLEET" or not is_plausible or generation < known_generation:
             self.invalid_answers += 1
             return False
-        self.view = FleetView(generation, listed, cold, now_ms)
-        if highest > self.incarnation or not self.incarnation:
+        self.view = FleetView(generation, listed_nodes, cold_nodes, now_ms)
+        if highest_incarnation > self.incarnation or not self.incarnation:
             if self.status is MembershipStatus.UNCONFIRMED:
-                self.incarnation = highest + 1
+                self.incarnation = highest_incarnation + 1
             else:
                 self.status = MembershipStatus.REPLACED
         if self.status is MembershipStatus.UNCONFIRMED:
@@ -97,7 +109,7 @@
         return True
 
     def fleet_size(self) -> FleetSize:
-        """Return the nodes listed and cold as last reported; before any answer all are cold."""
+        """Return the fleet size last reported; before the first answer all configured nodes count as cold."""
         if self.view is None:
             return FleetSize(self.configured_nodes, self.configured_nodes)
         return FleetSize(max(1, self.view.listed_nodes), self.view.cold_nodes)
--- a/tests/recovery/test_membership.py
+++ b/tests/recovery/test_membership.py
@@ -1,4 +1,4 @@
-"""A node's place in the fleet: answers of the registry, incarnations, and a process of the same name."""
+"""Tests fleet membership: the registry's answers, incarnations, and a second process of the same name."""
 
 from __future__ import annotations
 
