--- a/snowthread/recovery/__init__.py
+++ b/snowthread/recovery/__init__.py
@@ -1,8 +1,10 @@
-"""Recovery of a node after a restart: what it stores on disk, what it trusts of it, and how it warms up.
+"""Recovery of a node after a restart: the state it keeps on disk, which of it is trusted, and the warm-up.
 
-Pure parts: ``snapshot`` and ``snapshot_assessment`` (format of what a node learned, and whether it is to be
-trusted), ``key_log`` (format of the keys whose runs may have begun) and ``membership`` (the node's place in
-the fleet by the registry's answers). ``storage`` writes and reads the files. ``key_recorder``,
-``learned_snapshots``, ``registry_member``, ``warmup``, ``request_admission`` and ``call_pacing`` each wire
-one concern to the event loop and the state; ``manager`` composes them around the reducer.
+Pure modules, without a clock or files: ``snapshot`` encodes learned times, ``snapshot_assessment`` decides
+whether a snapshot found at start may be used, ``key_log`` encodes the idempotency keys whose runs may have
+started, and ``membership`` tracks the node's membership in the fleet from the registry's answers.
+
+``storage`` reads and writes the files. ``key_recorder``, ``learned_snapshots``, ``registry_member``,
+``warmup``, ``request_admission`` and ``call_pacing`` each connect one concern to the event loop and the node
+state. ``manager`` combines them and wraps the reducer.
 """
--- a/snowthread/recovery/call_pacing.py
+++ b/snowthread/recovery/call_pacing.py
@@ -1,4 +1,4 @@
-"""Paces the calls to the shared database: queues what may not go yet and releases it in its turn."""
+"""Paces calls to the shared database: calls that may not start yet are queued and started later."""
 
 from __future__ import annotations
 
@@ -10,14 +10,20 @@
 from snowthread.core.state import NodeState
 from snowthread.net.loop import EventLoop, Timer
 
-MAX_COUNTED_RUNS = 4096  # beyond it the calls of runs that have ended are no longer counted
-QUEUE_TIMEOUT_SHARE = 0.5  # of a call's timeout, for which it may be queued
+# Once the calls of this many runs are counted, the counts of runs that have ended are dropped.
+MAX_CALL_COUNTS = 4096
+QUEUE_TIMEOUT_RATIO = 0.5  # A call may stay queued for at most this part of its timeout.
 
 
-class CallPacing:
-    """Lets calls start as the pacer permits.
+class CallPacer:
+    """Starts, queues or denies database calls as the :class:`RecoveryPacer` decides.
 
-    ``carry_out`` carries out the start of a call that was queued.
+    Args:
+        loop: The event loop; its clock and timers drive the queue.
+        state: The node state, which says which attempts are running.
+        pacer: Decides when a call may start.
+        post: Posts an event to the reducer.
+        execute_effect: Executes the effect that starts a call after it has been queued.
     """
 
     def __init__(
@@ -26,85 +32,89 @@
         state: NodeState,
         pacer: RecoveryPacer,
         post: Callable[[events.Event], None],
-        carry_out: Callable[[effects.Effect], None],
+        execute_effect: Callable[[effects.Effect], None],
     ) -> None:
         self._loop = loop
         self._state = state
         self._pacer = pacer
         self._post = post
-        self._carry_out = carry_out
-        self._queued: dict[str, effects.StartCall] = {}  # by attempt
-        self._calls_made: dict[str, int] = {}  # by attempt
+        self._execute_effect = execute_effect
+        self._queued_calls: dict[str, effects.StartCall] = {}  # Calls that wait to start, by attempt ID.
+        # Number of calls that each run has started so far, by attempt ID.
+        self._call_counts: dict[str, int] = {}
         self._timer: Timer | None = None
 
-    def permits(self, state: NodeState, call: effects.StartCall, now_ms: float) -> bool:
-        """Return whether a call may start now; otherwise queue it, or report that it was denied."""
+    def try_start(self, state: NodeState, call: effects.StartCall, now_ms: float) -> bool:
+        """Return whether a call may start now.
+
+        A call that may not start is queued, or reported to the reducer as denied.
+        """
         attempt_id = call.attempt_id
         request = state.requests_by_attempt_id.get(attempt_id)
         skippable = request is not None and request.request_class.skipped_call_weight > 0.0
         permission = self._pacer.request_call(
             now_ms,
             attempt_id,
-            self._calls_made.get(attempt_id, 0),
+            self._call_counts.get(attempt_id, 0),
             skippable,
-            now_ms + call.timeout_ms * QUEUE_TIMEOUT_SHARE,
+            now_ms + call.timeout_ms * QUEUE_TIMEOUT_RATIO,
         )
         if permission is CallPermission.GRANTED:
-            self._count(attempt_id)
+            self._count_call(attempt_id)
             return True
         if permission is CallPermission.QUEUED:
-            self._queued[attempt_id] = call
+            self._queued_calls[attempt_id] = call
             self._schedule_release()
         else:
-            self._deny(attempt_id)
+            self._post_denial(attempt_id)
         return False
 
     def cancel(self, attempt_id: str, now_ms: float) -> None:
-        """Give up the call of an attempt, queued or in flight."""
-        self._queued.pop(attempt_id, None)
+        """Cancel the call of an attempt, whether it is queued or in flight."""
+        self._queued_calls.pop(attempt_id, None)
         self._pacer.call_cancelled(now_ms, attempt_id)
 
-    def complete_call(self, event: events.CallCompleted, now_ms: float) -> None:
-        """Take the end of a call, and release the calls that may go instead."""
+    def handle_completion(self, event: events.CallCompleted, now_ms: float) -> None:
+        """Report the end of a call to the pacer and start queued calls that may now run."""
         outcome = event.outcome
         was_reached = outcome is not Outcome.UNREACHABLE
         shows_latency = outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT)
         self._pacer.call_ended(now_ms, event.attempt_id, was_reached, shows_latency)
-        self.release()
+        self.start_due_calls()
 
-    def forget_run(self, attempt_id: str) -> None:
-        """Forget how many calls a run made."""
-        self._calls_made.pop(attempt_id, None)
+    def discard_call_count(self, attempt_id: str) -> None:
+        """Drop the count of calls started by a run that has ended."""
+        self._call_counts.pop(attempt_id, None)
 
-    def release(self) -> None:
-        """Start the queued calls that may go now, and deny those that were queued for too long."""
-        if not self._queued:
+    def start_due_calls(self) -> None:
+        """Start the queued calls that may start now, and deny those whose time in the queue is over."""
+        if not self._queued_calls:
             return
         released, expired = self._pacer.release_calls(self._loop.clock.now())
         for attempt_id in released:
-            call = self._queued.pop(attempt_id, None)
+            call = self._queued_calls.pop(attempt_id, None)
             if call is not None:
-                self._count(attempt_id)
-                self._carry_out(call)
+                self._count_call(attempt_id)
+                self._execute_effect(call)
         for attempt_id in expired:
-            if self._queued.pop(attempt_id, None) is not None:
-                self._deny(attempt_id)
+            if self._queued_calls.pop(attempt_id, None) is not None:
+                self._post_denial(attempt_id)
         self._schedule_release()
 
-    def _deny(self, attempt_id: str) -> None:
+    def _post_denial(self, attempt_id: str) -> None:
         self._post(events.CallCompleted(attempt_id, Outcome.OVERLOADED, 0.0))
 
-    def _count(self, attempt_id: str) -> None:
-        if len(self._calls_made) >= MAX_COUNTED_RUNS:
+    def _count_call(self, attempt_id: str) -> None:
+        if len(self._call_counts) >= MAX_CALL_COUNTS:
             running = self._state.requests_by_attempt_id
-            self._calls_made = {run: made for run, made in self._calls_made.items() if run in running}
-        self._calls_made[attempt_id] = self._calls_made.get(attempt_id, 0) + 1
+            self._call_counts = {run: made for run, made in self._call_counts.items() if run in running}
+        self._call_counts[attempt_id] = self._call_counts.get(attempt_id, 0) + 1
 
     def _schedule_release(self) -> None:
-        if self._queued and not self._timer:
+        if self._queued_calls and not self._timer:
             release_at_ms = self._pacer.next_release_at_ms(self._loop.clock.now())
-            self._timer = self._loop.call_at(release_at_ms, self._release_due)
+            self._timer = self._loop.call_at(release_at_ms, self._on_release_timer)
 
-    def _release_due(self) -> None:
+    def _on_release_timer(self) -> None:
         self._timer = None
-        self.release()
+        self.start_due_calls()
--- a/snowthread/recovery/cli.py
+++ b/snowthread/recovery/cli.py
@@ -1,4 +1,4 @@
-"""``snowthread warm``: the state folder of a node that recovers, for operators."""
+"""``snowthread warm``: commands for operators on the state folder that a node uses for recovery."""
 
 from __future__ import annotations
 
@@ -18,15 +18,18 @@
 
 @click.group()
 def warm() -> None:
-    """Show or prepare the state that a node stores for its recovery (block ``comeback``)."""
+    """Show or initialize the recovery state that a node stores on disk (block ``comeback``)."""
 
 
 @warm.command()
 @FOLDER
 def init(folder: Path) -> None:
-    """State that no earlier incarnation of this node ran keyed requests: for a new machine, and only then."""
+    """Create an empty key log, which states that this node has never run a request with an idempotency key.
+
+    Use it for a new machine only: on any other machine a keyed request could run twice.
+    """
     _create_key_log(folder)
-    click.echo(f"{folder}: an empty ring of keys; the node's first start trusts it")
+    click.echo(f"{folder}: created an empty key log; the node will trust it when it starts")
 
 
 def _create_key_log(folder: Path) -> None:
@@ -34,7 +37,9 @@
     from snowthread.recovery import storage
 
     if storage.read_state_file(folder, storage.KEY_LOG_FILE):
-        raise ConfigError(f"{folder}: has a ring of keys; where it is torn the node has to be blind")
+        raise ConfigError(
+            f"{folder}: a key log exists; even a corrupt one is kept, so that no keyed request runs twice"
+        )
     error = storage.create_key_log(folder)
     if error is not None:
         raise ConfigError(f"{folder}: {error}")
@@ -44,7 +49,7 @@
 @FOLDER
 @click.option("--fresh-for", default=60.0, show_default=True, help="Seconds for which a snapshot is trusted.")
 def show(folder: Path, fresh_for: float) -> None:
-    """Show what a start now would find."""
+    """Show the state that a node started now would find, and whether it would use it."""
     from snowthread.recovery import storage
     from snowthread.recovery.snapshot import decode_snapshot
     from snowthread.recovery.snapshot_assessment import assess_snapshot
@@ -70,21 +75,23 @@
     age_s = (now_ms - snapshot.written_at_ms) / MS_PER_S
     click.echo(
         f"  generation {snapshot.generation}, written {age_s:.1f} s ago, "
-        f"{learned.requests_per_s:.1f} requests a second"
+        f"{learned.requests_per_s:.1f} requests/s"
     )
     for name, core_time_s in learned.core_time_s.items():
         click.echo(
-            f"  {name}: {core_time_s * MS_PER_S:.0f} ms on a core, "
-            f"{learned.run_time_s.get(name, 0.0) * MS_PER_S:.0f} ms in all, "
-            f"{learned.call_time_s.get(name, 0.0) * MS_PER_S:.0f} ms a call"
+            f"  {name}: {core_time_s * MS_PER_S:.0f} ms of core time per run, "
+            f"{learned.run_time_s.get(name, 0.0) * MS_PER_S:.0f} ms per run with its calls, "
+            f"{learned.call_time_s.get(name, 0.0) * MS_PER_S:.0f} ms per call"
         )
 
 
 def _show_key_log(contents: KeyLogContents, now_ms: float) -> None:
-    open_windows = sum(until_ms > now_ms for until_ms in contents.keys.values())
-    blind_s = (contents.all_indeterminate_until_ms - now_ms) / MS_PER_S
-    blind = f", blind for {blind_s:.1f} s" if blind_s > 0.0 else ""
+    open_windows = sum(window_end_ms > now_ms for window_end_ms in contents.keys.values())
+    all_indeterminate_s = (contents.all_indeterminate_until_ms - now_ms) / MS_PER_S
+    indeterminate = (
+        f"; all keys indeterminate for {all_indeterminate_s:.1f} s" if all_indeterminate_s > 0.0 else ""
+    )
     click.echo(
-        f"ring of keys: {_with_reason(contents.status.value, contents.reason)}; "
-        f"{open_windows} with an open window{blind}"
+        f"key log: {_with_reason(contents.status.value, contents.reason)}; "
+        f"{open_windows} keys with an open window{indeterminate}"
     )
--- a/snowthread/recovery/key_log.py
+++ b/snowthread/recovery/key_log.py
@@ -1,24 +1,26 @@
-"""Format of the key log: which runs with an idempotency key an earlier incarnation may have begun.
+"""Binary format of the key log: the idempotency keys whose runs an earlier incarnation may have started.
 
-Pure: bytes in, contents and status out.
+Pure: decoding takes bytes and returns the contents with a status.
 
-Layout (little-endian), ``HEADER`` then ``slots`` of ``SLOT``::
+The file has one ``HEADER`` followed by ``slots`` records of type ``SLOT``, all little-endian::
 
-    header  magic b"STKR", version u16, pad, slots u32, any_until f64 (wall ms), crc32 u32, pad to 32 bytes
-    slot    sequence u64 (from 1; 0: empty), until f64 (wall ms), digest of the key 16 bytes, crc32 u32, pad
+    header  magic b"STKR", version u16, pad, slots u32, any_until f64 (Unix ms), crc32 u32, pad to 32 bytes
+    slot    sequence u64 (from 1; 0: empty), until f64 (Unix ms), key digest 16 bytes, crc32 u32, pad
 
-A key is written to slot ``sequence % slots`` before the start of its run is sent to the runtime. A key whose
-slot holds another key with an open window is not written, and so not run: the log's size is a bound.
+A key is written to slot ``sequence % slots`` before the command that starts its run is sent to the runtime.
+If that slot holds another key whose window is still open, the key is not written and its run does not start.
+The size of the log therefore limits the number of keys with an open window.
 
-| found                                            | status | indeterminate keys                        |
-| ------------------------------------------------ | ------- | ----------------------------------------- |
-| all of it                                        | whole   | those with an open window                 |
-| all of it, with the ``any_until`` of an earlier  | whole   | all until ``any_until``, then as above    |
-| start                                            |         |                                           |
-| no file                                          | missing | all, until a window after this start      |
-| another size than its header says, a slot or the | torn    | all, until a window after this start      |
-| header that does not check                       |         |                                           |
-| other magic or version                           | foreign | all, until a window after this start      |
+The run of an indeterminate key may have started, and its result is unknown. Decoding gives these results:
+
+| file                                              | status  | indeterminate keys                           |
+| ------------------------------------------------- | ------- | -------------------------------------------- |
+| complete                                          | whole   | keys with an open window                     |
+| complete, ``any_until`` set by an earlier start   | whole   | all until ``any_until``, then as above       |
+| missing                                           | missing | all, for the longest window after this start |
+| size differs from the header, or the header or a  | torn    | all, for the longest window after this start |
+| slot has a wrong checksum or position             |         |                                              |
+| unknown magic or version                          | foreign | all, for the longest window after this start |
 """
 
 from __future__ import annotations
@@ -35,12 +37,12 @@
 SLOT = struct.Struct("<Qd16s")
 SLOT_BYTES = 40
 CRC = struct.Struct("<I")
-DEFAULT_SLOTS = 8192  # of a new log: more than five windows at 100 keys a second
-MAX_SLOTS = 1 << 20
+DEFAULT_SLOT_COUNT = 8192  # A new log holds more than five windows of keys at 100 keys per second.
+MAX_SLOT_COUNT = 1 << 20
 
 
 class KeyLogStatus(Enum):
-    """What was found in place of a key log."""
+    """Whether the bytes found are a usable key log."""
 
     COMPLETE = "whole"
     MISSING = "missing"
@@ -50,33 +52,41 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyLogContents:
-    """What a start finds in a key log."""
+    """The decoded contents of a key log file."""
 
     status: KeyLogStatus
     reason: str = ""
-    keys: dict[bytes, float] = field(default_factory=dict)  # by digest: end of the window, wall ms
-    all_indeterminate_until_ms: float = 0.0  # until then any key may have run, wall ms
-    sequence: int = 0  # of the newest key
+    # End of the idempotency window of each key, in wall clock ms, by key digest.
+    keys: dict[bytes, float] = field(default_factory=dict)
+    all_indeterminate_until_ms: float = 0.0  # Every key is indeterminate until this wall clock time in ms.
+    sequence: int = 0  # Sequence number of the newest key.
 
 
-def _encode_slot(sequence: int, until_ms: float, digest: bytes) -> bytes:
-    body = SLOT.pack(sequence, until_ms, digest)
+def _encode_slot(sequence: int, window_end_ms: float, digest: bytes) -> bytes:
+    body = SLOT.pack(sequence, window_end_ms, digest)
     return body + CRC.pack(zlib.crc32(body))
 
 
-def key_log_size(slots: int) -> int:
-    """Return the size in bytes of a key log with so many slots."""
-    return HEADER_BYTES + slots * SLOT_BYTES
+def key_log_size(slot_count: int) -> int:
+    """Return the size in bytes of a key log with this number of slots."""
+    return HEADER_BYTES + slot_count * SLOT_BYTES
+
 
+def encode_empty_key_log(
+    all_indeterminate_until_ms: float = 0.0, slot_count: int = DEFAULT_SLOT_COUNT
+) -> bytes:
+    """Return the bytes of a key log without keys.
 
-def encode_empty_key_log(all_indeterminate_until_ms: float = 0.0, slots: int = DEFAULT_SLOTS) -> bytes:
-    """Return an empty key log; until ``all_indeterminate_until_ms`` (wall ms) any key may have run."""
-    head = HEADER.pack(MAGIC, FORMAT_VERSION, slots, all_indeterminate_until_ms)
-    return (head + CRC.pack(zlib.crc32(head))).ljust(HEADER_BYTES, b"\0") + bytes(slots * SLOT_BYTES)
+    Args:
+        all_indeterminate_until_ms: Wall clock time in ms until which every key is indeterminate.
+        slot_count: Number of keys that the log can hold.
+    """
+    head = HEADER.pack(MAGIC, FORMAT_VERSION, slot_count, all_indeterminate_until_ms)
+    return (head + CRC.pack(zlib.crc32(head))).ljust(HEADER_BYTES, b"\0") + bytes(slot_count * SLOT_BYTES)
 
 
-class _UnusableError(Exception):
-    """Bytes that are no complete key log of this format."""
+class _InvalidKeyLogError(Exception):
+    """The bytes are not a complete key log of the supported version."""
 
     def __init__(self, status: KeyLogStatus, reason: str) -> None:
         self.status = status
@@ -85,67 +95,78 @@
 
 
 def decode_key_log(data: bytes) -> KeyLogContents:
-    """Return the contents of a key log, with the status on its bytes."""
+    """Decode a key log; bytes that are not a usable log give empty contents with a status and a reason."""
     try:
-        return _read_contents(data)
-    except _UnusableError as error:
+        return _decode_contents(data)
+    except _InvalidKeyLogError as error:
         return KeyLogContents(error.status, error.reason)
 
 
-def _read_contents(data: bytes) -> KeyLogContents:
+def _decode_contents(data: bytes) -> KeyLogContents:
     if not data:
-        raise _UnusableError(KeyLogStatus.MISSING, "no key log")
+        raise _InvalidKeyLogError(KeyLogStatus.MISSING, "the key log file is missing or empty")
     if len(data) < HEADER_BYTES:
-        raise _UnusableError(KeyLogStatus.CORRUPT, f"{len(data)} bytes")
-    magic, version, slots, all_indeterminate_until_ms = HEADER.unpack_from(data)
+        raise _InvalidKeyLogError(KeyLogStatus.CORRUPT, f"{len(data)} bytes are too few for a header")
+    magic, version, slot_count, all_indeterminate_until_ms = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise _UnusableError(KeyLogStatus.UNKNOWN_FORMAT, "not a key log")
+        raise _InvalidKeyLogError(KeyLogStatus.UNKNOWN_FORMAT, "the file does not start as a key log")
     if version != FORMAT_VERSION:
-        raise _UnusableError(KeyLogStatus.UNKNOWN_FORMAT, f"format {version}, known {FORMAT_VERSION}")
+        raise _InvalidKeyLogError(
+            KeyLogStatus.UNKNOWN_FORMAT, f"format version {version}; version {FORMAT_VERSION} is supported"
+        )
     if CRC.unpack_from(data, HEADER.size)[0] != zlib.crc32(data[: HEADER.size]):
-        raise _UnusableError(KeyLogStatus.CORRUPT, "the header does not check")
-    if not 0 < slots <= MAX_SLOTS or len(data) != key_log_size(slots):
-        raise _UnusableError(KeyLogStatus.CORRUPT, f"{len(data)} bytes, {slots} slots")
-    return _read_slots(data, slots, all_indeterminate_until_ms)
+        raise _InvalidKeyLogError(KeyLogStatus.CORRUPT, "header checksum mismatch")
+    if not 0 < slot_count <= MAX_SLOT_COUNT or len(data) != key_log_size(slot_count):
+        raise _InvalidKeyLogError(
+            KeyLogStatus.CORRUPT, f"file size of {len(data)} bytes does not match {slot_count} slots"
+        )
+    return _decode_slots(data, slot_count, all_indeterminate_until_ms)
 
 
-def _read_slots(data: bytes, slots: int, all_indeterminate_until_ms: float) -> KeyLogContents:
+def _decode_slots(data: bytes, slot_count: int, all_indeterminate_until_ms: float) -> KeyLogContents:
     keys: dict[bytes, float] = {}
     newest = 0
-    for index in range(slots):
+    for index in range(slot_count):
         offset = HEADER_BYTES + index * SLOT_BYTES
         if not any(data[offset : offset + SLOT_BYTES]):
             continue
         body = data[offset : offset + SLOT.size]
-        sequence, until_ms, digest = SLOT.unpack(body)
+        sequence, window_end_ms, digest = SLOT.unpack(body)
         checksum = CRC.unpack_from(data, offset + SLOT.size)[0]
-        if checksum != zlib.crc32(body) or sequence % slots != index:
-            raise _UnusableError(KeyLogStatus.CORRUPT, f"slot {index} does not check")
-        keys[digest] = max(until_ms, keys.get(digest, 0.0))
+        if checksum != zlib.crc32(body) or sequence % slot_count != index:
+            raise _InvalidKeyLogError(KeyLogStatus.CORRUPT, f"slot {index}: wrong checksum or position")
+        keys[digest] = max(window_end_ms, keys.get(digest, 0.0))
         newest = max(newest, sequence)
     return KeyLogContents(KeyLogStatus.COMPLETE, "", keys, all_indeterminate_until_ms, newest)
 
 
 class KeyLog:
-    """Appends keys to a buffer that outlives the process."""
+    """Appends keys to a buffer whose contents outlive the process, such as a shared memory map."""
 
     def __init__(self, buffer: memoryview, sequence: int) -> None:
-        """Append to ``buffer``, whose newest key has this ``sequence``."""
+        """Append to ``buffer``, whose newest key has the given ``sequence`` number."""
         self._buffer = buffer
         self._sequence = sequence
-        self._slots = (len(buffer) - HEADER_BYTES) // SLOT_BYTES
-        self.rejected_appends = 0  # keys that found no free slot
+        self._slot_count = (len(buffer) - HEADER_BYTES) // SLOT_BYTES
+        # Number of keys that were not written because their slot held a key with an open window.
+        self.rejected_appends = 0
+
+    def append(self, digest: bytes, window_end_ms: float, now_ms: float) -> bool:
+        """Write a key to the next slot.
 
-    def append(self, digest: bytes, until_ms: float, now_ms: float) -> bool:
-        """Write a key; return False where its slot has another key whose window is open.
+        Args:
+            digest: Digest of the idempotency key.
+            window_end_ms: End of the key's idempotency window, in wall clock ms.
+            now_ms: Current wall clock time in ms.
 
-        ``until_ms`` is the end of the key's window, ``now_ms`` the present time; both are wall ms.
+        Returns:
+            False if the slot holds another key whose window is open; nothing is written then.
         """
-        offset = HEADER_BYTES + (self._sequence + 1) % self._slots * SLOT_BYTES
+        offset = HEADER_BYTES + (self._sequence + 1) % self._slot_count * SLOT_BYTES
         if SLOT.unpack_from(self._buffer, offset)[1] > now_ms:
             self.rejected_appends += 1
             return False
         self._sequence += 1
-        slot = _encode_slot(self._sequence, until_ms, digest)
+        slot = _encode_slot(self._sequence, window_end_ms, digest)
         self._buffer[offset : offset + len(slot)] = slot
         return True
--- a/snowthread/recovery/key_recorder.py
+++ b/snowthread/recovery/key_recorder.py
@@ -1,4 +1,4 @@
-"""Records the key of each run before it starts, and marks the keys of an earlier incarnation."""
+"""Writes idempotency keys to the key log before their runs start, and restores them from it at start."""
 
 from __future__ import annotations
 
@@ -16,25 +16,30 @@
 
 
 class KeyRecorder:
-    """Opens the key log at the start of the process and appends to it."""
+    """Opens the key log when the process starts and appends keys to it."""
 
     def __init__(
         self, settings: RecoverySettings, state: NodeState, now_ms: float, longest_window_ms: float
     ) -> None:
-        """Open the key log and mark in ``state`` which keys may have run in an earlier incarnation.
+        """Open the key log and set ``state.indeterminate_keys`` from it.
 
-        ``longest_window_ms`` is the longest idempotency window of all request classes: where the log is
-        incomplete, any key may have run until that time has passed.
+        Args:
+            settings: Has the state folder.
+            state: The node state that receives the indeterminate keys.
+            now_ms: Current wall clock time in ms.
+            longest_window_ms: The longest idempotency window of all request classes. If the log is missing
+                or invalid, every key is indeterminate for this time.
         """
         all_indeterminate_until_ms = now_ms + longest_window_ms
         opened = storage.open_key_log(settings.folder, all_indeterminate_until_ms)
         self._key_log = opened.key_log
         _mark_indeterminate_keys(state, opened, all_indeterminate_until_ms, now_ms)
 
-    def record_start(self, state: NodeState, start: effects.StartRun, now_ms: float) -> bool:
-        """Write the key of a run that is about to start; return False where it must not start.
+    def record_key(self, state: NodeState, start: effects.StartRun, now_ms: float) -> bool:
+        """Write the key of a run to the key log.
 
-        A run without a key may start at once.
+        Returns:
+            Whether the run may start: its key was written, or it has none.
         """
         record = state.idempotency_table.find_by_attempt(start.attempt_id)
         if record is None:
@@ -42,7 +47,9 @@
         digest = key_digest(record.idempotency_key)
         if self._key_log is not None and self._key_log.append(digest, record.expires_at_ms, now_ms):
             return True
-        logger.bind(event="recovery.key_log").warning("the key log has no free slot: run not started")
+        logger.bind(event="recovery.key_log").warning(
+            "could not write an idempotency key to the key log; its run is not started and its request fails"
+        )
         return False
 
 
@@ -52,12 +59,14 @@
     contents = opened.contents
     if opened.error is not None:
         logger.bind(event="recovery.key_log").error(
-            "no key log, no request with a key is run: {}", opened.error
+            "cannot use the key log ({}); every request with an idempotency key will fail", opened.error
         )
         all_indeterminate_until_ms = math.inf
     elif contents.status is KeyLogStatus.COMPLETE:
         all_indeterminate_until_ms = contents.all_indeterminate_until_ms
-    keys = {digest: until_ms for digest, until_ms in contents.keys.items() if until_ms > now_ms}
+    keys = {
+        digest: window_end_ms for digest, window_end_ms in contents.keys.items() if window_end_ms > now_ms
+    }
     if keys or all_indeterminate_until_ms > now_ms:
         state.indeterminate_keys = IndeterminateKeys(keys, all_indeterminate_until_ms)
     logger.bind(event="recovery.key_log", verdict=contents.status.value, keys=len(keys)).info(
@@ -66,7 +75,7 @@
         ": " if contents.reason else "",
         contents.reason,
         len(keys),
-        f", all for {(all_indeterminate_until_ms - now_ms) / 1000.0:.1f} s"
+        f"; all keys indeterminate for {(all_indeterminate_until_ms - now_ms) / 1000.0:.1f} s"
         if all_indeterminate_until_ms > now_ms
         else "",
     )
--- a/snowthread/recovery/learned_snapshots.py
+++ b/snowthread/recovery/learned_snapshots.py
@@ -1,4 +1,4 @@
-"""Restores what an earlier incarnation learned, and writes down what this one learns."""
+"""Restores the state learned by an earlier incarnation of the node, and saves what this one learns."""
 
 from __future__ import annotations
 
@@ -17,43 +17,52 @@
 from snowthread.recovery.snapshot import LearnedTimes, Snapshot, SnapshotStatus, encode_snapshot
 from snowthread.recovery.snapshot_assessment import SnapshotAssessment, assess_snapshot
 
-# Of a machine, relative to a warm one.
+# Limits for the speed of this machine, as a ratio to its speed when warm.
 MIN_SPEED_RATIO = 0.01
 MAX_SPEED_RATIO = 1.0
 
 
-class LearnedSnapshots:
-    """Reads the snapshot of the earlier incarnation and writes those of this one."""
+class SnapshotStore:
+    """Restores the snapshot of the earlier incarnation, and writes snapshots of this one.
+
+    Args:
+        settings: Has the state folder and the maximum age of a snapshot.
+        state: The node state with the controller whose learned state is saved.
+        post: Posts an event to the reducer.
+    """
 
     def __init__(
         self, settings: RecoverySettings, state: NodeState, post: Callable[[events.Event], None]
     ) -> None:
-        """Read the snapshot; it is assessed once the fleet's generation is known."""
+        """Read the snapshot file; it is assessed once the registry has reported the fleet's generation."""
         self._settings = settings
         self._state = state
         self._post = post
-        self._found = storage.read_state_file(settings.folder)
+        self._stored_bytes = storage.read_state_file(settings.folder)
         self._aging = LearnedStateAging(LearnedState({}))
         self.assessment: SnapshotAssessment | None = None
 
     @property
-    def restored(self) -> LearnedState:
-        """What was restored and is not forgotten yet."""
+    def restored_state(self) -> LearnedState:
+        """The restored state; empty until :meth:`restore` has found a fresh snapshot."""
         return self._aging.restored
 
     def restore(self, generation: int, now_ms: float, is_cold: bool) -> None:
-        """Assess the snapshot by the fleet's generation and restore what was learned, where it is fresh.
+        """Assess the snapshot that was read at start, and restore it if it is fresh.
 
-        ``now_ms`` is wall time. A machine that is cold works at the settings' cold speed until it is warm.
+        Args:
+            generation: The fleet's generation, as the registry reports it.
+            now_ms: Current wall clock time in ms.
+            is_cold: Whether the machine is cold. A cold machine is taken to run at the configured cold speed.
         """
         assessment = assess_snapshot(
-            self._found,
+            self._stored_bytes,
             generation=generation,
             now_ms=now_ms,
             max_age_ms=self._settings.snapshot_max_age_ms,
         )
         self.assessment = assessment
-        self._found = b""
+        self._stored_bytes = b""
         logger.bind(event="recovery.snapshot", verdict=assessment.status.value).info(
             "snapshot: {}{}{}",
             assessment.status.value,
@@ -67,12 +76,17 @@
         speed = self._state.settings.cold_speed if is_cold else MAX_SPEED_RATIO
         self._post(events.LearnedStateRestored(learned, min(MAX_SPEED_RATIO, max(MIN_SPEED_RATIO, speed))))
 
-    def forget_outdated(self, controller: Controller, at_s: float) -> None:
-        """Forget what was restored too long ago."""
+    def age_estimates(self, controller: Controller, at_s: float) -> None:
+        """Move unconfirmed run time estimates towards the restored ones, and replace those that are too old.
+
+        Args:
+            controller: The controller whose estimates are aged.
+            at_s: Current time on the controller's clock, in seconds.
+        """
         self._aging.update(controller, at_s)
 
     def write(self, view: FleetView, incarnation: int, now_ms: float) -> None:
-        """Write what the controller has learned until now."""
+        """Write a snapshot of what the controller has learned; does nothing before there is a controller."""
         controller = self._state.controller
         if controller is None:
             return
--- a/snowthread/recovery/request_admission.py
+++ b/snowthread/recovery/request_admission.py
@@ -1,4 +1,4 @@
-"""Rejects, while the node is cold, requests that its slow start has no place for."""
+"""Rejects requests that exceed the slow-start limit while the node is cold."""
 
 from __future__ import annotations
 
@@ -7,41 +7,48 @@
 from snowthread.core import effects, events
 from snowthread.core.state import NodeState, RequestPhase
 
-RETRY_AFTER_DIVISOR = 8.0  # Retry-After is the latency objective over this times the slow start's window
+# Retry-After is the class's latency objective divided by this and by the slow-start window.
+RETRY_AFTER_DIVISOR = 8.0
 MS_PER_S = 1000.0
-REJECT_REASON = "no place in the slow start"  # for the log
+REJECT_REASON = "the node is warming up after a restart"  # The log shows this as the reason of a rejection.
 
 
 class ColdRequestAdmission:
-    """Decides on requests before the reducer sees them; only called while the node is cold."""
+    """Decides on requests before the reducer sees them; used only while the node is cold."""
 
     def __init__(self, pacer: RecoveryPacer) -> None:
         self._pacer = pacer
         self.rejected_requests = 0
 
-    def rejection_of(
+    def rejection_for(
         self, state: NodeState, request: events.RequestReceived, now_ms: float
     ) -> effects.SendResponse | None:
-        """Return the response to a request that is rejected; None for one that the reducer decides on.
+        """Return the rejection of a request, or None if the reducer is to decide on it.
 
-        Rejected are requests whose runs cannot do without their calls.
+        Only requests of classes whose runs cannot skip their calls are rejected here. Possible retries of a
+        keyed request are left to the reducer.
+
+        Args:
+            state: The node state.
+            request: The request that was received.
+            now_ms: Current wall clock time in ms.
         """
         request_class = next((c for c in state.settings.classes if c.name == request.class_name), None)
         if request_class is None or request_class.skipped_call_weight > 0.0:
             return None
         if not request_class.may_call:
-            is_rejected = self._yields_to_warming_up(state, now_ms)
-        elif _may_be_a_retry(state, request, now_ms):
-            return None  # the reducer knows what to answer
+            is_rejected = self._must_yield_to_warmup(state, now_ms)
+        elif _may_be_retry(state, request, now_ms):
+            return None  # The reducer knows the original attempt of a retry, and how to answer it.
         else:
             is_rejected = not self._pacer.slow_start.admits(_open_requests(state, request_class))
         return self._reject(state, request, request_class) if is_rejected else None
 
-    def _yields_to_warming_up(self, state: NodeState, now_ms: float) -> bool:
-        """Return whether a request that makes no calls waits for those that do.
+    def _must_yield_to_warmup(self, state: NodeState, now_ms: float) -> bool:
+        """Return whether a request that makes no calls is rejected in favor of requests that make calls.
 
-        While any key may have run, the calls with the highest priority weight may not be made: what warms the
-        machine meanwhile goes first.
+        While every key is indeterminate, keyed requests may not run, so the calls with the highest priority
+        weight may not be made. During that time, requests whose calls warm up the machine go first.
         """
         keys = state.indeterminate_keys
         if keys is None or now_ms >= keys.all_keys_until_ms:
@@ -69,7 +76,7 @@
         )
 
 
-def _may_be_a_retry(state: NodeState, request: events.RequestReceived, now_ms: float) -> bool:
+def _may_be_retry(state: NodeState, request: events.RequestReceived, now_ms: float) -> bool:
     key = request.idempotency_key
     if not key:
         return False
@@ -81,7 +88,7 @@
 
 
 def _open_requests(state: NodeState, request_class: RequestClass) -> int:
-    """Return how many requests of a class are open, without those that follow another one's run."""
+    """Return how many requests of a class are open, not counting followers that wait for another run."""
     return sum(
         request.request_class.name == request_class.name
         and request.phase is not RequestPhase.AWAITING_ORIGINAL
--- a/snowthread/recovery/storage.py
+++ b/snowthread/recovery/storage.py
@@ -1,10 +1,12 @@
-"""The files of a node's state folder: written atomically, read back complete or not at all.
+"""Reads and writes the files of a node's state folder; writes are atomic.
 
-Write order: the bytes go to a temporary file in the same folder, are fsynced, renamed over the file, and the
-folder is fsynced. A crash before the rename leaves the old file; after it, the new one. A file system that
-loses the rename's order may leave a torn file, which the digest of :mod:`snapshot` and the checksums of
-:mod:`key_log` find. A write that fails is returned as a :class:`StorageFailure`, nothing is raised; reading a
-file that is missing gives empty bytes.
+A write goes to a temporary file in the same folder, which is fsynced and renamed over the target; then the
+folder is fsynced. A crash before the rename leaves the old file, a crash after it the new one. A file system
+that reorders the rename may leave a torn file, which is detected by the digest of a snapshot
+(:mod:`snapshot`) and the checksums of a key log (:mod:`key_log`).
+
+A failed write is returned as a :class:`StorageFailure` and raises nothing. Reading a missing file returns
+empty bytes.
 """
 
 from __future__ import annotations
@@ -24,12 +26,13 @@
 KEY_LOG_FILE = "keys.ring"
 INCARNATION_FILE = "incarnation"
 TEMPORARY_SUFFIX = ".tmp"
-MAX_READ_BYTES = 2 << 20  # more than any snapshot; of a larger file only so much is read, so it is torn
+# More than any valid snapshot has. A longer file is read only up to this size and then decodes as corrupt.
+MAX_READ_BYTES = 2 << 20
 MAX_INCARNATION_BYTES = 32
 
 
 class StorageStep(Enum):
-    """What was being done when storage failed."""
+    """The operation during which storage failed."""
 
     OPEN = "open"
     WRITE = "write"
@@ -41,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StorageFailure:
-    """Why a file was not written: the step that failed, and the system's reason."""
+    """The operation that failed on a file, and the operating system's reason."""
 
     step: StorageStep
     reason: str
@@ -52,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedKeyLog:
-    """What a start finds in the key log, and the log to append to, or why there is none."""
+    """The contents of the key log found at start, and the log to append to or the error that prevented it."""
 
     contents: KeyLogContents
     key_log: KeyLog | None = None
@@ -62,10 +65,17 @@
 def write_state_file(
     folder: Path, data: bytes, name: str = SNAPSHOT_FILE, sync: bool = True
 ) -> StorageFailure | None:
-    """Write a file atomically; return None once it is in place, else the error.
+    """Write a file atomically.
+
+    Args:
+        folder: The state folder.
+        data: The new contents.
+        name: Name of the file.
+        sync: Whether to wait until the data is on disk. Without it, the file outlives the process but perhaps
+            not a power failure.
 
-    Without ``sync`` the file outlives the process but may not outlive a power failure, and the caller does
-    not wait for the disk.
+    Returns:
+        None if the file is in place, otherwise the failure.
     """
     temporary = folder / (name + TEMPORARY_SUFFIX)
     step = StorageStep.OPEN
@@ -104,13 +114,15 @@
 
 
 def log_write_failure(error: StorageFailure | None) -> None:
-    """Log a failed write of state that the node can do without."""
+    """Log a failed write of state without which the node can continue."""
     if error is not None:
-        logger.bind(event="recovery.write_failed").warning("state not written: {}", error)
+        logger.bind(event="recovery.write_failed").warning(
+            "could not write recovery state, continuing without it: {}", error
+        )
 
 
 def read_state_file(folder: Path, name: str = SNAPSHOT_FILE, max_bytes: int = MAX_READ_BYTES) -> bytes:
-    """Return the first ``max_bytes`` bytes of a file, empty where there is none or it cannot be read."""
+    """Return up to ``max_bytes`` bytes of a file; empty if it is missing or unreadable."""
     try:
         with (folder / name).open("rb") as file:
             return file.read(max_bytes)
@@ -119,7 +131,7 @@
 
 
 def read_incarnation(folder: Path) -> int:
-    """Return the last incarnation that was written; 0 where there is none or it cannot be read."""
+    """Return the stored incarnation, or 0 if it is missing or unreadable."""
     try:
         return max(0, int(read_state_file(folder, INCARNATION_FILE, MAX_INCARNATION_BYTES) or b"0"))
     except ValueError:
@@ -127,21 +139,24 @@
 
 
 def write_incarnation(folder: Path, number: int) -> StorageFailure | None:
-    """Write an incarnation; return None or the error. The registry knows it too, so a start goes on."""
+    """Store an incarnation; return the failure, if any.
+
+    A start continues after a failure, since the registry knows the incarnation too.
+    """
     return write_state_file(folder, b"%d\n" % number, INCARNATION_FILE)
 
 
 def read_key_log(folder: Path) -> KeyLogContents:
-    """Return the contents of the folder's key log."""
+    """Read and decode the key log of a state folder."""
     return key_log.decode_key_log(
-        read_state_file(folder, KEY_LOG_FILE, key_log.key_log_size(key_log.MAX_SLOTS) + 1)
+        read_state_file(folder, KEY_LOG_FILE, key_log.key_log_size(key_log.MAX_SLOT_COUNT) + 1)
     )
 
 
 def create_key_log(folder: Path) -> StorageFailure | None:
-    """Write an empty key log; return None or the error.
+    """Write a key log without keys; return the failure, if any.
 
-    It is the operator's statement that no earlier incarnation of this node ran requests with keys.
+    By this, the operator states that no earlier incarnation of the node ran requests with idempotency keys.
     """
     return write_state_file(folder, key_log.encode_empty_key_log(), KEY_LOG_FILE)
 
@@ -163,7 +178,8 @@
     try:
         descriptor = os.open(folder / KEY_LOG_FILE, os.O_RDWR)
         try:
-            mapped = mmap.mmap(descriptor, 0)  # shared: what is written outlives the process without a call
+            # The map is shared with the file: written bytes outlive the process without a system call.
+            mapped = mmap.mmap(descriptor, 0)
         finally:
             os.close(descriptor)
     except (OSError, ValueError) as failure:
--- a/snowthread/recovery/warmup.py
+++ b/snowthread/recovery/warmup.py
@@ -1,4 +1,4 @@
-"""Whether a node's machine is warm, by what the runtime reported, how its runs end and how long they take."""
+"""Decides whether a node's machine is warm, from the runtime's report and the outcomes and times of runs."""
 
 from __future__ import annotations
 
@@ -14,15 +14,20 @@
 from snowthread.core import events
 from snowthread.core.state import NodeState
 
-MAX_WARM_RUN_TIME_RATIO = 1.25  # of a run's time to the one restored, on a machine that is warm
-WARM_SPEED_RATIO = 1.0  # of a machine, relative to a warm one
+# A machine is at warm speed if its runs take at most this many times as long as the restored run times.
+MAX_WARM_RUN_TIME_RATIO = 1.25
+# Speed from which a machine counts as warm, as a ratio to the speed of a warm machine.
+WARM_SPEED_RATIO = 1.0
 MS_PER_S = 1000.0
 
 
 class WarmupTracker:
-    """Feeds slow start with what shows whether the machine is warm, and reports each change.
+    """Feeds slow start with the signs that the machine is warm, and reports when the node turns cold or warm.
 
-    ``report_now`` has the node report itself to the registry at once.
+    Args:
+        pacer: The pacer whose slow start is updated.
+        started_at_ms: Wall clock time of the process start, in ms.
+        report_now: Sends a report to the registry at once.
     """
 
     def __init__(self, pacer: RecoveryPacer, started_at_ms: float, report_now: Callable[[], None]) -> None:
@@ -30,17 +35,22 @@
         self._started_at_ms = started_at_ms
         self._report_now = report_now
         self._reported_cold = False
-        self._started_cold: bool | None = None  # the machine, as the runtime reported it; None until then
+        # Whether the runtime reported a cold machine when it first connected; None before that.
+        self._machine_started_cold: bool | None = None
 
-    def take_runtime(self, event: events.RuntimeConnected) -> None:
-        """Take what the runtime reports of its machine; only the first report counts."""
-        if self._started_cold is None:
-            self._started_cold = event.starts_cold
+    def record_runtime_start(self, event: events.RuntimeConnected) -> None:
+        """Record whether the machine started cold; only the runtime's first report counts."""
+        if self._machine_started_cold is None:
+            self._machine_started_cold = event.starts_cold
             self._pacer.slow_start.is_complete = not event.starts_cold
             self._report_now()
 
     def record_run(self, state: NodeState, event: events.RunCompleted, now_ms: float) -> None:
-        """Let slow start learn from a run that cannot do without its calls, while the node is cold."""
+        """Update slow start with the outcome of a run, while the node is cold.
+
+        Only runs of classes that make calls and cannot skip them count, and only if they succeeded or were
+        cancelled.
+        """
         if not self._pacer.cold:
             return
         request = state.requests_by_attempt_id.get(event.attempt_id)
@@ -53,22 +63,31 @@
         in_time = now_ms - request.read_at_ms <= objective_ms
         self._pacer.run_ended(now_ms, event.outcome is Outcome.SUCCESS and in_time, objective_ms)
 
-    def update_speed(self, controller: Controller, restored: LearnedState, at_s: float) -> None:
-        """Compare the time of runs with what was ``restored``; ``at_s`` is on the controller's clock."""
-        is_quick = learned_state.runs_within_factor(controller, restored, MAX_WARM_RUN_TIME_RATIO)
-        if is_quick is None:  # nothing to compare with
-            is_quick = learned_state.warmup_speed(controller, at_s) >= WARM_SPEED_RATIO
-        self._pacer.slow_start.is_known_cold = self._started_cold is True and not is_quick
+    def update_speed(self, controller: Controller, restored_state: LearnedState, at_s: float) -> None:
+        """Compare current run times with the restored ones, to decide whether the machine is at warm speed.
+
+        Args:
+            controller: The controller with the current run times.
+            restored_state: The state restored from a snapshot.
+            at_s: Current time on the controller's clock, in seconds.
+        """
+        is_at_warm_speed = learned_state.runs_within_factor(
+            controller, restored_state, MAX_WARM_RUN_TIME_RATIO
+        )
+        # Without restored times to compare with, the speed follows from the machine's age.
+        if is_at_warm_speed is None:
+            is_at_warm_speed = learned_state.warmup_speed(controller, at_s) >= WARM_SPEED_RATIO
+        self._pacer.slow_start.is_known_cold = self._machine_started_cold is True and not is_at_warm_speed
 
     def report_change(self, now_ms: float) -> None:
-        """Log and report where the node has become cold or warm."""
+        """If the node has become cold or warm, log it and report it to the registry."""
         is_cold = self._pacer.cold
         if is_cold == self._reported_cold:
             return
         self._reported_cold = is_cold
         logger.bind(event="recovery.cold" if is_cold else "recovery.warm").info(
-            "{} {:.1f} s after the start",
-            "recovering" if is_cold else "warm",
+            "the node is {} {:.1f} s after its start",
+            "cold and limits runs and calls" if is_cold else "warm",
             (now_ms - self._started_at_ms) / MS_PER_S,
         )
         self._report_now()
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -144,7 +144,7 @@
     result = result_of("intact")
     starts = result.summary["starts"]
     assert starts["ring whole"] == 5 and starts["snapshot fresh"] == 2
-    assert ", all for" not in result.log("n1", 2)  # not all keys, as with wiped state
+    assert "all keys indeterminate for" not in result.log("n1", 2)  # not all keys, as with wiped state
     assert result.summary["tries"]["Failed"] > 0  # repeats of what the earlier incarnation ran
 
 
@@ -152,7 +152,7 @@
     result = result_of("wiped")
     starts = result.summary["starts"]
     assert starts["ring missing"] == 2 and "snapshot fresh" not in starts
-    assert "all for 5.3 s" in result.log("n1", 2)
+    assert "all keys indeterminate for 5.3 s" in result.log("n1", 2)
     assert starts["life"] == 2  # the count was lost too: the registry knows the earlier incarnations
     assert result.summary["old_lives"] >= 2
     assert result.summary["tries"]["Failed"] > result_of("intact").summary["tries"]["Failed"]
@@ -169,7 +169,7 @@
     assert result.summary["lives"]["n1"] == 3
     third = result.log("n1", 3)
     assert "key log: whole" in third
-    found = re.search(r"all for (\d\.\d) s", third)
+    found = re.search(r"all keys indeterminate for (\d\.\d) s", third)
     assert found is not None and 0.5 < float(found[1]) < 4.5  # what is left of 5.3 s
 
 
--- a/tests/recovery/test_key_log.py
+++ b/tests/recovery/test_key_log.py
@@ -1,4 +1,8 @@
-"""The key log over a crash: what was written is found, and where it was lost any key may have run."""
+"""Tests the key log across crashes.
+
+Keys that were written are found at the next start. If the log is missing or corrupt, every key is
+indeterminate, so that no keyed request runs twice.
+"""
 
 from __future__ import annotations
 
@@ -22,8 +26,8 @@
 NOW = 1_800_000_000_000.0
 
 
-def filled_key_log(slots: int = 8, keys: int = 3) -> bytearray:
-    data = bytearray(encode_empty_key_log(slots=slots))
+def filled_key_log(slot_count: int = 8, keys: int = 3) -> bytearray:
+    data = bytearray(encode_empty_key_log(slot_count=slot_count))
     log = KeyLog(memoryview(data), 0)
     for index in range(keys):
         assert log.append(key_digest(f"key{index}"), NOW + 1000.0 + index, NOW)
@@ -50,10 +54,11 @@
 
 
 def test_full_key_log_rejects_a_key_rather_than_overwrite_one_with_an_open_window() -> None:
-    data = filled_key_log(slots=4, keys=4)
+    data = filled_key_log(slot_count=4, keys=4)
     log = KeyLog(memoryview(data), 4)
     assert not log.append(key_digest("one more"), NOW + 5000.0, NOW) and log.rejected_appends == 1
-    assert log.append(key_digest("one more"), NOW + 5000.0, NOW + 1002.0)  # the oldest window is over
+    # The window of the oldest key is over by then, so its slot can be reused.
+    assert log.append(key_digest("one more"), NOW + 5000.0, NOW + 1002.0)
     keys = decode_key_log(bytes(data)).keys
     assert len(keys) == 4 and key_digest("one more") in keys and key_digest("key1") in keys
 
@@ -63,7 +68,7 @@
     assert opened.contents.status is KeyLogStatus.MISSING
     assert opened.key_log is not None and opened.error is None
     opened.key_log.append(key_digest("k"), NOW + 9000.0, NOW)
-    again = storage.open_key_log(tmp_path, NOW + 99_000.0).contents  # restarted inside its window
+    again = storage.open_key_log(tmp_path, NOW + 99_000.0).contents  # The first window is still open.
     assert again.status is KeyLogStatus.COMPLETE and again.all_indeterminate_until_ms == NOW + 16_000.0
     assert again.keys == {key_digest("k"): NOW + 9000.0}
     path = tmp_path / storage.KEY_LOG_FILE
@@ -114,7 +119,7 @@
         )
         return done.returncode, done.stdout + done.stderr
 
-    assert "ring of keys: missing" in warm("show")[1]
-    assert warm("init")[0] == 0 and "ring of keys: whole; 0 with an open window" in warm("show")[1]
+    assert "key log: missing" in warm("show")[1]
+    assert warm("init")[0] == 0 and "key log: whole; 0 keys with an open window" in warm("show")[1]
     code, output = warm("init")
-    assert code == 2 and "has a ring of keys" in output
+    assert code == 2 and "a key log exists" in output
