--- a/snowthread/sites/recovery_ramp.py
+++ b/snowthread/sites/recovery_ramp.py
@@ -1,17 +1,19 @@
-"""Pace the return of load to a recovering site: steps of its share, on measured health, with backoff. Pure.
-
-| state   | event                                                  | next                              |
-| ------- | ------------------------------------------------------ | --------------------------------- |
-| lost    | recovering, and ``wait_ms`` has passed                 | ramping, share one step           |
-| ramping | a healthy period (served ratio and database load)      | share + one step, over a half two |
-| ramping | an unhealthy period                                    | share halved, at least one step   |
-| ramping | share 1                                                | full                              |
-| any     | lost                                                   | lost, share 0                     |
-| any     | lost, less than ``stable_after_ms`` after its recovery | the same, and ``wait_ms`` doubled |
-| any     | lost, later than that                                  | the same, and ``wait_ms`` reset   |
-
-So a site that flaps gets load ever less often, up to ``max_wait_ms`` apart, and a single loss costs a site no
-more than the first wait.
+"""Limits how fast load returns to a recovering site: in steps, depending on measured health, with backoff.
+
+Pure. The share is the part of its own load that the site receives.
+
+| state   | event                                                  | next                                    |
+| ------- | ------------------------------------------------------ | --------------------------------------- |
+| lost    | the site is recovering and ``wait_ms`` has passed      | ramping with a share of one step        |
+| ramping | a healthy period (served ratio and database load)      | share plus one step, or two from 0.5 on |
+| ramping | an unhealthy period                                    | share halved, but at least one step     |
+| ramping | the share is 1                                         | full                                    |
+| any     | lost                                                   | lost with share 0                       |
+| any     | lost, less than ``stable_after_ms`` after its recovery | as above, and ``wait_ms`` is doubled    |
+| any     | lost, later than that                                  | as above, and ``wait_ms`` is reset      |
+
+A site that flaps therefore receives load less and less often, at intervals of up to ``max_wait_ms``. A single
+loss costs a site no more than the initial wait.
 """
 
 from __future__ import annotations
@@ -19,66 +21,73 @@
 from dataclasses import dataclass
 
 SHARE_STEP = 0.1
-HEALTHY_SERVED_RATIO = 0.9  # of the ratio before the loss
-HEALTHY_DATABASE_LOAD = 1.0  # calls in hand per slot of the database
-FAST_RAMP_FROM_SHARE = 0.5  # from here on the share grows in double steps
+HEALTHY_SERVED_RATIO = 0.9  # Lowest served ratio of a healthy site, relative to its ratio before the loss.
+HEALTHY_DATABASE_LOAD = 1.0  # Highest number of calls in progress per slot of the database at a healthy site.
+FAST_RAMP_FROM_SHARE = 0.5  # From this share on, the share grows in steps of double size.
 
 
 @dataclass(frozen=True, slots=True)
 class SiteHealth:
     """Measurements of a recovering site over one period."""
 
-    served_ratio: float  # weight served in time over weight requested, relative to before the loss
-    database_load: float  # calls in hand over the database's slots
+    # Weight served in time over weight requested, relative to the same ratio before the loss.
+    served_ratio: float
+    database_load: float  # Calls in progress over the slots of the site's database.
 
     @property
     def is_healthy(self) -> bool:
-        """Whether the site served enough and its database is not overloaded."""
+        """Whether the site served enough requests and its database was not overloaded."""
         return self.served_ratio >= HEALTHY_SERVED_RATIO and self.database_load <= HEALTHY_DATABASE_LOAD
 
 
 @dataclass(slots=True)
 class RecoveryRamp:
-    """The share of its own load that one recovering site gets, as the other sites pace it."""
+    """The share of its own load that one recovering site receives, as the other sites limit it."""
 
     period_ms: float = 1000.0
-    first_wait_ms: float = 2000.0
+    initial_wait_ms: float = 2000.0
     max_wait_ms: float = 300_000.0
     stable_after_ms: float = 60_000.0
     share: float = 1.0
     wait_ms: float = 0.0
     recovering_since_ms: float | None = None
-    last_step_ms: float = 0.0
-    losses: int = 0
+    last_step_at_ms: float = 0.0
+    loss_count: int = 0
 
     def __post_init__(self) -> None:
-        self.wait_ms = self.wait_ms or self.first_wait_ms
+        self.wait_ms = self.wait_ms or self.initial_wait_ms
 
     def mark_lost(self, now_ms: float) -> None:
-        """Take all of its load from the site at once; double the wait if it was lost again early."""
-        if self.losses and self.recovering_since_ms is not None:
+        """Set the share to 0 at once; double the wait if the site was lost again soon after its recovery."""
+        if self.loss_count and self.recovering_since_ms is not None:
             lost_early = now_ms - self.recovering_since_ms < self.stable_after_ms
-            self.wait_ms = min(self.max_wait_ms, 2.0 * self.wait_ms) if lost_early else self.first_wait_ms
-        self.losses += 1
+            self.wait_ms = min(self.max_wait_ms, 2.0 * self.wait_ms) if lost_early else self.initial_wait_ms
+        self.loss_count += 1
         self.share = 0.0
         self.recovering_since_ms = None
 
     def mark_recovering(self, now_ms: float) -> None:
-        """Note that the site is reachable again; it gets no load before its wait is over."""
+        """Record that the site is reachable again; it receives no load before the wait is over."""
         if self.recovering_since_ms is None:
             self.recovering_since_ms = now_ms
-            self.last_step_ms = now_ms
+            self.last_step_at_ms = now_ms
 
     def tick(self, now_ms: float, health: SiteHealth | None) -> float:
-        """Advance the ramp and return the current share; without a measurement the share does not change."""
+        """Advance the ramp and return the current share.
+
+        Args:
+            now_ms: Current time in ms.
+            health: Measurements of the last period. Without them, the share of a site that already receives
+                load does not change.
+        """
         if self.recovering_since_ms is None or self.share >= 1.0:
             return self.share
         if self.share == 0.0:
             if now_ms - self.recovering_since_ms >= self.wait_ms:
                 self.share = SHARE_STEP
-                self.last_step_ms = now_ms
-        elif health is not None and now_ms - self.last_step_ms >= self.period_ms:
-            self.last_step_ms = now_ms
+                self.last_step_at_ms = now_ms
+        elif health is not None and now_ms - self.last_step_at_ms >= self.period_ms:
+            self.last_step_at_ms = now_ms
             self.share = self._next_share(health)
         return self.share
 
--- a/tests/sites/test_recovery_ramp.py
+++ b/tests/sites/test_recovery_ramp.py
@@ -1,4 +1,4 @@
-"""The paced return of a recovering site's load."""
+"""Tests the gradual return of load to a recovering site."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def run(ramp: RecoveryRamp, start_ms: float, duration_s: int, health: SiteHealth | None) -> list[float]:
-    """Tick the ramp twice a second and return the shares."""
+    """Advance the ramp twice a second and return the shares."""
     return [ramp.tick(start_ms + n * 500.0, health) for n in range(2 * duration_s)]
 
 
@@ -51,5 +51,5 @@
     ramp.mark_recovering(201_000.0)
     run(ramp, 201_000.0, 400, HEALTHY)
     assert ramp.share == 1.0
-    ramp.mark_lost(900_000.0)  # long after: the wait is reset
-    assert ramp.wait_ms == ramp.first_wait_ms
+    ramp.mark_lost(900_000.0)  # Lost long after its recovery, so the wait is reset.
+    assert ramp.wait_ms == ramp.initial_wait_ms
--- a/tests/sites/test_site_membership.py
+++ b/tests/sites/test_site_membership.py
@@ -1,12 +1,12 @@
-"""Which sites are up: slow links, flapping sites, earlier incarnations, split networks."""
+"""Tests which sites count as up: slow links, flapping sites, earlier incarnations, split networks."""
 
 from __future__ import annotations
 
 import random
 
-from snowthread.sites.membership import Heartbeat, MembershipRules, SiteMembership, SiteStatus, StatusChange
+from snowthread.sites.membership import Heartbeat, MembershipTimings, SiteMembership, SiteStatus, StatusChange
 
-RULES = MembershipRules(heartbeat_interval_ms=250.0, lost_after_ms=2000.0, up_after_ms=3000.0)
+TIMINGS = MembershipTimings(heartbeat_interval_ms=250.0, lost_after_ms=2000.0, up_after_ms=3000.0)
 STEP_MS = 10.0
 BOTH = {"b": 250.0, "c": 250.0}
 ONLY_C = {"c": 250.0}
@@ -14,10 +14,10 @@
 
 
 class ThreeSites:
-    """Site a's membership; b and c send it heartbeats as a test says."""
+    """The membership seen by site a, which receives heartbeats of sites b and c as a test sets them."""
 
     def __init__(self) -> None:
-        self.membership = SiteMembership.create("a", ["b", "c"], RULES, 0.0)
+        self.membership = SiteMembership.create("a", ["b", "c"], TIMINGS, 0.0)
         self.now_ms = 0.0
         self.changes: list[StatusChange] = []
         self.incarnations = {"b": 1, "c": 1}
@@ -28,7 +28,7 @@
         intervals_ms: dict[str, float],
         reachable: dict[str, set[str]] | None = None,
     ) -> list[StatusChange]:
-        """Advance the time; a site without an interval between its heartbeats is silent."""
+        """Advance the time; a site that has no entry in ``intervals_ms`` sends no heartbeats."""
         changes = []
         end = self.now_ms + duration_ms
         due = {name: self.now_ms + interval for name, interval in intervals_ms.items()}
@@ -36,7 +36,7 @@
             self.now_ms += STEP_MS
             for name, due_at in due.items():
                 if self.now_ms >= due_at:
-                    changes += self.membership.receive(self.heartbeat(name, reachable), self.now_ms)
+                    changes += self.membership.handle_heartbeat(self.heartbeat(name, reachable), self.now_ms)
                     due[name] = self.now_ms + intervals_ms[name]
             changes += self.membership.tick(self.now_ms)
         self.changes += changes
@@ -75,7 +75,7 @@
 
 def test_a_site_that_another_site_reaches_is_not_lost() -> None:
     sites = all_up()
-    changes = sites.run(20_000.0, ONLY_C, {"c": {"a", "b"}})  # only the link from b to a is cut
+    changes = sites.run(20_000.0, ONLY_C, {"c": {"a", "b"}})  # Only the link from b to a is cut.
     assert [change.current for change in changes] == [SiteStatus.SUSPECT]
     assert sites.status("b") is SiteStatus.SUSPECT
 
@@ -107,7 +107,7 @@
     sites = all_up()
     sites.incarnations["b"] = 2
     sites.run(500.0, BOTH)
-    assert sites.membership.receive(Heartbeat("b", 1, 1, 9.0), sites.now_ms) == []
+    assert sites.membership.handle_heartbeat(Heartbeat("b", 1, 1, 9.0), sites.now_ms) == []
     assert sites.membership.outdated_heartbeats == 1
-    assert sites.membership.receive(Heartbeat("z", 1, 1, 9.0), sites.now_ms) == []
+    assert sites.membership.handle_heartbeat(Heartbeat("z", 1, 1, 9.0), sites.now_ms) == []
     assert sites.membership.unknown_heartbeats == 1
