--- a/snowthread/sites/client_filter.py
+++ b/snowthread/sites/client_filter.py
@@ -1,7 +1,8 @@
-"""Filter the requests of other sites' clients before they reach admission control.
+"""Filters requests of other sites' clients before they reach admission control.
 
-The filter wraps the reducer. Requests that it rejects are never seen by admission control, so the blocking
-probability stays the same for all clients of a class; requests that it admits are treated like any other.
+The filter wraps the reducer. Admission control never sees the requests that the filter rejects, so its
+blocking probability stays the same for all clients of a class. Requests that the filter admits are treated
+like those of the site's own clients.
 """
 
 from __future__ import annotations
@@ -16,61 +17,83 @@
 from snowthread.core.state import NodeState, Request, RequestPhase
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
 from snowthread.sites.settings import SiteSettings
-from snowthread.sites.shedding import NodeLoad, Verdict, decide, shedding_order
+from snowthread.sites.shedding import NodeLoad, SheddingDecision, decide_request, shedding_order
 
 LOG_INTERVAL_MS = 10_000.0
 MS_PER_S = 1000.0
-RETRY_AFTER_RATIO = 0.5  # of Retry-After to the latency objective of the request's class
+# Retry-After of a rejected request, as a ratio to the latency objective of its class.
+RETRY_AFTER_RATIO = 0.5
 
-REJECT_REASON = "another site's client"  # for the log
+REJECT_REASON = "the client belongs to another site, and this site has no capacity left for it"
 
 Reducer = Callable[[NodeState, events.Event, float], list[effects.Effect]]
 
 
 class ClientFilter:
-    """Applies the shedding policy to requests of other sites' clients."""
+    """Applies the shedding policy to requests of other sites' clients.
+
+    Args:
+        loop: The event loop.
+        settings: Settings of the ``site`` block.
+        next_reducer: The reducer that handles the events which the filter passes on.
+    """
 
     def __init__(self, loop: EventLoop, settings: SiteSettings, next_reducer: Reducer) -> None:
         self._loop = loop
-        self._site_ranges = settings.site_ranges
+        self._balancer_ranges = settings.balancer_ranges
         self._next_reducer = next_reducer
-        self._foreign_attempts: dict[str, None] = {}  # attempts of other sites' clients in flight
-        self.counts: Counter[str] = Counter()  # by home site and verdict, since the last log line
+        # IDs of admitted attempts of other sites' clients that are in flight.
+        self._other_site_attempts: dict[str, None] = {}
+        # Requests by home site and decision, as "SITE DECISION", since the last log line.
+        self.decision_counts: Counter[str] = Counter()
         loop.spawn(self._log_counts())
 
-    def reduce(self, state: NodeState, message: events.Event, now: float) -> list[effects.Effect]:
-        """Pass the event to the next reducer unless it is another site's request that may not run here."""
-        if type(message) is not events.RequestReceived:
-            return self._next_reducer(state, message, now)
-        home_site = self._site_ranges.site_of(message.caller_id)
-        if home_site == self._site_ranges.own_site:
-            return self._next_reducer(state, message, now)
-        request_class = next((c for c in state.settings.classes if c.name == message.class_name), None)
-        verdict = Verdict.FAIL if request_class is None else self._judge(state, message, request_class)
-        self.counts[f"{home_site} {verdict.value}"] += 1
-        if verdict is Verdict.FAIL:
-            failed = effects.Failed(message.attempt_id)
-            return [effects.SendResponse(message.response_address, failed, state.load_report)]
-        if verdict is Verdict.REJECT:
+    def reduce(self, state: NodeState, event: events.Event, now_ms: float) -> list[effects.Effect]:
+        """Pass an event to the next reducer, or answer another site's request that may not run here.
+
+        Args:
+            state: The node state.
+            event: The event to handle.
+            now_ms: Current wall clock time in ms.
+
+        Returns:
+            The effects to execute.
+        """
+        if type(event) is not events.RequestReceived:
+            return self._next_reducer(state, event, now_ms)
+        home_site = self._balancer_ranges.site_of(event.caller_id)
+        if home_site == self._balancer_ranges.own_site:
+            return self._next_reducer(state, event, now_ms)
+        request_class = next((c for c in state.settings.classes if c.name == event.class_name), None)
+        decision = (
+            SheddingDecision.FAIL if request_class is None else self._decide(state, event, request_class)
+        )
+        self.decision_counts[f"{home_site} {decision.value}"] += 1
+        if decision is SheddingDecision.FAIL:
+            failed = effects.Failed(event.attempt_id)
+            return [effects.SendResponse(event.response_address, failed, state.load_report)]
+        if decision is SheddingDecision.REJECT:
             rejected = effects.Rejected(
                 _retry_after_ms(state.settings, request_class),
-                attempt_id=message.attempt_id,
+                attempt_id=event.attempt_id,
                 reason=REJECT_REASON,
             )
-            return [effects.SendResponse(message.response_address, rejected, state.load_report)]
-        self._foreign_attempts[message.attempt_id] = None
-        return self._next_reducer(state, message, now)
-
-    def _judge(self, state: NodeState, event: events.RequestReceived, request_class: RequestClass) -> Verdict:
-        self._foreign_attempts = {
+            return [effects.SendResponse(event.response_address, rejected, state.load_report)]
+        self._other_site_attempts[event.attempt_id] = None
+        return self._next_reducer(state, event, now_ms)
+
+    def _decide(
+        self, state: NodeState, event: events.RequestReceived, request_class: RequestClass
+    ) -> SheddingDecision:
+        self._other_site_attempts = {
             attempt_id: None
-            for attempt_id in self._foreign_attempts
+            for attempt_id in self._other_site_attempts
             if attempt_id in state.requests_by_attempt_id
         }
         order = _shedding_order(state)
-        return decide(
+        return decide_request(
             is_own_client=False,
-            idempotent=request_class.idempotency is Idempotency.IDEMPOTENT,
+            is_idempotent=request_class.idempotency is Idempotency.IDEMPOTENT,
             class_position=order[request_class.name],
             class_count=len(state.settings.classes),
             rank=event.rank,
@@ -82,23 +105,25 @@
         cores = state.settings.cores
         return NodeLoad(
             blocking_probability=controller.blocking_probability if controller is not None else 0.0,
-            queued=sum(_is_queued(request) for request in state.requests.values()),
+            queued_requests=sum(_is_queued(request) for request in state.requests.values()),
             cores=cores,
             concurrency_limit=controller.concurrency.limit if controller is not None else float(cores),
-            foreign_in_flight=len(self._foreign_attempts),
+            other_site_requests=len(self._other_site_attempts),
         )
 
     def _log_counts(self) -> TaskSteps:
         while True:
             yield Wait(until_ms=self._loop.clock.now() + LOG_INTERVAL_MS)
-            if self.counts:
-                counts = self.counts
-                self.counts = Counter()
-                logger.bind(event="site.edge", **counts).info("other sites' clients: {}", dict(counts))
+            if self.decision_counts:
+                counts = self.decision_counts
+                self.decision_counts = Counter()
+                logger.bind(event="site.edge", **counts).info(
+                    "requests of other sites' clients by home site and decision: {}", dict(counts)
+                )
 
 
 def _shedding_order(state: NodeState) -> dict[str, int]:
-    """Return each class's position in the order of shedding, from its priority weight and core time."""
+    """Return each class's position in the shedding order, by priority weight per second of core time."""
     controller = state.controller
     weight_per_core_s = {}
     for index, request_class in enumerate(state.settings.classes):
--- a/snowthread/sites/settings.py
+++ b/snowthread/sites/settings.py
@@ -1,4 +1,4 @@
-"""The ``site`` block of the operator's file."""
+"""Settings of the sites feature, read from the block ``site`` of the operator's file."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 from typing import NamedTuple
 
 from snowthread.hcl import Block
-from snowthread.sites.shedding import SiteRanges
+from snowthread.sites.shedding import BalancerRanges
 
 MAX_HOME_BLOCKS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class SiteSettings:
-    """The site this node belongs to, and the ranges of balancers' numbers of every site."""
+    """The site that this node belongs to, and the balancer numbers of every site."""
 
-    site_ranges: SiteRanges
+    balancer_ranges: BalancerRanges
 
     def summary(self) -> str:
-        """Return one line for operators that says what is on."""
-        sites = ", ".join(self.site_ranges.ranges)
-        return f"site {self.site_ranges.own_site}: clients of {sites} are identified by their balancers"
+        """Return one line that describes the settings to operators."""
+        sites = ", ".join(self.balancer_ranges.ranges)
+        return f"site {self.balancer_ranges.own_site}; sites with configured balancers: {sites}"
 
 
 class _AssignedRange(NamedTuple):
-    """A range of balancers' numbers, both ends included, and the site that it was assigned to."""
+    """An inclusive range of balancer numbers, and the site that it is assigned to."""
 
     first: int
     last: int
@@ -32,7 +32,7 @@
 
 
 def read_site_settings(block: Block) -> SiteSettings:
-    """Check the block and return its settings; ConfigError names the key that cannot be used."""
+    """Read and check the ``site`` block; a :class:`BlockKeyError` names the key that is invalid."""
     own_site = block.text("name")
     assigned: list[_AssignedRange] = []
     for home in block.blocks("home", MAX_HOME_BLOCKS):
@@ -45,24 +45,27 @@
     for first, last, site in assigned:
         ranges.setdefault(site, []).append((first, last))
     if own_site not in ranges:
-        raise block.error("name", f"no block 'home' has the balancers of {own_site!r}")
-    return SiteSettings(SiteRanges(own_site, ranges))
+        raise block.error("name", f"no block 'home' is named {own_site!r}, the site of this node")
+    return SiteSettings(BalancerRanges(own_site, ranges))
 
 
 def _read_range(home: Block, text: str, site: str, assigned: list[_AssignedRange]) -> _AssignedRange:
-    """Read ``"7"`` or ``"3-5"``; ConfigError where it is no range, or overlaps one of another site."""
+    """Parse a number like ``"7"`` or a range like ``"3-5"``.
+
+    The result is a :class:`BlockKeyError` if the text is not a range, or overlaps a range of another site.
+    """
     low, dash, high = text.partition("-")
     first = _read_number(home, low)
     last = _read_number(home, high) if dash else first
     if last < first:
-        raise home.error("balancers", f"{text!r} ends before it begins")
+        raise home.error("balancers", f"range {text!r} ends before it begins")
     for other in assigned:
         if other.site != site and first <= other.last and other.first <= last:
-            raise home.error("balancers", f"{text!r} is another's too: {other.site}")
+            raise home.error("balancers", f"range {text!r} overlaps a range of site {other.site}")
     return _AssignedRange(first, last, site)
 
 
 def _read_number(home: Block, text: str) -> int:
     if not (text.isascii() and text.isdigit()):
-        raise home.error("balancers", f"{text!r} is no number")
+        raise home.error("balancers", f"{text!r} is not a whole number")
     return int(text)
--- a/snowthread/sites/shedding.py
+++ b/snowthread/sites/shedding.py
@@ -1,20 +1,21 @@
-"""Decide which requests of other sites' clients a site sheds first. Pure.
-
-| request                                               | verdict                          |
-| ----------------------------------------------------- | -------------------------------- |
-| of this site's own client                             | ADMIT: admission control decides |
-| of another site's client, not idempotent              | FAIL: its home site may run it   |
-| of another site's client, the share in flight is full | REJECT                           |
-| of another site's client, pressure over its threshold | REJECT                           |
-| of another site's client, otherwise                   | ADMIT                            |
-
-Pressure is the blocking probability of admission control, or how full its queue is if that is more; it is 0
-at a site with free capacity. A request's threshold grows with its class's position in the shedding order
-(priority weight per unit of work, the least first) and with its rank within the class. So a request of less
-weight is rejected before one of more weight at every pressure; from ``MAX_FOREIGN_PRESSURE`` on all of them
-are rejected, and only then does admission control reject the site's own clients.
-
-The decision is taken as a request is read, before any resource is reserved for it.
+"""Decides which requests of other sites' clients a site rejects first.
+
+Pure. The decision is made when a request is read, before any resource is reserved for it.
+
+| request                                                       | decision                         |
+| ------------------------------------------------------------- | -------------------------------- |
+| of this site's own client                                     | ADMIT: admission control decides |
+| of another site's client, not idempotent                      | FAIL: its home site may run it   |
+| of another site's client, share of requests in flight used up | REJECT                           |
+| of another site's client, pressure at or over the threshold   | REJECT                           |
+| of another site's client, otherwise                           | ADMIT                            |
+
+The pressure is the blocking probability of admission control or the fill ratio of its queue, whichever is
+higher; it is 0 at a site with free capacity. The threshold of a request grows with the position of its class
+in the shedding order (by priority weight per unit of work, lowest first) and with its rank within the class.
+At any pressure, a request of less weight is therefore rejected before one of more weight. From
+``MAX_OTHER_SITE_PRESSURE`` on, all requests of other sites' clients are rejected, and only then does
+admission control reject those of the site's own clients.
 """
 
 from __future__ import annotations
@@ -23,13 +24,15 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_FOREIGN_PRESSURE = 0.3  # from this pressure on no request of another site's client is admitted
-FULL_QUEUE_PER_CORE = 4.0  # requests queued per core that count as a full queue
-MAX_FOREIGN_SHARE = 0.5  # of the concurrency limit; the rest stays free for the site's own clients
+MAX_OTHER_SITE_PRESSURE = 0.3  # From this pressure on, no request of another site's client is admitted.
+FULL_QUEUE_REQUESTS_PER_CORE = 4.0  # The queue counts as full from this number of queued requests per core.
+# Requests of other sites' clients may use this share of the concurrency limit; the rest stays free for the
+# site's own clients.
+MAX_OTHER_SITE_SHARE = 0.5
 
 
-class Verdict(Enum):
-    """What happens to a request."""
+class SheddingDecision(Enum):
+    """What is done with a request."""
 
     ADMIT = "own"
     FAIL = "fail"
@@ -37,14 +40,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SiteRanges:
-    """Ranges of balancers' numbers, both ends included, by the site whose clients they serve."""
+class BalancerRanges:
+    """Inclusive ranges of balancer numbers, by the site whose clients these balancers serve."""
 
     own_site: str
     ranges: Mapping[str, Sequence[tuple[int, int]]]
 
     def site_of(self, caller_id: int) -> str:
-        """Return the home site of a balancer's clients; a number in no range belongs to this site."""
+        """Return the home site of a balancer's clients; a number in no range belongs to the own site."""
         for site, ranges in self.ranges.items():
             if any(first <= caller_id <= last for first, last in ranges):
                 return site
@@ -56,41 +59,50 @@
     """The load of one node."""
 
     blocking_probability: float
-    queued: int
+    queued_requests: int
     cores: int
     concurrency_limit: float
-    foreign_in_flight: int  # requests of other sites' clients
+    other_site_requests: int  # Requests of other sites' clients in flight.
 
 
 def shedding_order(weight_per_work: Mapping[str, float]) -> dict[str, int]:
-    """Return each class's position in the order of shedding; the least weight for its work comes first."""
+    """Return each class's position in the shedding order; the lowest weight per unit of work comes first."""
     by_weight = sorted(weight_per_work.items(), key=lambda item: item[1])
     return {name: position for position, (name, _) in enumerate(by_weight)}
 
 
-def pressure(load: NodeLoad) -> float:
-    """Return the load's pressure, from 0 (free capacity) to 1."""
-    queue_fill = min(1.0, load.queued / (FULL_QUEUE_PER_CORE * max(1, load.cores)))
+def load_pressure(load: NodeLoad) -> float:
+    """Return the pressure of a load, from 0 (free capacity) to 1."""
+    queue_fill = min(1.0, load.queued_requests / (FULL_QUEUE_REQUESTS_PER_CORE * max(1, load.cores)))
     return max(load.blocking_probability, queue_fill)
 
 
-def decide(
+def decide_request(
     *,
     is_own_client: bool,
-    idempotent: bool,
+    is_idempotent: bool,
     class_position: int,
     class_count: int,
     rank: float,
     load: NodeLoad,
-) -> Verdict:
-    """Return the verdict on a request; ``class_position`` is its class's place in the shedding order."""
+) -> SheddingDecision:
+    """Decide on a request.
+
+    Args:
+        is_own_client: Whether the request comes from a client of this site.
+        is_idempotent: Whether the request's class is idempotent.
+        class_position: Position of the request's class in the shedding order.
+        class_count: Number of request classes.
+        rank: Rank of the request within its class, from 0 (rejected first) to 1.
+        load: The load of the node.
+    """
     if is_own_client:
-        return Verdict.ADMIT
-    if not idempotent:
-        return Verdict.FAIL
-    if load.foreign_in_flight >= max(1.0, MAX_FOREIGN_SHARE * load.concurrency_limit):
-        return Verdict.REJECT
+        return SheddingDecision.ADMIT
+    if not is_idempotent:
+        return SheddingDecision.FAIL
+    if load.other_site_requests >= max(1.0, MAX_OTHER_SITE_SHARE * load.concurrency_limit):
+        return SheddingDecision.REJECT
     position = class_position + min(1.0, max(0.0, rank))
-    threshold = MAX_FOREIGN_PRESSURE * position / max(1, class_count)
-    current = pressure(load)
-    return Verdict.REJECT if current > 0.0 and current >= threshold else Verdict.ADMIT
+    threshold = MAX_OTHER_SITE_PRESSURE * position / max(1, class_count)
+    current = load_pressure(load)
+    return SheddingDecision.REJECT if current > 0.0 and current >= threshold else SheddingDecision.ADMIT
--- a/tests/sites/test_site_settings.py
+++ b/tests/sites/test_site_settings.py
@@ -1,4 +1,4 @@
-"""The block ``site`` of the operator's file."""
+"""Tests reading the block ``site`` of the operator's file."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 
 def test_the_block_names_each_sites_balancers(tmp_path: Path) -> None:
     settings = read_block(tmp_path, 'name = "a"\n' + home("a", "0-9", "12") + home("b", "10-11"))
-    assert settings.site_ranges.ranges == {"a": [(0, 9), (12, 12)], "b": [(10, 11)]}
+    assert settings.balancer_ranges.ranges == {"a": [(0, 9), (12, 12)], "b": [(10, 11)]}
     assert "site a" in settings.summary()
 
 
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ('name = "c"\n' + home("a", "1"), "no block 'home'"),
-        ('name = "a"\n' + home("a", "1-5") + home("b", "5"), "another's too: a"),
-        ('name = "a"\n' + home("a", "5-1"), "ends before"),
-        ('name = "a"\n' + home("a", "x"), "no number"),
+        ('name = "c"\n' + home("a", "1"), "no block 'home' is named 'c'"),
+        ('name = "a"\n' + home("a", "1-5") + home("b", "5"), "range '5' overlaps a range of site a"),
+        ('name = "a"\n' + home("a", "5-1"), "range '5-1' ends before it begins"),
+        ('name = "a"\n' + home("a", "x"), "'x' is not a whole number"),
         ('name = "a"\nspeed = 1\n' + home("a", "1"), "no such key"),
     ],
 )
