--- a/benchmarks/hot_restart.py
+++ b/benchmarks/hot_restart.py
@@ -35,7 +35,7 @@
 from emulators.site import RuntimeEmulator, SiteEmulator, SiteScript
 from snowthread.address import Address
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
-from snowthread.lab.process_usage import private_mb
+from snowthread.lab.process_usage import private_memory_mb
 from snowthread.net.clock import Clock
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
 
@@ -137,7 +137,7 @@
         self.processes.append(new)
         yield from self._wait_until_ready(new.admin)
         self.ready_ms.append(self.loop.clock.now() - began_ms)
-        self.private_mb.append(private_mb(old.pid) + private_mb(new.process.pid))
+        self.private_mb.append(private_memory_mb(old.pid) + private_memory_mb(new.process.pid))
         old.send_signal(signal.SIGTERM)
 
     def _spawn_restart(self) -> None:
--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -27,7 +27,7 @@
 from benchmarks.programs import run_program, write_configuration
 from emulators.load_generator import LoadGenerator
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
-from snowthread.lab.process_usage import children, cpu_seconds
+from snowthread.lab.process_usage import child_pids, cpu_seconds
 from snowthread.records.files import SUFFIX
 from snowthread.records.frame import encode
 from snowthread.records.model import Fields, Record, RecordKind
@@ -113,7 +113,7 @@
         load = LoadGenerator(node.address, SOURCES)
         load.run(random.Random(WARM_UP_SEED + seed), REQUESTS_PER_S, WARM_UP_S)
         cpu_before_s = cpu_seconds(node.pid)
-        writers = children(node.pid)
+        writers = child_pids(node.pid)
         asked_before = len(load.sent_requests)
         load.run(random.Random(seed), REQUESTS_PER_S, seconds)
         requests = len(load.sent_requests) - asked_before
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -34,7 +34,7 @@
 from emulators.load_generator import LoadGenerator
 from emulators.request_protocol import REJECTED, SERVED
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
-from snowthread.lab.process_usage import cpu_seconds, resident_mb
+from snowthread.lab.process_usage import cpu_seconds, resident_memory_mb
 
 BEFORE = "cf437b5"  # the version that the part ``off`` compares with
 PROGRAM = "snowthread"  # the program's package
@@ -205,7 +205,7 @@
         began = cpu_seconds(setup.node.pid)
         load.run(random.Random(seed), 500.0, requests / 500.0)
         cpu_us = (cpu_seconds(setup.node.pid) - began) / len(load.sent_requests) * US_PER_S
-        memory_mb = resident_mb(setup.node.pid)
+        memory_mb = resident_memory_mb(setup.node.pid)
         load.close()
     return NodeCost(start_cpu_s=began, request_cpu_us=cpu_us, memory_mb=memory_mb)
 
--- a/snowthread/lab/process_usage.py
+++ b/snowthread/lab/process_usage.py
@@ -19,17 +19,17 @@
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
-def children(pid: int) -> list[int]:
+def child_pids(pid: int) -> list[int]:
     """Return the processes that a process has started and that have not ended."""
     return [int(word) for word in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
 
 
-def resident_mb(pid: int) -> float:
+def resident_memory_mb(pid: int) -> float:
     """Return the resident memory of a process in MB; 0 once it has ended."""
     return _read_kb(Path(f"/proc/{pid}/status"), "VmRSS:") / KB_PER_MB
 
 
-def private_mb(pid: int) -> float:
+def private_memory_mb(pid: int) -> float:
     """Return the memory in MB that a process shares with no other; 0 once it has ended."""
     return _read_kb(Path(f"/proc/{pid}/smaps_rollup"), "Private_Dirty:") / KB_PER_MB
 
--- a/tests/benchmarks/test_programs.py
+++ b/tests/benchmarks/test_programs.py
@@ -11,7 +11,7 @@
 from benchmarks.traffic_figures import was_served
 from emulators.load_generator import LoadGenerator
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
-from snowthread.lab.process_usage import children, cpu_seconds, private_mb, resident_mb
+from snowthread.lab.process_usage import child_pids, cpu_seconds, private_memory_mb, resident_memory_mb
 
 SOURCE = "127.0.0.2"
 PATIENCE_MS = 10_000.0
@@ -35,8 +35,8 @@
             load.close()
             assert was_served(request)
             assert cpu_seconds(node.pid) > 0.0
-            assert resident_mb(node.pid) > private_mb(node.pid) > 0.0
-            assert children(node.pid) == []
+            assert resident_memory_mb(node.pid) > private_memory_mb(node.pid) > 0.0
+            assert child_pids(node.pid) == []
 
 
 def test_program_that_ends_before_it_is_ready_is_an_error_with_its_output() -> None:
@@ -47,6 +47,6 @@
 
 
 def test_usage_of_a_process_that_is_not_there_is_an_error() -> None:
-    for read in (cpu_seconds, children, resident_mb, private_mb):
+    for read in (cpu_seconds, child_pids, resident_memory_mb, private_memory_mb):
         with pytest.raises(OSError, match="No such file"):
             read(2**22 + 1)  # above the largest process number
