--- a/snowthread/demo.py
+++ b/snowthread/demo.py
@@ -64,17 +64,17 @@
 
 
 def _play(folder: Path, seconds: float) -> Path:
-    from snowthread.lab.demo_display import display
+    from snowthread.lab.demo_display import open_display
     from snowthread.lab.demo_fleet import DemoFleet
-    from snowthread.lab.demo_timeline import play
+    from snowthread.lab.demo_timeline import run_demo
     from snowthread.net.clock import Clock
     from snowthread.net.loop import EventLoop
 
     click.echo("starting three nodes and what stands round them...", err=True)
     with closing(DemoFleet(folder, EventLoop(Clock()))) as fleet:
         fleet.start()
-        with display(fleet.records) as view:
-            play(fleet, seconds, view)
+        with open_display(fleet.records) as view:
+            run_demo(fleet, seconds, view)
     time.sleep(LAST_RECORDS_S)
     return fleet.records
 
--- a/snowthread/lab/demo_display.py
+++ b/snowthread/lab/demo_display.py
@@ -66,7 +66,7 @@
 
 
 @contextmanager
-def display(records: Path) -> Iterator[Display]:
+def open_display(records: Path) -> Iterator[Display]:
     """Provide the display that suits standard output."""
     console = Console()
     if not console.is_terminal:
--- a/snowthread/lab/demo_timeline.py
+++ b/snowthread/lab/demo_timeline.py
@@ -70,7 +70,7 @@
     ]
 
 
-def play(fleet: DemoFleet, seconds: float, display: Display) -> None:
+def run_demo(fleet: DemoFleet, seconds: float, display: Display) -> None:
     """Send traffic for so long, carry out the steps at their times, and keep the display up to date."""
     steps = plan_steps(fleet, seconds)
     seconds = max(seconds, steps[-1].at_s + CALM_END_S)
