--- a/emulators/soak.py
+++ b/emulators/soak.py
@@ -108,7 +108,7 @@
         self.node.loop.call_at(self.node.loop.clock.now() + delay_ms, call)
 
     def _reset_runtime(self, _fault: PlannedFault) -> None:
-        self.node.runtime_link.faults.cuts += 1
+        self.node.runtime_link.faults.cut_count += 1
 
     def _take_runtime_down(self, fault: PlannedFault) -> None:
         self._reset_runtime(fault)
@@ -125,7 +125,7 @@
         self._later(fault.duration_ms, faults.clear)
 
     def _reset_database(self, _fault: PlannedFault) -> None:
-        self.node.database_link.faults.cuts += 1
+        self.node.database_link.faults.cut_count += 1
 
     def _take_database_down(self, fault: PlannedFault) -> None:
         self._reset_database(fault)
--- a/snowthread/lab/relay.py
+++ b/snowthread/lab/relay.py
@@ -30,7 +30,7 @@
         self.loop = loop
         self.target = target
         self.faults = LinkFaults()
-        self.rejected = 0  # connections that were not forwarded
+        self.rejected_connections = 0  # connections that were not forwarded
         self._link = RelayedLink(loop, self.faults, generator)
         self.address = listen
         self._listener: socket.socket | None = None
@@ -64,7 +64,7 @@
                 except BlockingIOError:
                     continue
                 if self.faults.partitioned:
-                    self.rejected += 1
+                    self.rejected_connections += 1
                     client.close()
                     continue
                 client.setblocking(False)
@@ -83,7 +83,7 @@
         except OSError:
             pass
         if server.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) or not _is_connected(server):
-            self.rejected += 1
+            self.rejected_connections += 1
             client.close()
             server.close()
             return
--- a/snowthread/lab/relay_direction.py
+++ b/snowthread/lab/relay_direction.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from snowthread.lab.faults import LinkFaults, Pacing, is_cut, release_ms
+from snowthread.lab.faults import ForwardingState, LinkFaults, compute_release_ms, is_cut
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, TaskSteps, Wait
 
 QUEUE_BYTES_MAX = 1 << 20  # of one direction of a connection
@@ -46,7 +46,7 @@
 class _QueuedChunk(NamedTuple):
     """Bytes that were read, and when they may be forwarded."""
 
-    release_ms: float
+    release_at_ms: float
     data: bytes
 
 
@@ -62,7 +62,7 @@
         self._source = source
         self._sink = sink
         self._connection = connection
-        self._pacing = Pacing(link.faults.cuts)
+        self._forwarding_state = ForwardingState(link.faults.cut_count)
         self._queue: deque[_QueuedChunk] = deque()
         self._queued_bytes = 0
         self._source_ended = False
@@ -94,16 +94,16 @@
             self._close()
 
     def _must_close(self) -> bool:
-        return is_cut(self._faults, self._pacing) or self._connection.broken
+        return is_cut(self._faults, self._forwarding_state) or self._connection.broken
 
     def _is_due(self, now: float) -> bool:
-        return bool(self._queue) and not self._faults.partitioned and self._queue[0].release_ms <= now
+        return bool(self._queue) and not self._faults.partitioned and self._queue[0].release_at_ms <= now
 
     def _wake_ms(self, now: float) -> float:
         """Return when to look again: as the first chunk is due, or to read the faults anew."""
         poll_ms = now + FAULT_POLL_MS
         if self._queue and not self._faults.partitioned:
-            return min(self._queue[0].release_ms, poll_ms)
+            return min(self._queue[0].release_at_ms, poll_ms)
         return poll_ms
 
     def _read_chunk(self) -> None:
@@ -115,7 +115,7 @@
             self._source_ended = True
             return
         now = self._loop.clock.now()
-        at_ms = release_ms(self._faults, self._pacing, now, len(data), self._link.generator)
+        at_ms = compute_release_ms(self._faults, self._forwarding_state, now, len(data), self._link.generator)
         self._queue.append(_QueuedChunk(at_ms, data))
         self._queued_bytes += len(data)
 
@@ -129,11 +129,11 @@
         self._queued_bytes -= sent
         if sent == len(chunk.data):
             return True
-        self._queue.appendleft(_QueuedChunk(chunk.release_ms, chunk.data[sent:]))
+        self._queue.appendleft(_QueuedChunk(chunk.release_at_ms, chunk.data[sent:]))
         return False
 
     def _close(self) -> None:
-        if is_cut(self._faults, self._pacing):
+        if is_cut(self._faults, self._forwarding_state):
             self._connection.broken = True
         if self._connection.broken:
             _reset_on_close(self._source)
--- a/snowthread/lab/timeline.py
+++ b/snowthread/lab/timeline.py
@@ -82,7 +82,7 @@
             case Action.BANDWIDTH:
                 faults.bytes_per_s = step.value
             case Action.CUT:
-                faults.cuts += 1
+                faults.cut_count += 1
             case Action.HEAL:
                 faults.clear()
 
--- a/tests/incidents/test_runtime_overload.py
+++ b/tests/incidents/test_runtime_overload.py
@@ -51,7 +51,7 @@
     """Reset the runtime's link, and again and again from then on."""
     faults = node.runtime_link.faults
     loop = node.loop
-    faults.cuts += 1
+    faults.cut_count += 1
     if breaks.down_ms:
         faults.partitioned = True
         loop.call_at(loop.clock.now() + breaks.down_ms, faults.clear)
@@ -60,7 +60,7 @@
 
 def break_link_at_random(node: NodeUnderFaults, breaks: LinkBreaks) -> None:
     """Reset the runtime's link once, and at random times from then on."""
-    node.runtime_link.faults.cuts += 1
+    node.runtime_link.faults.cut_count += 1
     gap_ms = node.generator.expovariate(1.0 / breaks.mean_gap_ms)
     node.loop.call_at(node.loop.clock.now() + gap_ms, partial(break_link_at_random, node, breaks))
 
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -10,7 +10,7 @@
 
 from emulators.servers import accept_connections, listen
 from snowthread.address import Address
-from snowthread.lab.faults import LinkFaults, Pacing, release_ms
+from snowthread.lab.faults import ForwardingState, LinkFaults, compute_release_ms
 from snowthread.lab.relay import Relay
 from snowthread.net.clock import Clock
 from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
@@ -95,7 +95,7 @@
     loop, relay = link
     relay.faults.partitioned = True
     received, _ = exchange(loop, relay, b"ping", timeout_ms=400.0)
-    assert received == b"" and relay.rejected == 1
+    assert received == b"" and relay.rejected_connections == 1
     relay.faults.partitioned = False
     assert exchange(loop, relay, b"ping")[0] == b"ping"
 
@@ -108,7 +108,7 @@
     for _ in range(40):
         loop.run_once(0.005)
     assert client.recv(10) == b"one"
-    relay.faults.cuts += 1
+    relay.faults.cut_count += 1
     ended = False
     for _ in range(200):
         loop.run_once(0.005)
@@ -126,9 +126,9 @@
 
 def test_jitter_keeps_the_order_of_a_connection() -> None:
     faults = LinkFaults(delay_ms=10.0, jitter_ms=100.0)
-    pacing = Pacing(0)
+    state = ForwardingState(0)
     generator = random.Random(3)
-    times = [release_ms(faults, pacing, float(at), 10, generator) for at in range(0, 100, 5)]
+    times = [compute_release_ms(faults, state, float(at), 10, generator) for at in range(0, 100, 5)]
     assert times == sorted(times) and len(set(times)) > 5
 
 
