--- a/snowthread/lab/__init__.py
+++ b/snowthread/lab/__init__.py
@@ -1,16 +1,23 @@
-"""The fleet lab: several processes of the program, emulated surroundings, and faults between them.
+"""The fleet lab: runs several nodes with emulated services around them and injects faults between them.
 
-Pure parts: ``scenario`` is the model of a scenario, ``scenario_file`` reads one from HCL and draws its timed
-steps, ``deployment`` turns it into configurations; ``faults`` says what a link does to the bytes that cross
-it; ``summary`` sums up a run, with ``service_recovery`` and ``record_summary``, and ``report`` renders it.
+Pure modules:
 
-Parts that act: ``address_reservation`` gives each program its addresses, ``processes`` starts and stops nodes
-and emulators (both also for the demo), ``cores`` distributes the processor cores and ``process_usage`` reads
-what processes have used, ``relay`` with ``relay_direction`` and ``datagram_relay`` forward traffic through
-the faults of a link, ``fleet`` joins these for one scenario, ``timeline`` carries out its steps, and
-``runner`` runs it from start to summary.
+- ``scenario`` is the model of a scenario; ``scenario_file`` reads one from HCL and draws its timed steps.
+- ``deployment`` turns a scenario into the configurations of nodes and emulators.
+- ``faults`` computes how the faults of a link delay the bytes that cross it.
+- ``summary``, with ``service_recovery`` and ``record_summary``, summarizes a run; ``report`` renders it.
 
-``demo_fleet``, ``demo_timeline`` and ``demo_display`` are the parts of ``snowthread demo``. They use the same
-processes, but a load of their own, and one emulated site a node in place of shared services. In this program
-only ``demo_fleet`` imports the repository's emulators; the command checks first that they are there.
+Modules with side effects:
+
+- ``address_reservation`` assigns addresses to the programs of a run, and ``processes`` starts and stops nodes
+  and emulators. The demo uses both too.
+- ``cores`` assigns processor cores, and ``process_usage`` reads the resources that processes have used.
+- ``relay``, with ``relay_direction``, and ``datagram_relay`` forward traffic through the faults of a link.
+- ``fleet`` combines these for one scenario, ``timeline`` executes the scenario's steps, and ``runner`` runs
+  it from start to summary.
+
+``demo_fleet``, ``demo_timeline`` and ``demo_display`` belong to ``snowthread demo``. The demo uses the same
+kind of processes, but generates its own load, and has one emulated site per node instead of shared services.
+``demo_fleet`` is the only module of the package that imports the repository's emulators; the command checks
+first that they are present.
 """
--- a/snowthread/lab/address_reservation.py
+++ b/snowthread/lab/address_reservation.py
@@ -1,8 +1,8 @@
-"""Addresses on loopback for the programs of one run, each given once.
+"""Reserves loopback addresses for the programs of a run, so that no two programs get the same one.
 
-A port that was merely found free can be given to another socket before its program binds it: by the kernel to
-any socket that asks for a free port, or by the next search of the same run. A reservation therefore keeps its
-ports bound until it is closed.
+A port that was only found to be free can be taken by another socket before its program binds it: the kernel
+may give it to any socket that asks for a free port, and the next search of the same run may find it again. A
+reservation therefore keeps its ports bound until it is closed.
 """
 
 from __future__ import annotations
@@ -16,10 +16,11 @@
 
 
 class AddressReservation:
-    """The addresses of one host that a run gives to its programs; a context manager.
+    """Reserves ports on one host for the programs of a run; a context manager.
 
-    A program binds its address beside the reservation, with SO_REUSEADDR. Until then connections to the
-    address are refused, as where nobody listens. With :data:`ANY_HOST` a port is reserved on every host.
+    A program binds its address in addition to the reservation, with SO_REUSEADDR. Until then, connections to
+    the address are refused, as if nothing listened there. With :data:`ANY_HOST`, a port is reserved on every
+    local address.
     """
 
     def __init__(self, host: str) -> None:
@@ -27,20 +28,25 @@
         self._sockets: list[socket.socket] = []
 
     def reserve(self, kind: socket.SocketKind = socket.SOCK_STREAM) -> Address:
-        """Return an address whose port no other socket of this kind has; OSError where none is left."""
+        """Reserve a port that no other socket of this kind has, and return its address.
+
+        An OSError means that no port is free.
+        """
         sock = self._any_port.open(kind)
         self._sockets.append(sock)
         sock.bind(self._any_port)
         address = Address(*sock.getsockname()[:2])
-        # Only after the bind: two sockets that have the option before may be given the same free port.
+        # Set after the bind: the kernel may give the same free port to two sockets that have the option
+        # before.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if kind is socket.SOCK_DGRAM:
-            # Connected to itself it receives nothing from others: datagrams go to the program's socket.
+            # Connected to itself, the socket receives nothing from others: datagrams go to the program's
+            # socket.
             sock.connect(sock.getsockname())
         return address
 
     def close(self) -> None:
-        """Give up all ports; programs that have bound theirs keep them."""
+        """Release all ports; programs that have bound theirs keep them."""
         while self._sockets:
             self._sockets.pop().close()
 
--- a/snowthread/lab/cli.py
+++ b/snowthread/lab/cli.py
@@ -1,4 +1,4 @@
-"""``snowthread lab``: plan, run, replay and report scenarios of the fleet lab."""
+"""``snowthread lab``: commands that plan, run, replay and report scenarios of the fleet lab."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 @click.group()
 def lab() -> None:
-    """Run several nodes with emulated surroundings and faults between them, on loopback."""
+    """Run several nodes on loopback, with emulated services around them and faults between them."""
 
 
 @lab.command()
 @SCENARIO
 def plan(scenario: Path) -> None:
-    """Print the plan a scenario makes with its seed, one JSON line a step."""
+    """Print the plan that a scenario gives with its seed, as one JSON line per step."""
     from snowthread.lab.scenario import plan_lines
     from snowthread.lab.scenario_file import read_scenario
 
@@ -37,17 +37,17 @@
     "-o",
     "--output",
     type=click.Path(file_okay=False, path_type=Path),
-    help="The folder for the nodes, logs, summary and report of the run; a new one where not given.",
+    help="Folder for the nodes, logs, summary and report of the run; by default a new temporary folder.",
 )
 @click.option(
     "--lab-cores",
     type=click.IntRange(1),
     default=DEFAULT_LAB_CORES,
     show_default=True,
-    help="Cores that the lab and its emulators share; the nodes have the others.",
+    help="Number of cores that the lab and its emulators share; the nodes use the others.",
 )
 def run(scenario: Path, output: Path | None, lab_cores: int) -> None:
-    """Run a scenario; the last line printed is its summary as one JSON object."""
+    """Run a scenario; the last line of the output is the summary as one JSON object."""
     click.echo(json.dumps(_run(scenario, output, lab_cores)))
 
 
@@ -55,7 +55,7 @@
 @SUMMARY
 @click.option("-o", "--output", type=click.Path(file_okay=False, path_type=Path))
 def replay(summary: Path, output: Path | None) -> None:
-    """Run the scenario of an earlier summary again with its seed; its plan must be the same."""
+    """Run the scenario of an earlier summary again; fails if its seed no longer gives the same plan."""
     click.echo(json.dumps(_run(_scenario_with_same_plan(summary), output, DEFAULT_LAB_CORES)))
 
 
@@ -63,7 +63,7 @@
 @SUMMARY
 @click.option("-o", "--output", required=True, type=click.Path(dir_okay=False, path_type=Path))
 def report(summary: Path, output: Path) -> None:
-    """Write the HTML report of a run's summary."""
+    """Render the summary of a run as an HTML report."""
     from snowthread.lab.report import render_report
 
     output.write_text(render_report(json.loads(summary.read_text())), encoding="utf-8")
@@ -77,12 +77,12 @@
     before = json.loads(summary.read_text())
     scenario = Path(before["file"])
     if plan_lines(read_scenario(scenario)) != before["plan"]:
-        raise ConfigError(f"{scenario} makes another plan now than the one of {summary}")
+        raise ConfigError(f"{scenario} now gives a different plan than the one recorded in {summary}")
     return scenario
 
 
 def _run(path: Path, output: Path | None, lab_cores: int) -> dict[str, object]:
-    """Run a scenario, write its summary and report into its folder, and return the summary."""
+    """Run a scenario, write its summary and report to its folder, and return the summary."""
     from snowthread.lab.report import render_report
     from snowthread.lab.runner import ScenarioRunner
     from snowthread.lab.scenario_file import read_scenario
@@ -94,5 +94,5 @@
     report_file = folder / "report.html"
     summary_file.write_text(json.dumps(summary))
     report_file.write_text(render_report(summary), encoding="utf-8")
-    click.echo(f"{report_file} and {summary_file}", err=True)
+    click.echo(f"wrote {report_file} and {summary_file}", err=True)
     return summary
--- a/snowthread/lab/cores.py
+++ b/snowthread/lab/cores.py
@@ -1,4 +1,4 @@
-"""Processor cores of a run: which processes use which."""
+"""Assigns processor cores to the processes of a run."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 
 class CoreAllocation:
-    """Gives the lab and its emulators the last cores of the machine, and the nodes the others.
+    """Assigns the last cores of the machine to the lab and its emulators, and the others to the nodes.
 
-    Without effect where the machine has fewer than twice the cores of the lab.
+    It has no effect if the machine has fewer than twice as many cores as the lab is to have.
     """
 
     def __init__(self, lab_cores: int) -> None:
-        """Plan with the cores that this process may use now; assign none yet."""
-        self._available = sorted(os.sched_getaffinity(0))
-        self._enabled = len(self._available) >= 2 * lab_cores
-        self._lab = self._available[-lab_cores:]
-        self._nodes = self._available[:-lab_cores]
+        """Divide the cores that this process may use now, without assigning any yet."""
+        self._available_cores = sorted(os.sched_getaffinity(0))
+        self._enabled = len(self._available_cores) >= 2 * lab_cores
+        self._lab_cores = self._available_cores[-lab_cores:]
+        self._node_cores = self._available_cores[:-lab_cores]
 
     def assign_lab(self, *pids: int) -> None:
-        """Let this process and these use only the lab's cores."""
+        """Restrict this process and the given processes to the lab's cores."""
         if self._enabled:
             for pid in (os.getpid(), *pids):
-                os.sched_setaffinity(pid, self._lab)
+                os.sched_setaffinity(pid, self._lab_cores)
 
     def assign_node(self, pid: int) -> None:
-        """Let a node's process use only the nodes' cores."""
+        """Restrict a node's process to the nodes' cores."""
         if self._enabled:
-            os.sched_setaffinity(pid, self._nodes)
+            os.sched_setaffinity(pid, self._node_cores)
 
     def release(self) -> None:
-        """Let this process use all cores again."""
-        os.sched_setaffinity(0, self._available)
+        """Allow this process to use all cores again."""
+        os.sched_setaffinity(0, self._available_cores)
--- a/snowthread/lab/datagram_relay.py
+++ b/snowthread/lab/datagram_relay.py
@@ -1,4 +1,4 @@
-"""The relay of the lab between a node and the registry, which exchange datagrams."""
+"""Relay of the lab for the UDP link between a node and the registry."""
 
 from __future__ import annotations
 
@@ -14,45 +14,45 @@
 
 
 class DatagramRelay:
-    """The link between one node and the registry: forwards datagrams, or drops them while partitioned."""
+    """Forwards datagrams between one node and the registry, or drops them while the link is partitioned."""
 
     def __init__(self, loop: EventLoop, target: Address) -> None:
-        """Receive on a free loopback port: its ``address``."""
+        """Receive datagrams for ``target`` on a free loopback port, which is the relay's ``address``."""
         self.loop = loop
         self.faults = LinkFaults()
-        self._client_side = ANY_PORT.open(socket.SOCK_DGRAM)
-        self._client_side.bind(ANY_PORT)
-        self._target_side = target.open(socket.SOCK_DGRAM)
-        self._target_side.connect(target)
+        self._client_socket = ANY_PORT.open(socket.SOCK_DGRAM)
+        self._client_socket.bind(ANY_PORT)
+        self._target_socket = target.open(socket.SOCK_DGRAM)
+        self._target_socket.connect(target)
         self._client: Address | None = None
-        self.address = Address(*self._client_side.getsockname()[:2])
+        self.address = Address(*self._client_socket.getsockname()[:2])
         self._tasks = [loop.spawn(self._forward_requests()), loop.spawn(self._forward_answers())]
 
     def close(self) -> None:
-        """Close both sockets."""
+        """Stop forwarding and close both sockets."""
         for task in self._tasks:
             self.loop.end_task(task)
 
     def _forward_requests(self) -> TaskSteps:
         try:
             while True:
-                yield Wait(self._client_side.fileno(), READABLE)
-                # Where there is no registry, the datagram is lost, as on a network.
+                yield Wait(self._client_socket.fileno(), READABLE)
+                # If there is no registry, the datagram is lost, as on a real network.
                 with contextlib.suppress(OSError):
-                    datagram, client = self._client_side.recvfrom(DATAGRAM_BYTES_MAX)
+                    datagram, client = self._client_socket.recvfrom(DATAGRAM_BYTES_MAX)
                     self._client = Address(*client)
                     if not self.faults.partitioned:
-                        self._target_side.send(datagram)
+                        self._target_socket.send(datagram)
         finally:
-            self.loop.close(self._client_side)
+            self.loop.close(self._client_socket)
 
     def _forward_answers(self) -> TaskSteps:
         try:
             while True:
-                yield Wait(self._target_side.fileno(), READABLE)
+                yield Wait(self._target_socket.fileno(), READABLE)
                 with contextlib.suppress(OSError):
-                    datagram = self._target_side.recv(DATAGRAM_BYTES_MAX)
+                    datagram = self._target_socket.recv(DATAGRAM_BYTES_MAX)
                     if self._client is not None and not self.faults.partitioned:
-                        self._client_side.sendto(datagram, self._client)
+                        self._client_socket.sendto(datagram, self._client)
         finally:
-            self.loop.close(self._target_side)
+            self.loop.close(self._target_socket)
--- a/snowthread/lab/demo_display.py
+++ b/snowthread/lab/demo_display.py
@@ -1,4 +1,4 @@
-"""What the demo shows while it runs: the console on a terminal, or a line a step elsewhere."""
+"""Progress display of the demo: the console view on a terminal, otherwise one line per step."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 from snowthread.console.tail import Tail
 
 REFRESH_S = 0.5
-HEIGHT_MAX = 24  # lines
+HEIGHT_MAX = 24  # Maximum height of the console view, in lines.
 
 
 class Display(Protocol):
-    """Shows the course of a demo; times are seconds since its begin."""
+    """Displays the progress of a demo; times are seconds since its start."""
 
     def announce(self, now_s: float, description: str) -> None:
-        """Say what happens now."""
+        """Display the step that is executed now."""
 
     def update(self, now_s: float) -> None:
-        """Show the present state of the fleet."""
+        """Display the current state of the fleet."""
 
 
 class LineDisplay:
-    """Prints a line a step on standard error."""
+    """Prints one line per step to standard error."""
 
     def announce(self, now_s: float, description: str) -> None:
-        """Print the step."""
+        """Print the description of a step with its time."""
         click.echo(f"{now_s:5.1f} s: {description}", err=True)
 
     def update(self, now_s: float) -> None:
-        """Print nothing between the steps."""
+        """Do nothing: only steps are printed."""
 
 
 class LiveDisplay:
-    """Draws the console of the nodes' records on the terminal."""
+    """Draws the console view of the nodes' records on the terminal."""
 
     def __init__(self, records: Path, console: Console, live: Live) -> None:
-        """Read the records of this folder and draw them with ``live``."""
+        """Read the records in this folder and draw them on ``live``."""
         self._tail = Tail([records])
         self._console = console
         self._live = live
@@ -52,10 +52,10 @@
         self._refreshed_s = 0.0
 
     def announce(self, now_s: float, description: str) -> None:
-        """Print nothing: the console shows what happens."""
+        """Do nothing: the effect of the step shows in the console view."""
 
     def update(self, now_s: float) -> None:
-        """Draw the records that came since the last drawing, at most each ``REFRESH_S``."""
+        """Draw the records added since the last drawing, at most once per ``REFRESH_S``."""
         if now_s - self._refreshed_s < REFRESH_S:
             return
         self._refreshed_s = now_s
@@ -67,7 +67,7 @@
 
 @contextmanager
 def open_display(records: Path) -> Iterator[Display]:
-    """Provide the display that suits standard output."""
+    """Open the display for standard output: a live console view on a terminal, otherwise lines."""
     console = Console()
     if not console.is_terminal:
         yield LineDisplay()
--- a/snowthread/lab/demo_fleet.py
+++ b/snowthread/lab/demo_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of the demo: three nodes with skewed clocks, each with emulated surroundings and its own load."""
+"""Fleet of the demo: three nodes with skewed clocks, each with emulated services and its own load."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 )
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
 
-CLOCK_OFFSETS_S = (0.4, -0.6, 0.0)  # one a node: how far the clock of its machine is off
-NODES = len(CLOCK_OFFSETS_S)
-CORES = 4  # of each node's machine
+# Offset of the clock of each node's machine from the true time, in seconds.
+CLOCK_OFFSETS_S = (0.4, -0.6, 0.0)
+NODE_COUNT = len(CLOCK_OFFSETS_S)
+CORES_PER_NODE = 4  # Number of cores of each node's machine.
 RUN_MS = 20.0
-DATABASE_MS = 15.0
+DATABASE_CALL_MS = 15.0
 SHUTDOWN_TIMEOUT_MS = 1500
 START_TIMEOUT_MS = 20_000.0
 EXIT_POLL_MS = 50.0
 LOOP_STEP_S = 0.02
-REQUESTS_PER_S = 60.0  # to each node
+REQUESTS_PER_S = 60.0  # Requests per second to each node.
 CLASS_SHARES = {"match": 0.5, "recalc": 0.2, "dispense": 0.3}
 BALANCER_HOSTS = ("127.0.0.1", "127.0.0.2")
 BALANCER_NUMBER = 10
@@ -39,10 +40,10 @@
 
 
 class DemoFleet:
-    """The processes of the demo; the load comes from this process."""
+    """The node and emulator processes of the demo, and the load generators in this process."""
 
     def __init__(self, folder: Path, loop: EventLoop) -> None:
-        """Write the configurations into a folder and start the emulators; the nodes are not started yet."""
+        """Write the configurations to a folder and start the emulators; :meth:`start` starts the nodes."""
         self.folder = folder
         self.records = folder / "records"
         self.loop = loop
@@ -50,9 +51,11 @@
         self._features = folder / "demo.hcl"
         self._features.write_text(f'records {{\n  folder = "{self.records}"\n}}\n')
         self._reservation = AddressReservation(FLEET_HOST)
-        self.nodes = [self._create_node(number) for number in range(NODES)]
-        self._sites = [
-            EmulatorProcess("emulators.site", str(self._config_file(node.number)), str(CORES), str(RUN_MS))
+        self.nodes = [self._create_node(number) for number in range(NODE_COUNT)]
+        self._site_emulators = [
+            EmulatorProcess(
+                "emulators.site", str(self._config_file(node.number)), str(CORES_PER_NODE), str(RUN_MS)
+            )
             for node in self.nodes
         ]
         self.loads = [
@@ -69,7 +72,7 @@
         name = f"n{number + 1}"
         listen = self._reservation.reserve()
         fields = read_example_configuration()
-        fields["settings"]["domain"]["cores"] = CORES
+        fields["settings"]["domain"]["cores"] = CORES_PER_NODE
         fields |= {
             "name": name,
             "listen": format_address(listen),
@@ -88,7 +91,7 @@
         """Start the nodes one after the other.
 
         Raises:
-            StartError: A node does not accept connections in time.
+            StartError: A node ended or did not accept connections in time.
         """
         for node in self.nodes:
             node.start()
@@ -96,35 +99,35 @@
             deadline = self.loop.clock.now() + START_TIMEOUT_MS
             while not node.accepting:
                 if self.loop.clock.now() >= deadline or not node.running:
-                    raise StartError(f"the demo's node {node.number + 1}")
+                    raise StartError(f"demo node {node.number + 1}")
                 self.loop.run_once(LOOP_STEP_S)
-        self.set_database_time(DATABASE_MS)
+        self.set_database_call_time(DATABASE_CALL_MS)
 
     def _wait_until_accepting(self, node: NodeProcess) -> TaskSteps:
         yield from node.wait_until_accepting(self.loop, START_TIMEOUT_MS)
 
     def start_load(self, seconds: float) -> None:
-        """Send requests to all nodes for so long, with the same draws in each run."""
+        """Send requests to all nodes for this many seconds; the same requests are drawn in each demo."""
         generator = random.Random(LOAD_SEED)
         for load in self.loads:
             load.schedule_arrivals(generator, REQUESTS_PER_S, seconds, CLASS_SHARES)
 
-    def set_database_time(self, milliseconds: float) -> None:
-        """Have each call to the database take so long from now on."""
-        for site in self._sites:
+    def set_database_call_time(self, milliseconds: float) -> None:
+        """Set the duration of every database call from now on."""
+        for site in self._site_emulators:
             site.send(f"index {milliseconds}")
 
-    def stopper(self, number: int, how: signal.Signals) -> Callable[[], None]:
-        """Return an action that stops a node with a signal and sends its load to the others."""
+    def stop_action(self, number: int, signal_number: signal.Signals) -> Callable[[], None]:
+        """Return an action that stops a node with a signal and moves its load to the other nodes."""
 
         def stop() -> None:
             self.loads[number].paused = True
-            self.nodes[number].send_signal(how)
+            self.nodes[number].send_signal(signal_number)
 
         return stop
 
-    def restarter(self, number: int) -> Callable[[], None]:
-        """Return an action that starts a node again once it has ended, and gives it its load back."""
+    def restart_action(self, number: int) -> Callable[[], None]:
+        """Return an action that restarts a node after it has ended, and gives its load back to it."""
         return lambda: self._spawn_restart(number)
 
     def _spawn_restart(self, number: int) -> None:
@@ -138,9 +141,9 @@
         load.paused = False
 
     def close(self) -> None:
-        """Close the load's connections and stop all processes, the nodes gracefully."""
+        """Close the load connections and stop all processes; the nodes shut down gracefully."""
         self.loop.end_all_tasks()
         stop_nodes(self.nodes)
-        for site in self._sites:
+        for site in self._site_emulators:
             site.stop()
         self._reservation.close()
--- a/snowthread/lab/demo_timeline.py
+++ b/snowthread/lab/demo_timeline.py
@@ -1,4 +1,4 @@
-"""The timeline of the demo: a slow database, a rolling deploy, and a crash."""
+"""Timeline of the demo: a slow database, a rolling deployment and a crash."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from functools import partial
 
 from snowthread.lab.demo_display import Display
-from snowthread.lab.demo_fleet import DATABASE_MS, LOOP_STEP_S, NODES, DemoFleet
+from snowthread.lab.demo_fleet import DATABASE_CALL_MS, LOOP_STEP_S, NODE_COUNT, DemoFleet
 
 MS_PER_S = 1000.0
-SLOW_DATABASE_MS = 150.0
-# When things happen, as shares of the demo's length.
-SLOW_FROM = 0.25
-SLOW_UNTIL = 0.45
-DEPLOY_FROM = 0.6
-CRASH_AT = 0.85
-# Seconds between two steps of the deploy and of the crash.
+SLOW_DATABASE_CALL_MS = 150.0
+# Times of the events, as shares of the demo's duration.
+SLOW_DATABASE_START_SHARE = 0.25
+SLOW_DATABASE_END_SHARE = 0.45
+DEPLOY_START_SHARE = 0.6
+CRASH_TIME_SHARE = 0.85
+# Seconds between the steps of the rolling deployment, and until nodes restart.
 DEPLOY_INTERVAL_S = 3.0
 DEPLOY_RESTART_S = 2.0
 CRASH_RESTART_S = 4.0
 CRASHED_NODE = 1
-CALM_END_S = 6.0  # of traffic at least after the last step
+MIN_TRAFFIC_AFTER_LAST_STEP_S = 6.0  # The load continues for at least this long after the last step.
 
 
 @dataclass(frozen=True, slots=True)
 class DemoStep:
-    """One thing that happens to the fleet."""
+    """An action on the fleet at a time of the demo, with a description for the display."""
 
     at_s: float
     description: str
@@ -35,45 +35,51 @@
 
 
 def plan_steps(fleet: DemoFleet, seconds: float) -> list[DemoStep]:
-    """Return the steps of a demo of this length, in order of time."""
+    """Return the steps of a demo that lasts this many seconds, ordered by time."""
     steps = [
         DemoStep(
-            SLOW_FROM * seconds,
+            SLOW_DATABASE_START_SHARE * seconds,
             "the database becomes slow",
-            partial(fleet.set_database_time, SLOW_DATABASE_MS),
+            partial(fleet.set_database_call_time, SLOW_DATABASE_CALL_MS),
         ),
         DemoStep(
-            SLOW_UNTIL * seconds,
+            SLOW_DATABASE_END_SHARE * seconds,
             "the database is as fast as before",
-            partial(fleet.set_database_time, DATABASE_MS),
+            partial(fleet.set_database_call_time, DATABASE_CALL_MS),
         ),
     ]
-    deploy_s = DEPLOY_FROM * seconds
-    for number in range(NODES):
+    deploy_s = DEPLOY_START_SHARE * seconds
+    for number in range(NODE_COUNT):
         steps += _stop_and_restart(
             fleet, number, deploy_s + number * DEPLOY_INTERVAL_S, signal.SIGTERM, DEPLOY_RESTART_S
         )
-    deployed_s = deploy_s + NODES * DEPLOY_INTERVAL_S + DEPLOY_RESTART_S
-    crash_s = max(CRASH_AT * seconds, deployed_s)
+    deployed_s = deploy_s + NODE_COUNT * DEPLOY_INTERVAL_S + DEPLOY_RESTART_S
+    crash_s = max(CRASH_TIME_SHARE * seconds, deployed_s)
     steps += _stop_and_restart(fleet, CRASHED_NODE, crash_s, signal.SIGKILL, CRASH_RESTART_S)
     return sorted(steps, key=lambda step: step.at_s)
 
 
 def _stop_and_restart(
-    fleet: DemoFleet, number: int, at_s: float, how: signal.Signals, restart_after_s: float
+    fleet: DemoFleet, number: int, at_s: float, signal_number: signal.Signals, restart_after_s: float
 ) -> list[DemoStep]:
     name = fleet.nodes[number].name
-    stopped = f"{name} is killed" if how is signal.SIGKILL else f"{name} shuts down gracefully"
+    stopped = f"{name} is killed" if signal_number is signal.SIGKILL else f"{name} shuts down gracefully"
     return [
-        DemoStep(at_s, stopped, fleet.stopper(number, how)),
-        DemoStep(at_s + restart_after_s, f"{name} starts again", fleet.restarter(number)),
+        DemoStep(at_s, stopped, fleet.stop_action(number, signal_number)),
+        DemoStep(at_s + restart_after_s, f"{name} starts again", fleet.restart_action(number)),
     ]
 
 
 def run_demo(fleet: DemoFleet, seconds: float, display: Display) -> None:
-    """Send traffic for so long, carry out the steps at their times, and keep the display up to date."""
+    """Run the demo: send requests, execute the steps at their times, and update the display.
+
+    Args:
+        fleet: The fleet, whose nodes have been started.
+        seconds: Duration of the demo; it is extended if the last step would come too late.
+        display: Shows the progress.
+    """
     steps = plan_steps(fleet, seconds)
-    seconds = max(seconds, steps[-1].at_s + CALM_END_S)
+    seconds = max(seconds, steps[-1].at_s + MIN_TRAFFIC_AFTER_LAST_STEP_S)
     clock = fleet.loop.clock
     begin_ms = clock.now()
     fleet.start_load(seconds)
--- a/tests/lab/test_address_reservation.py
+++ b/tests/lab/test_address_reservation.py
@@ -1,4 +1,4 @@
-"""Addresses of a run's programs are given once, also where the kernel offers a free port again at once."""
+"""Tests that the programs of a run get different addresses, even if the kernel reuses free ports at once."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 NODES = 3
 LAB_CORES = 2
 PATIENCE_S = 10.0
-OFFERED_PORTS = range(20_000, 32_000)  # below those of the kernel, which other tests use
+OFFERED_PORTS = range(20_000, 32_000)  # Below the kernel's range of free ports, which other tests use.
 TCP_KEYS = ("listen", "runtime", "index")
 UDP_KEY = "roster"
 
 
 class LowestPortSocket(socket.socket):
-    """A socket that is given the lowest port that is free, as a kernel may do."""
+    """A socket that binds to the lowest free port if it asks for any, as a kernel may do."""
 
     def bind(self, address: Any) -> None:
         if self.family != socket.AF_INET or address[1] != 0:
             super().bind(address)
             return
         shares_address = self.getsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR)
-        # A kernel gives no socket a port that another one has, whether both may share it or not.
+        # A kernel never gives out a port that another socket has, even if both allow sharing.
         self.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 0)
         for port in OFFERED_PORTS:
             try:
@@ -55,7 +55,7 @@
 
 
 class IdleEmulator:
-    """Stands in for an emulator's process, which would take its ports."""
+    """Replaces the process of an emulator, which would bind its ports."""
 
     def __init__(self, module: str, *arguments: str, log: Path | None = None) -> None:
         pass
@@ -66,7 +66,7 @@
 
 @pytest.fixture
 def lowest_ports(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have each socket that asks for a free port be given the lowest one."""
+    """Give the lowest free port to each socket that asks for any port."""
     monkeypatch.setattr(socket, "socket", LowestPortSocket)
 
 
@@ -96,7 +96,8 @@
         fronts = read_json(folder / "balancers.json")["nodes"]
         nodes = [read_json(folder / name / "node.json") for name in fronts]
     tcp = [*services["runtimes"], services["database"], *fronts.values()]
-    tcp += [node[key] for node in nodes for key in ("listen", "index")]  # ``index``: the database's relay
+    # "index" is the address of the database's relay.
+    tcp += [node[key] for node in nodes for key in ("listen", "index")]
     assert_all_differ(tcp, 4 * NODES + 1)
     assert_all_differ([services[UDP_KEY], *(node[UDP_KEY] for node in nodes)], NODES + 1)
 
@@ -112,7 +113,7 @@
 def test_node_under_faults_gives_every_address_once(tmp_path: Path) -> None:
     scenario = NodeScenario(MachineModel(), load=0.5, class_shares={"match": 1.0})
     with NodeUnderFaults(tmp_path, scenario, seed=1) as node:
-        node.database_link.close()  # its address stays its own while it does not listen
+        node.database_link.close()  # A closed relay keeps its address reserved.
         taken = socket.create_server((HOST, 0))
         assert taken.getsockname()[1] != node.database_link.address.port
         taken.close()
@@ -145,7 +146,7 @@
         address = addresses.reserve()
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(address)
-        for _ in range(2):  # a program that ended may start again
+        for _ in range(2):  # A program that has ended may bind its address again.
             with listen(address) as listener:
                 socket.create_connection(address).close()
                 listener.setblocking(True)
