--- a/snowthread/lab/record_summary.py
+++ b/snowthread/lab/record_summary.py
@@ -1,4 +1,4 @@
-"""Sum up the nodes' records of a run: decisions on stale state, and what starts of nodes found. Pure."""
+"""Summarizes the nodes' records of a run: decisions on stale state, and what nodes found at start. Pure."""
 
 from __future__ import annotations
 
@@ -9,20 +9,26 @@
 
 from snowthread.records.model import Record
 
-STALE_AFTER_OBJECTIVES = 2.0  # age of a run time, in latency objectives, from which it counts as stale
-STALE_TOLERANCE_S = 0.25  # the nodes check the age this often
+# A run time is stale if it was not confirmed for this many latency objectives of its class.
+STALE_AFTER_OBJECTIVES = 2.0
+STALE_TOLERANCE_S = 0.25  # Tolerance for the age of a run time: the interval at which nodes check it.
 MS_PER_S = 1000.0
-# Log events of the recovery feature in the nodes' records; earlier versions wrote the second prefix.
+# Prefixes of the recovery feature's log events in records; earlier versions wrote "comeback.".
 RECOVERY_EVENT_PREFIXES = ("recovery.", "comeback.")
-SNAPSHOT_WRITE_EVENTS = frozenset({"write", "write_failed"})  # these say nothing about a start
-START_FINDING_KEYS = {"key_log": "ring", "incarnation": "life", "registry": "roster"}  # event to summary key
+# These events report the writing of a snapshot and say nothing about a start.
+SNAPSHOT_WRITE_EVENTS = frozenset({"write", "write_failed"})
+# Keys of the summary, by the names of the log events that they stand for.
+START_FINDING_KEYS = {"key_log": "ring", "incarnation": "life", "registry": "roster"}
 
 
 def summarize_records(records: Iterable[Record]) -> dict[str, Any]:
-    """Return the decisions made on stale state, and what each start of a node found and trusted.
+    """Count the decisions on stale state, and the findings of the nodes' starts, in the records of a run.
 
-    A request counts as decided on stale state where it was read in a second at whose end the run times of its
-    class had not been confirmed for more than ``STALE_AFTER_OBJECTIVES``.
+    A request counts as decided on stale state if it was read in a second at whose end the run times of its
+    class had not been confirmed for more than ``STALE_AFTER_OBJECTIVES`` latency objectives.
+
+    Returns:
+        The keys ``stale_decisions``, ``decisions`` and ``starts`` of the summary.
     """
     objectives_s: dict[str, float] = {}
     stale = 0
@@ -47,7 +53,7 @@
 
 
 def _start_finding(fields: dict[str, Any]) -> str:
-    """Return what a note of the recovery feature says about a start; empty for other notes."""
+    """Return the finding that a note of the recovery feature reports about a start; empty for other notes."""
     event = str(fields.get("event", ""))
     for prefix in RECOVERY_EVENT_PREFIXES:
         if event.startswith(prefix):
--- a/snowthread/lab/relay.py
+++ b/snowthread/lab/relay.py
@@ -1,7 +1,6 @@
-"""The TCP relay of the lab: forwards connections to a target, through the faults of a link.
+"""TCP relay of the lab: forwards connections to a target through the faults of a link.
 
-Each direction of a connection is a coroutine of its own on the project's event loop; see
-:mod:`snowthread.lab.relay_direction`.
+Each direction of a connection is a coroutine on the event loop; see :mod:`snowthread.lab.relay_direction`.
 """
 
 from __future__ import annotations
@@ -20,17 +19,21 @@
 
 
 class Relay:
-    """A TCP link from its own ``address`` to a target; set ``faults`` to disturb it."""
+    """A TCP link from its own ``address`` to a target; set attributes of ``faults`` to disturb it."""
 
     def __init__(self, loop: EventLoop, listen: Address, target: Address, generator: random.Random) -> None:
-        """Listen at once; with port 0 in ``listen``, at a free port, which ``address`` has.
+        """Start to listen; an OSError means that the address is not available.
 
-        ``generator`` draws the jitter. OSError says that the address is not available.
+        Args:
+            loop: The event loop.
+            listen: Address to listen on; with port 0, a free port is chosen and stored in ``address``.
+            target: Address to which connections are forwarded.
+            generator: Draws the jitter.
         """
         self.loop = loop
         self.target = target
         self.faults = LinkFaults()
-        self.rejected_connections = 0  # connections that were not forwarded
+        self.rejected_connections = 0  # Connections that were not forwarded.
         self._link = RelayedLink(loop, self.faults, generator)
         self.address = listen
         self._listener: socket.socket | None = None
@@ -38,7 +41,7 @@
         self.open()
 
     def open(self) -> None:
-        """Listen at the relay's address, if it does not yet; OSError where it is not available."""
+        """Listen on the relay's address if not yet listening; an OSError means that it is not available."""
         if self._accept_task is not None:
             return
         listener = open_listener(self.address, LISTEN_BACKLOG)
@@ -47,12 +50,12 @@
         self._accept_task = self.loop.spawn(self._accept(listener))
 
     def close(self) -> None:
-        """Stop listening, as if the target were dead; open connections stay, and so does the address."""
+        """Stop listening, as if the target were dead; open connections and the address are kept."""
         if self._accept_task is None or self._listener is None:
             return
         self.loop.end_task(self._accept_task)
         self._accept_task = None
-        if self._listener.fileno() >= 0:  # a task that never ran has closed nothing
+        if self._listener.fileno() >= 0:  # A task that never ran has not closed its listener.
             self._listener.close()
 
     def _accept(self, listener: socket.socket) -> TaskSteps:
@@ -73,7 +76,7 @@
             self.loop.close(listener)
 
     def _connect(self, client: socket.socket) -> TaskSteps:
-        """Connect to the target and start both directions; close the client where it does not answer."""
+        """Connect to the target and start both directions; close the client if the connect fails."""
         server = self.target.open(socket.SOCK_STREAM)
         try:
             server.connect(self.target)
@@ -90,7 +93,7 @@
         for sock in (client, server):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = ConnectionState()
-        # Each direction has its own descriptors, since the loop watches a descriptor for one task.
+        # Each direction gets its own descriptors, since the loop watches a descriptor for only one task.
         self.loop.spawn(RelayDirection(self._link, client, server.dup(), connection).run())
         self.loop.spawn(RelayDirection(self._link, server, client.dup(), connection).run())
 
--- a/snowthread/lab/relay_direction.py
+++ b/snowthread/lab/relay_direction.py
@@ -1,7 +1,8 @@
-"""One direction of a TCP connection that a relay of the lab forwards, through the faults of its link.
+"""One direction of a TCP connection through a relay of the lab.
 
-What a direction reads waits in a bounded queue until :mod:`snowthread.lab.faults` releases it. Reading stops
-while the queue is full, so that a slow link causes back pressure as a real one does.
+Chunks that were read wait in a bounded queue until the faults of the link (:mod:`snowthread.lab.faults`)
+allow their release. Reading stops while the queue is full, so that a slow link causes backpressure as a real
+one does.
 """
 
 from __future__ import annotations
@@ -17,24 +18,24 @@
 from snowthread.lab.faults import ForwardingState, LinkFaults, compute_release_ms, is_cut
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, TaskSteps, Wait
 
-QUEUE_BYTES_MAX = 1 << 20  # of one direction of a connection
+QUEUE_BYTES_MAX = 1 << 20  # Limit of the queue of one direction of a connection.
 CHUNK_BYTES = 65536
-FAULT_POLL_MS = 50.0  # how often a waiting direction reads the faults again
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, with a timeout of 0 s
-DIRECTIONS = 2
+FAULT_POLL_MS = 50.0  # Interval at which a waiting direction checks the faults again.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # Value of SO_LINGER: enabled, with a timeout of 0 s.
+DIRECTIONS_PER_CONNECTION = 2
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedLink:
-    """What the connections of a link share."""
+    """State shared by all connections of a link."""
 
     loop: EventLoop
     faults: LinkFaults
-    generator: random.Random  # draws the jitter
+    generator: random.Random  # Draws the jitter.
 
 
 class ConnectionState:
-    """What the two directions of one connection share."""
+    """State shared by the two directions of one connection."""
 
     __slots__ = ("broken", "directions_ended")
 
@@ -44,23 +45,27 @@
 
 
 class _QueuedChunk(NamedTuple):
-    """Bytes that were read, and when they may be forwarded."""
+    """A chunk that was read, and the time at which it may be forwarded."""
 
     release_at_ms: float
     data: bytes
 
 
 class RelayDirection:
-    """One direction of a relayed connection: reads, delays and writes until it ends, breaks or is cut."""
+    """One direction of a relayed connection: reads, delays and writes until it ends, fails or is cut."""
 
     def __init__(
-        self, link: RelayedLink, source: socket.socket, sink: socket.socket, connection: ConnectionState
+        self,
+        link: RelayedLink,
+        source: socket.socket,
+        destination: socket.socket,
+        connection: ConnectionState,
     ) -> None:
         self._link = link
         self._faults = link.faults
         self._loop = link.loop
         self._source = source
-        self._sink = sink
+        self._destination = destination
         self._connection = connection
         self._forwarding_state = ForwardingState(link.faults.cut_count)
         self._queue: deque[_QueuedChunk] = deque()
@@ -68,7 +73,7 @@
         self._source_ended = False
 
     def run(self) -> TaskSteps:
-        """Forward until the source has ended and all of it is written; then wait for the other direction."""
+        """Forward until the source has ended and all data is written, then wait for the other direction."""
         try:
             while self._queue or not self._source_ended:
                 if self._must_close():
@@ -76,7 +81,7 @@
                 now = self._loop.clock.now()
                 if self._is_due(now):
                     if not self._write_first_chunk():
-                        yield Wait(self._sink.fileno(), WRITABLE | HANGUP, now + FAULT_POLL_MS)
+                        yield Wait(self._destination.fileno(), WRITABLE | HANGUP, now + FAULT_POLL_MS)
                     continue
                 wake_ms = self._wake_ms(now)
                 if self._source_ended or self._queued_bytes >= QUEUE_BYTES_MAX:
@@ -84,9 +89,9 @@
                     continue
                 if (yield Wait(self._source.fileno(), READABLE, wake_ms)):
                     self._read_chunk()
-            self._sink.shutdown(socket.SHUT_WR)
+            self._destination.shutdown(socket.SHUT_WR)
             self._connection.directions_ended += 1
-            while self._connection.directions_ended < DIRECTIONS and not self._must_close():
+            while self._connection.directions_ended < DIRECTIONS_PER_CONNECTION and not self._must_close():
                 yield Wait(until_ms=self._loop.clock.now() + FAULT_POLL_MS)
         except OSError:
             self._connection.broken = True
@@ -100,7 +105,7 @@
         return bool(self._queue) and not self._faults.partitioned and self._queue[0].release_at_ms <= now
 
     def _wake_ms(self, now: float) -> float:
-        """Return when to look again: as the first chunk is due, or to read the faults anew."""
+        """Return when to wake up: when the first chunk is due, or to check the faults again."""
         poll_ms = now + FAULT_POLL_MS
         if self._queue and not self._faults.partitioned:
             return min(self._queue[0].release_at_ms, poll_ms)
@@ -120,10 +125,10 @@
         self._queued_bytes += len(data)
 
     def _write_first_chunk(self) -> bool:
-        """Write what the sink takes of the first chunk; return whether it took all of it."""
+        """Write as much of the first chunk as the destination accepts; return whether that was all of it."""
         chunk = self._queue.popleft()
         try:
-            sent = self._sink.send(chunk.data)
+            sent = self._destination.send(chunk.data)
         except BlockingIOError:
             sent = 0
         self._queued_bytes -= sent
@@ -138,10 +143,10 @@
         if self._connection.broken:
             _reset_on_close(self._source)
         self._loop.close(self._source)
-        self._loop.close(self._sink)
+        self._loop.close(self._destination)
 
 
 def _reset_on_close(sock: socket.socket) -> None:
-    """Have the socket close with a reset, as a cut link or the kernel of a dead peer would."""
+    """Make the socket close with a reset, as after a cut link or the death of a peer's host."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
--- a/snowthread/lab/report.py
+++ b/snowthread/lab/report.py
@@ -1,7 +1,8 @@
-"""Render the summary of a run of the lab as one HTML file.
+"""Renders the summary of a lab run as one HTML file.
 
-It shows service, rejections, the load of the shared database and the nodes that accept connections, each by
-second, with the steps of the plan. The charts are those of ``snowthread report``.
+The report shows by second the service, the rejections, the load of the shared database and the number of
+nodes that accept connections, and it lists the steps of the plan. It uses the charts of ``snowthread
+report``.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 
 def render_report(summary: dict[str, Any]) -> str:
-    """Return the HTML page of a summary."""
+    """Return the summary of a run as an HTML page."""
     title = html.escape(f"lab: {summary['scenario']}, seed {summary['seed']}, {summary['nodes']} nodes")
     return (
         f"<!doctype html><html><head><meta charset=utf-8><title>{title}</title><style>{STYLE}</style></head>"
--- a/snowthread/lab/runner.py
+++ b/snowthread/lab/runner.py
@@ -1,7 +1,8 @@
-"""Run a scenario from start to summary on one event loop: the fleet's relays and the timeline of steps.
+"""Runs a scenario from start to summary on one event loop, which drives the relays and the timeline.
 
-The lab drives the fleet but never decides for a node. Nodes have processor cores of their own where there are
-enough; the lab and its emulators share the others, and what each process used is in the summary.
+The lab controls the processes of the fleet but makes no decisions for a node. If the machine has enough
+cores, the nodes have cores of their own, and the lab and its emulators share the others. The summary has the
+processor time that each process used.
 """
 
 from __future__ import annotations
@@ -22,15 +23,16 @@
 from snowthread.net.loop import EventLoop
 from snowthread.records.reader import Findings, merge
 
-LAST_ANSWERS_MS = 2500.0  # after the last request: by then every request was answered or is late
+# By this time after the last request, every request has been answered or is late.
+LAST_ANSWERS_GRACE_MS = 2500.0
 SAMPLE_INTERVAL_MS = 1000.0
 
 
 class ScenarioRunner:
-    """One run of a scenario in a folder of its own."""
+    """One run of a scenario in its own folder."""
 
     def __init__(self, scenario: Scenario, folder: Path, lab_cores: int) -> None:
-        """Start everything but the nodes."""
+        """Start the emulators and relays; :meth:`run` starts the nodes."""
         self._scenario = scenario
         self._folder = folder
         self._loop = EventLoop(Clock())
@@ -61,7 +63,7 @@
         begin_ms = self._loop.clock.now()
         self._fleet.balancers.send("go")
         self._timeline.schedule(begin_ms)
-        end_ms = begin_ms + self._scenario.duration_ms + LAST_ANSWERS_MS
+        end_ms = begin_ms + self._scenario.duration_ms + LAST_ANSWERS_GRACE_MS
         next_sample_ms = begin_ms
         while (now := self._loop.clock.now()) < end_ms:
             self._loop.run_once(LOOP_STEP_S)
@@ -71,7 +73,7 @@
 
     def _measure_cpu(self) -> None:
         for name, pid in ({"lab": os.getpid()} | self._fleet.pids()).items():
-            with contextlib.suppress(OSError):  # it has ended
+            with contextlib.suppress(OSError):  # The process has ended.
                 self._cpu_s[name] = round(cpu_seconds(pid), 2)
 
     def _close(self) -> None:
@@ -80,7 +82,7 @@
         self._cores.release()
 
     def _report(self) -> dict[str, Any]:
-        """Return what the runner itself observed, as keys of the summary."""
+        """Return the observations of the runner, as keys of the summary."""
         return {
             "alive_by_s": self._accepting_by_s,
             "events": self._timeline.events(),
--- a/tests/lab/test_balancers.py
+++ b/tests/lab/test_balancers.py
@@ -1,4 +1,7 @@
-"""The lab's balancers on loopback count lost, doubled and spoilt answers: their zeros mean something."""
+"""Tests that the lab's balancers count lost, repeated and corrupt answers.
+
+Other tests require these counts to be zero, which is only meaningful if each of them can rise.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +49,7 @@
 
 
 class ScriptedNode:
-    """A node that sends each answer so many times."""
+    """A node that sends each answer ``answers`` times, with a fixed body."""
 
     def __init__(self, loop: EventLoop, answers: int = 1, body: bytes = b"a warm grey known") -> None:
         self.loop = loop
@@ -71,7 +74,7 @@
 
 
 class Fleet:
-    """One scripted node and the balancers that send to it."""
+    """A scripted node, and the balancers that send requests to it."""
 
     def __init__(self, loop: EventLoop, node: ScriptedNode) -> None:
         self.loop = loop
@@ -81,7 +84,7 @@
         self.balancers = Balancers(loop, plan)
 
     def run(self, capsys: pytest.CaptureFixture[str]) -> dict[str, Any]:
-        """Run the plan to the last deadline; the balancers' report."""
+        """Run the plan until the last deadline, and return the report of the balancers."""
         self.balancers.handle("go", "")
         end = self.loop.clock.now() + 2500.0
         while self.loop.clock.now() < end:
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -1,4 +1,4 @@
-"""The lab's relay on loopback: it forwards bytes unchanged, and each fault has its effect."""
+"""Tests the lab's TCP relay: it forwards bytes unchanged, and each fault has its effect."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Echo:
-    """A server that writes back what it reads."""
+    """A server that echoes the bytes that it reads."""
 
     def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
@@ -49,7 +49,7 @@
 
 
 def exchange(loop: EventLoop, relay: Relay, data: bytes, timeout_ms: float = 3000.0) -> tuple[bytes, float]:
-    """Send data and read the echo; return what came before the timeout, and the time it took in ms."""
+    """Send data and read the echo; return what arrived before the timeout, and the time taken in ms."""
     client = socket.create_connection(relay.address)
     client.setblocking(False)
     begin = loop.clock.now()
@@ -81,14 +81,14 @@
     loop, relay = link
     relay.faults.delay_ms = 150.0
     received, took_ms = exchange(loop, relay, b"ping")
-    assert received == b"ping" and took_ms >= 300.0  # there and back
+    assert received == b"ping" and took_ms >= 300.0  # Each direction adds 150 ms.
 
 
 def test_bandwidth_limits_a_large_write(link: tuple[EventLoop, Relay]) -> None:
     loop, relay = link
     relay.faults.bytes_per_s = 200_000.0
     received, took_ms = exchange(loop, relay, b"x" * 100_000)
-    assert len(received) == 100_000 and took_ms >= 500.0  # 0.5 s each way, the two in part at once
+    assert len(received) == 100_000 and took_ms >= 500.0  # 0.5 s in each direction, partly at the same time.
 
 
 def test_partition_rejects_new_connections_until_it_heals(link: tuple[EventLoop, Relay]) -> None:
@@ -121,7 +121,7 @@
         if ended:
             break
     assert ended
-    assert exchange(loop, relay, b"two")[0] == b"two"  # the relay still accepts connections
+    assert exchange(loop, relay, b"two")[0] == b"two"  # The relay still accepts connections.
 
 
 def test_jitter_keeps_the_order_of_a_connection() -> None:
