--- a/snowthread/lab/processes.py
+++ b/snowthread/lab/processes.py
@@ -1,7 +1,7 @@
-"""Processes of a fleet on loopback: nodes and emulators, how they are started, watched and stopped.
+"""Starts, watches and stops the processes of a fleet on loopback: nodes and emulators.
 
-The lab and the demo both start their fleets with this module. Emulators belong to the repository, not to the
-installed package, so both run only from a clone.
+Both the lab and the demo use this module. Emulators are part of the repository but not of the installed
+package, so both commands run only from a clone.
 """
 
 from __future__ import annotations
@@ -27,81 +27,83 @@
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 10.0
 CONNECT_TIMEOUT_S = 0.2
-ACCEPT_POLL_MS = 25.0  # between two attempts to connect to a node that was started
+ACCEPT_POLL_MS = 25.0  # Interval between attempts to connect to a node that was started.
 _OCTET_VALUES = 250
 _HIGH_OCTET = 1 + os.getpid() // _OCTET_VALUES % _OCTET_VALUES
 _LOW_OCTET = os.getpid() % _OCTET_VALUES
-# The loopback network of this process: .1 is the host of nodes and emulators, .2 and on are those of the
-# balancers. Fleets that run side by side never collide.
+# Loopback network of this process, derived from its process ID so that concurrent fleets never collide. The
+# host .1 has the nodes and emulators; .2 and above have the balancers.
 LOOPBACK_NETWORK = f"127.{_HIGH_OCTET}.{_LOW_OCTET}"
 FLEET_HOST = f"{LOOPBACK_NETWORK}.1"
 
 
 class StartError(RuntimeError):
-    """A process of the fleet did not start in time."""
+    """A process of the fleet ended or took too long during its start."""
 
     def __init__(self, names: str, folder: Path | None = None) -> None:
-        """Name the processes, and the folder of their logs."""
+        """Store the names of the processes, and the path of their logs."""
         self.names = names
         self.folder = folder
         super().__init__(f"{names} did not start" + (f"; see {folder}" if folder else ""))
 
 
 class EmulatorEndedError(RuntimeError):
-    """An emulator ended before its time."""
+    """An emulator process ended while it was needed."""
 
     def __init__(self, module: str, log: Path | None) -> None:
-        """Name the module, and the log of its process."""
+        """Store the emulator's module, and the path of its log."""
         self.module = module
         self.log = log
-        super().__init__(f"{module} ended; see {log}")
+        super().__init__(f"{module} ended unexpectedly; see {log}")
 
 
 def require_repository(command: str) -> None:
-    """Check that the emulators of the repository are there.
+    """Check that the repository's emulators are present.
 
     Raises:
-        ConfigError: They are not.
+        ConfigError: They are missing, because the package runs outside a clone of the repository.
     """
     if not (ROOT / "emulators").is_dir():
-        raise ConfigError(f"the {command} needs the repository round it: run it from a clone")
+        raise ConfigError(f"the {command} needs the emulators of the repository; run it from a clone")
 
 
 def format_address(address: Address) -> str:
-    """Return ``host:port``, as configurations have it."""
+    """Return an address as ``host:port``, the form used in configurations."""
     return f"{address.host}:{address.port}"
 
 
 def read_example_configuration() -> dict[str, Any]:
-    """Return the fields of the repository's example configuration of a node."""
+    """Return the fields of the repository's example node configuration."""
     fields: dict[str, Any] = json.loads((ROOT / "examples" / "node.json").read_bytes())
     return fields
 
 
 @dataclass(slots=True)
 class NodeProcess:
-    """One node of a fleet: how it is started, and its present process."""
+    """One node of a fleet: how to start it, and its current process."""
 
     name: str
-    number: int  # from 0
+    number: int  # Index of the node within the fleet, starting at 0.
     listen: Address
     folder: Path
-    command: tuple[str, ...]  # the module to run, and its arguments
+    command: tuple[str, ...]  # The module to run with ``python -m``, followed by its arguments.
     environment: Mapping[str, str]
     process: subprocess.Popen[bytes] | None = None
     starts: int = 0
-    killed: bool = False  # SIGKILL was sent: not running, whatever poll() returns until it is reaped
-    accepting: bool = False  # took a connection since it was started, and was not killed
+    # SIGKILL was sent. The process counts as ended from then on, even while poll() still returns None.
+    killed: bool = False
+    accepting: bool = False  # The node accepted a connection since its last start, and was not killed.
 
     @property
     def running(self) -> bool:
-        """Whether its process was started and has not ended."""
+        """Whether the process was started and has not ended."""
         return self.process is not None and not self.killed and self.process.poll() is None
 
     def start(self, log: IO[bytes] | int = subprocess.DEVNULL) -> None:
-        """Start a new process once the last one has ended; does not wait until it accepts connections.
+        """Start a new process after the previous one has ended, without waiting until it accepts connections.
 
-        Its output goes to ``log``.
+        Args:
+            log: Destination of the process's standard output and standard error.
         """
         if self.process is not None:
             self.process.wait()
@@ -120,9 +122,14 @@
     def wait_until_accepting(
         self, loop: EventLoop, timeout_ms: float = math.inf
     ) -> Generator[Wait, int, bool]:
-        """Wait, in a coroutine, until the present process accepts connections.
+        """Wait, as a coroutine, until the current process accepts connections.
 
-        Returns False where it ended, was replaced, or the time is up.
+        Args:
+            loop: The event loop.
+            timeout_ms: Maximum time to wait.
+
+        Returns:
+            False if the process ended or was replaced, or the time is over.
         """
         process = self.process
         deadline = loop.clock.now() + timeout_ms
@@ -143,7 +150,7 @@
         return True
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, where it is running."""
+        """Send a signal to the process if it is running."""
         if self.process is None or not self.running:
             return
         self.process.send_signal(number)
@@ -153,7 +160,7 @@
 
 
 def stop_nodes(nodes: Iterable[NodeProcess]) -> None:
-    """Have all nodes shut down gracefully, and kill those that take too long."""
+    """Shut down all nodes gracefully; kill those that take longer than ``STOP_TIMEOUT_S``."""
     nodes = list(nodes)
     for node in nodes:
         node.send_signal(signal.SIGCONT)
@@ -164,13 +171,18 @@
 
 
 class EmulatorProcess:
-    """A module of ``emulators`` that runs as a process and takes commands, one a line, on standard input."""
+    """A process that runs a module of ``emulators`` and reads commands, one per line, from standard input."""
 
     def __init__(self, module: str, *arguments: str, log: Path | None = None) -> None:
-        """Start it and wait until it prints that it is ready; its standard error goes to ``log``.
+        """Start the process and wait until it prints that it is ready.
+
+        Args:
+            module: Name of the module.
+            arguments: Command-line arguments of the module.
+            log: File for the process's standard error; without one, standard error is discarded.
 
         Raises:
-            StartError: It ended before.
+            StartError: The process ended before it was ready.
         """
         self.module = module
         self._log = log
@@ -189,13 +201,13 @@
             raise StartError(module, log)
 
     def send(self, command: str) -> None:
-        """Send one command."""
+        """Send a command to the process."""
         assert self.process.stdin is not None
         self.process.stdin.write(command + "\n")
         self.process.stdin.flush()
 
     def report(self) -> dict[str, Any]:
-        """Request its report and return it.
+        """Request a report from the process and return it.
 
         Raises:
             EmulatorEndedError: The process has ended.
@@ -208,7 +220,7 @@
         return report
 
     def stop(self) -> None:
-        """End it by closing its standard input; kill it where that takes too long."""
+        """End the process by closing its standard input; kill it if that takes over ``STOP_TIMEOUT_S``."""
         assert self.process.stdin is not None
         try:
             self.process.stdin.close()
