--- a/snowthread/lab/deployment.py
+++ b/snowthread/lab/deployment.py
@@ -1,7 +1,7 @@
-"""Configuration of the nodes and emulators of a scenario: the reference site, scaled to its run time.
+"""Configurations for the nodes and emulators of a scenario, scaled from those of a reference site.
 
-Pure. The times of the reference site hold for runs of 302 ms in the mean. A scenario with runs of 100 ms uses
-a third of each time, so that 20 s of a run represent a minute, and a window of 15,951 ms becomes 5.3 s.
+Pure. The times of the reference site apply to runs of 302 ms on average. A scenario with runs of 100 ms uses
+a third of each time, so that 20 s of its run represent a minute and a window of 15,951 ms becomes 5.3 s.
 """
 
 from __future__ import annotations
@@ -16,38 +16,41 @@
 from snowthread.lab.scenario import Scenario
 
 MS_PER_S = 1000.0
-REFERENCE_RUN_MS = 301.6  # of core time, in the mean over the classes by their shares
-WARM_UP_S = 17.0  # from a cold start of a machine until it is warm
-DATABASE_CALLS_PER_SLOT_MAX = 5.0  # calls in progress or waiting that the database survives, over its slots
+# Core time of a run at the reference site, averaged over the classes by their shares.
+REFERENCE_RUN_MS = 301.6
+MACHINE_WARMUP_S = 17.0  # Time from the cold start of a machine until it is warm.
+DATABASE_CALLS_PER_SLOT_MAX = 5.0  # The database survives this many calls per slot, in progress or waiting.
 MEMORY_KB_PER_CORE = 8000.0
 SHUTDOWN_TIMEOUT_MS = 1500
-# Of a keyed retry: within its window.
+# Delay until a client repeats a keyed request; it stays within the idempotency window of the class.
 RETRY_DELAY_MIN_MS = 900.0
 RETRY_DELAY_MAX_MS = 14_000.0
-# Numbers of the balancers in requests: of this site's clients, and of another site's.
-OWN_BALANCER = 0
-FOREIGN_BALANCER = 100
+# Balancer numbers in requests: for clients of this site, and for clients of another site.
+OWN_BALANCER_NUMBER = 0
+OTHER_SITE_BALANCER_NUMBER = 100
 
 
 @dataclass(frozen=True, slots=True)
-class RequestClass:
-    """One class of requests of the reference site."""
+class ReferenceClass:
+    """A request class of the reference site."""
 
     name: str
-    share: float  # of the requests without an idempotency key
-    run_ms: float  # of core time
+    share: float  # Share of this class in the requests without an idempotency key.
+    run_ms: float  # Core time of one run.
     latency_objective_ms: float
     deadline_ms: float
     priority_weight: float
-    late_value: float  # what an answer after the objective counts, as a share of its weight
-    value_without_calls: float  # what an answer made without its calls counts; 0: no such answers
-    makes_calls: bool  # runs call the database
+    # Value of an answer after the latency objective, as a share of the class's priority weight.
+    late_value: float
+    # Value of an answer made without its calls, as a share; 0 if such answers are not made.
+    value_without_calls: float
+    makes_calls: bool  # Whether runs of this class call the database.
     keyed: bool
-    window_ms: float  # in which a key identifies a retry
+    window_ms: float  # Length of the idempotency window, in which a key identifies a retry.
 
 
-REQUEST_CLASSES = (
-    RequestClass(
+REFERENCE_CLASSES = (
+    ReferenceClass(
         name="match",
         share=0.64,
         run_ms=375.0,
@@ -60,7 +63,7 @@
         keyed=False,
         window_ms=5000.0,
     ),
-    RequestClass(
+    ReferenceClass(
         name="recalc",
         share=0.36,
         run_ms=270.0,
@@ -73,7 +76,7 @@
         keyed=False,
         window_ms=5000.0,
     ),
-    RequestClass(
+    ReferenceClass(
         name="dispense",
         share=0.0,
         run_ms=160.0,
@@ -91,36 +94,41 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceAddresses:
-    """Where the emulated services listen."""
+    """Addresses of the emulated services."""
 
-    runtimes: list[Address]  # one a node
+    runtimes: list[Address]  # Address of each node's runtime.
     database: Address
     registry: Address
 
 
 def time_scale(scenario: Scenario) -> float:
-    """Return the scenario's times over those of the reference site."""
+    """Return the ratio of the scenario's times to those of the reference site."""
     return scenario.run_ms / REFERENCE_RUN_MS
 
 
 def run_times_ms(scenario: Scenario) -> dict[str, float]:
-    """Return the core time of a run by class."""
-    return {kind.name: kind.run_ms * time_scale(scenario) for kind in REQUEST_CLASSES}
+    """Return the core time of one run in ms, by class name."""
+    return {
+        request_class.name: request_class.run_ms * time_scale(scenario) for request_class in REFERENCE_CLASSES
+    }
 
 
 def deadlines_ms(scenario: Scenario) -> dict[str, float]:
-    """Return the deadline of a request by class."""
-    return {kind.name: kind.deadline_ms * time_scale(scenario) for kind in REQUEST_CLASSES}
+    """Return the deadline of a request in ms, by class name."""
+    return {
+        request_class.name: request_class.deadline_ms * time_scale(scenario)
+        for request_class in REFERENCE_CLASSES
+    }
 
 
 def requests_per_s(scenario: Scenario) -> float:
-    """Return the rate of requests to all nodes together."""
+    """Return the request rate to all nodes together."""
     capacity_per_s = scenario.nodes * scenario.cores * MS_PER_S / scenario.run_ms
     return scenario.load.share * capacity_per_s
 
 
 def services_plan(scenario: Scenario, addresses: ServiceAddresses) -> dict[str, Any]:
-    """Return the plan that ``emulators.fleet_services`` reads."""
+    """Return the plan for ``emulators.fleet_services``."""
     return {
         "runtimes": [format_address(address) for address in addresses.runtimes],
         "database": format_address(addresses.database),
@@ -131,21 +139,24 @@
         "slots": scenario.slots,
         "seed": scenario.seed,
         "warmth": asdict(scenario.machine) | {"over_ms": deadlines_ms(scenario)},
-        "calls": [kind.name for kind in REQUEST_CLASSES if kind.makes_calls],
+        "calls": [request_class.name for request_class in REFERENCE_CLASSES if request_class.makes_calls],
     }
 
 
 def balancers_plan(
-    scenario: Scenario, fronts: Mapping[str, Address], registry: Address, source_network: str
+    scenario: Scenario, inbound_addresses: Mapping[str, Address], registry: Address, source_network: str
 ) -> dict[str, Any]:
-    """Return the plan that ``emulators.balancers`` reads.
+    """Return the plan for ``emulators.balancers``.
 
-    ``fronts`` are the addresses of the nodes for balancers, by name; ``source_network`` is the first part of
-    the balancers' own addresses.
+    Args:
+        scenario: The scenario.
+        inbound_addresses: The address at which balancers reach each node, by node name.
+        registry: Address of the registry.
+        source_network: The first three octets of the balancers' own addresses.
     """
     scale = time_scale(scenario)
     return {
-        "nodes": {name: format_address(address) for name, address in fronts.items()},
+        "nodes": {name: format_address(address) for name, address in inbound_addresses.items()},
         "roster": format_address(registry),
         "sources": source_network,
         "seed": scenario.seed,
@@ -154,60 +165,70 @@
         "keyed": scenario.load.keyed,
         "repeats": scenario.load.repeats,
         "foreign": scenario.load.foreign,
-        "own_number": OWN_BALANCER,
-        "others_number": FOREIGN_BALANCER,
+        "own_number": OWN_BALANCER_NUMBER,
+        "others_number": OTHER_SITE_BALANCER_NUMBER,
         "again_ms": [RETRY_DELAY_MIN_MS * scale, RETRY_DELAY_MAX_MS * scale],
-        "classes": [_traffic_fields(kind, scale) for kind in REQUEST_CLASSES],
+        "classes": [_traffic_fields(request_class, scale) for request_class in REFERENCE_CLASSES],
     }
 
 
-def _traffic_fields(kind: RequestClass, scale: float) -> dict[str, Any]:
+def _traffic_fields(request_class: ReferenceClass, scale: float) -> dict[str, Any]:
     return {
-        "name": kind.name,
-        "share": kind.share,
-        "goal_ms": kind.latency_objective_ms * scale,
-        "deadline_ms": kind.deadline_ms * scale,
-        "worth": kind.priority_weight,
-        "late_value": kind.late_value,
-        "skip_worth": kind.value_without_calls or 1.0,
-        "keyed": kind.keyed,
+        "name": request_class.name,
+        "share": request_class.share,
+        "goal_ms": request_class.latency_objective_ms * scale,
+        "deadline_ms": request_class.deadline_ms * scale,
+        "worth": request_class.priority_weight,
+        "late_value": request_class.late_value,
+        "skip_worth": request_class.value_without_calls or 1.0,
+        "keyed": request_class.keyed,
     }
 
 
-def node_fields(scenario: Scenario, example: dict[str, Any]) -> dict[str, Any]:
-    """Return a node's configuration: the example's, with the classes and sizes of the scenario."""
+def node_configuration(scenario: Scenario, example: dict[str, Any]) -> dict[str, Any]:
+    """Return a node's configuration: the example's, with the classes, times and sizes of the scenario.
+
+    Args:
+        scenario: The scenario.
+        example: The example configuration; its settings are modified.
+    """
     settings = example["settings"]
     scale_s = time_scale(scenario) / MS_PER_S
-    settings["classes"] = [_class_fields(kind, scale_s) for kind in REQUEST_CLASSES]
+    settings["classes"] = [_class_fields(request_class, scale_s) for request_class in REFERENCE_CLASSES]
     settings["domain"] |= {
         "cores": scenario.cores,
         "calls_out": DATABASE_CALLS_PER_SLOT_MAX * scenario.slots / scenario.nodes,
-        "class_calls": [kind.makes_calls for kind in REQUEST_CLASSES],
-        "class_skip_worth": [kind.value_without_calls for kind in REQUEST_CLASSES],
+        "class_calls": [request_class.makes_calls for request_class in REFERENCE_CLASSES],
+        "class_skip_worth": [request_class.value_without_calls for request_class in REFERENCE_CLASSES],
         "memory_kb": MEMORY_KB_PER_CORE * scenario.cores,
     }
     settings["peers_total"] = scenario.nodes
     settings["rules"] |= {
         "cold_share": scenario.machine.cold_share,
-        "ramp_time_s": WARM_UP_S * time_scale(scenario),
+        "ramp_time_s": MACHINE_WARMUP_S * time_scale(scenario),
     }
     return example | {"stop_ms": SHUTDOWN_TIMEOUT_MS}
 
 
-def _class_fields(kind: RequestClass, scale_s: float) -> dict[str, Any]:
+def _class_fields(request_class: ReferenceClass, scale_s: float) -> dict[str, Any]:
     return {
-        "name": kind.name,
-        "goal_time_s": kind.latency_objective_ms * scale_s,
-        "deadline_s": kind.deadline_ms * scale_s,
-        "importance": kind.priority_weight,
-        "effect": "idempotency_key" if kind.keyed else "read_like",
-        "late_value": kind.late_value,
-        "window_s": kind.window_ms * scale_s,
+        "name": request_class.name,
+        "goal_time_s": request_class.latency_objective_ms * scale_s,
+        "deadline_s": request_class.deadline_ms * scale_s,
+        "importance": request_class.priority_weight,
+        "effect": "idempotency_key" if request_class.keyed else "read_like",
+        "late_value": request_class.late_value,
+        "window_s": request_class.window_ms * scale_s,
     }
 
 
-def features_file(scenario: Scenario, folder: Path) -> str:
-    """Return the operator's file of a node: records, and recovery and sites where the scenario uses them."""
+def operator_file(scenario: Scenario, folder: Path) -> str:
+    """Return the operator's file of a node in HCL: records, and recovery and sites if the scenario has them.
+
+    Args:
+        scenario: The scenario.
+        folder: The node's folder.
+    """
     text = f'records {{\n  folder = "{folder / "records"}"\n}}\n'
     if scenario.comeback:
         text += (
@@ -216,8 +237,8 @@
             f'  database_call = "{scenario.call_ms:g}ms"\n}}\n'
         )
     if scenario.load.foreign:
-        own = f"{OWN_BALANCER}-{FOREIGN_BALANCER - 1}"
-        foreign = f"{FOREIGN_BALANCER}-{2 * FOREIGN_BALANCER}"
+        own = f"{OWN_BALANCER_NUMBER}-{OTHER_SITE_BALANCER_NUMBER - 1}"
+        foreign = f"{OTHER_SITE_BALANCER_NUMBER}-{2 * OTHER_SITE_BALANCER_NUMBER}"
         text += (
             'site {\n  name = "here"\n'
             f'  home {{\n    name = "here"\n    balancers = ["{own}"]\n  }}\n'
--- a/snowthread/lab/scenario.py
+++ b/snowthread/lab/scenario.py
@@ -1,6 +1,6 @@
-"""Scenarios of the lab: the fleet, its traffic and the timed steps.
+"""Model of a lab scenario: the fleet, its traffic and the timed steps.
 
-Pure. :mod:`snowthread.lab.scenario_file` reads them.
+Pure. :mod:`snowthread.lab.scenario_file` reads scenarios from files.
 """
 
 from __future__ import annotations
@@ -13,50 +13,50 @@
 
 
 class Action(StrEnum):
-    """What a step does; the values are the words of a scenario's ``do``."""
+    """The action of a step; the values are those of ``do`` in a scenario file."""
 
     KILL = "kill"
     TERM = "term"
     STOP = "stop"
     WIPE = "wipe"
-    TEAR = "tear"
-    SPOIL = "spoil"
-    GENERATION = "generation"
+    TRUNCATE = "tear"
+    CORRUPT = "spoil"
+    NEXT_GENERATION = "generation"
     PARTITION = "partition"
     DELAY = "delay"
     BANDWIDTH = "bandwidth"
-    CUT = "cut"
-    SLOW = "slow"
-    # Never written in a scenario: each ends a step that has a length.
-    START = "start"
-    CONT = "cont"
+    CLOSE_CONNECTIONS = "cut"
+    SLOW_DATABASE = "slow"
+    # Not allowed in a scenario file: each of these ends the effect of a step with a duration.
+    RESTART = "start"
+    CONTINUE = "cont"
     HEAL = "heal"
 
 
 class LinkName(StrEnum):
-    """A link between a node and its surroundings; the values are the words of a scenario's ``link``."""
+    """A link between a node and a service; the values are those of ``link`` in a scenario file."""
 
-    FRONT = "front"
+    INBOUND = "front"
     DATABASE = "database"
     REGISTRY = "roster"
 
 
-# The field names of the following classes are printed by ``lab plan`` and compared by ``lab replay``.
+# The field names of the dataclasses below are printed by ``lab plan`` and compared by ``lab replay``.
 
 
 @dataclass(frozen=True, slots=True)
 class LoadSettings:
-    """The traffic of a scenario, as shares between 0 and 1 (``share`` may be an overload)."""
+    """The traffic of a scenario, as shares from 0 to 1; ``share`` is above 1 for an overload."""
 
-    share: float = 0.9  # of the fleet's capacity
-    keyed: float = 0.2  # of all requests: those with an idempotency key
-    repeats: float = 0.3  # of keyed requests: those that the client sends twice
-    foreign: float = 0.0  # of all requests: those from another site's clients
+    share: float = 0.9  # Request rate, as a share of the fleet's capacity.
+    keyed: float = 0.2  # Share of requests with an idempotency key.
+    repeats: float = 0.3  # Share of keyed requests that the client sends twice.
+    foreign: float = 0.0  # Share of requests that come from another site's clients.
 
 
 @dataclass(frozen=True, slots=True)
 class MachineSettings:
-    """How a node's machine warms up; see ``emulators/machine.py``."""
+    """How the machine of a node warms up; ``emulators/machine.py`` describes the fields."""
 
     cold_share: float = 0.23
     warm_calls: float = 0.5
@@ -66,50 +66,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One timed action on some nodes, one of their links, or the fleet."""
+    """A timed action on some nodes, on one link of each of them, or on the whole fleet."""
 
     at_ms: float
     do: Action
     nodes: tuple[str, ...] = ()
     link: str = ""
     jitter_ms: float = 0.0
-    value: float = 0.0  # milliseconds of a delay, factor of a slowdown, or bytes a second
+    value: float = 0.0  # Delay in ms, slowdown factor, or bytes per second, depending on the action.
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A checked scenario with its steps in order of time."""
+    """A validated scenario, with its steps ordered by time."""
 
     name: str
     seed: int
     nodes: int
     duration_ms: float
     load: LoadSettings
-    slots: int  # calls that the database works on at a time
-    call_ms: float  # of one database call
+    slots: int  # Number of calls that the database processes at a time.
+    call_ms: float  # Duration of one database call.
     machine: MachineSettings = MachineSettings()
-    cores: int = 4  # of each machine
-    run_ms: float = 100.0  # of core time a run takes, in the mean over the classes
-    comeback: bool = False  # whether the nodes' recovery feature is on
+    cores: int = 4  # Cores of each node's machine.
+    run_ms: float = 100.0  # Core time of one run, averaged over the classes.
+    comeback: bool = False  # Whether the recovery feature of the nodes is enabled.
     steps: tuple[Step, ...] = ()
 
     def node_names(self) -> list[str]:
-        """Return the names of the nodes, ``n1`` and on."""
+        """Return the names of the nodes: ``n1``, ``n2`` and so on."""
         return node_names(self.nodes)
 
     @property
     def database_per_s(self) -> float:
-        """Calls a second that the database completes when it is not overloaded."""
+        """The number of calls per second that the database completes when it is not overloaded."""
         return self.slots * MS_PER_S / self.call_ms
 
 
 def node_names(count: int) -> list[str]:
-    """Return the names of so many nodes, ``n1`` and on."""
+    """Return the names of this many nodes: ``n1``, ``n2`` and so on."""
     return [f"n{number + 1}" for number in range(count)]
 
 
 def plan_lines(scenario: Scenario) -> list[str]:
-    """Return the scenario and its steps as JSON lines: the output of ``lab plan``."""
+    """Return the scenario and its steps as JSON lines, which is the output of ``lab plan``."""
     head = asdict(scenario) | {"steps": len(scenario.steps)}
     steps = [json.dumps(asdict(step), sort_keys=True) for step in scenario.steps]
     return [json.dumps(head, sort_keys=True), *steps]
--- a/snowthread/lab/scenario_file.py
+++ b/snowthread/lab/scenario_file.py
@@ -1,7 +1,7 @@
-"""Read a scenario of the lab from HCL and draw its timed steps.
+"""Reads a lab scenario from an HCL file and draws its timed steps.
 
-The same file and seed always give the same steps, so that a run can be replayed. A scenario
-(``deploy/restart.hcl`` is a complete one)::
+The same file and seed always give the same steps, so that a run can be replayed. This is an excerpt of a
+scenario; ``deploy/restart.hcl`` is a complete one::
 
     seed = 1            nodes = 5            duration = "20s"
     load     { share = 0.9  keyed = 0.2  repeats = 0.3 }
@@ -10,24 +10,26 @@
     step { at = "6s"  do = "kill"  share = 0.8  again_after = "1s" }
     step { at = "6s"  do = "wipe"  share = 0.8 }
 
-Each step applies its action (``do``) to the ``nodes`` named, or to a ``share`` of the nodes drawn with the
-seed. Steps at the same time draw from the same order of nodes: the same share selects the same nodes, a
-smaller share a subset of them.
+Each step applies its action (``do``) to the ``nodes`` that it names, or to a ``share`` of the nodes drawn
+with the seed. Steps at the same time use the same random order of nodes: the same share selects the same
+nodes, and a smaller share selects a subset of them.
 
-| do         | effect                                                    | ``again_after`` / ``for``        |
+| do         | effect                                                    | after ``again_after`` or ``for`` |
 | ---------- | --------------------------------------------------------- | -------------------------------- |
-| kill       | SIGKILL, and the node's machine loses power               | both restart after this time     |
-| term       | SIGTERM: the node shuts down gracefully                   | restarts after this time         |
-| stop       | SIGSTOP                                                   | SIGCONT after this time          |
-| wipe       | the state folder is deleted                               | -                                |
+| kill       | SIGKILL, and the node's machine loses power               | both are restarted               |
+| term       | SIGTERM: the node shuts down gracefully                   | the node is restarted            |
+| stop       | SIGSTOP                                                   | SIGCONT                          |
+| wipe       | the contents of the state folder are deleted              | -                                |
 | tear       | each file of the state folder is truncated to half        | -                                |
 | spoil      | one byte of each file of the state folder is changed      | -                                |
 | generation | the registry announces the next generation of the fleet   | -                                |
-| partition  | ``link`` (front, database, roster) forwards nothing       | heals after this time            |
-| delay      | ``link`` is delayed by ``ms`` plus up to ``jitter_ms``    | heals after this time            |
-| bandwidth  | ``link`` forwards ``bytes_per_s`` (a slow reader)         | heals after this time            |
+| partition  | ``link`` forwards nothing                                 | the link is healed               |
+| delay      | ``link`` is delayed by ``ms`` plus up to ``jitter_ms``    | the link is healed               |
+| bandwidth  | ``link`` forwards ``bytes_per_s``, like a slow reader     | the link is healed               |
 | cut        | the connections of ``link`` are closed                    | -                                |
-| slow       | the database takes ``factor`` times as long for all nodes | heals after this time            |
+| slow       | the database takes ``factor`` times as long for all nodes | the database is healed           |
+
+``link`` is ``front`` (balancers to node), ``database`` or ``roster`` (node to registry).
 """
 
 from __future__ import annotations
@@ -50,17 +52,18 @@
 )
 
 END_OF_ACTION = {
-    Action.KILL: Action.START,
-    Action.TERM: Action.START,
-    Action.STOP: Action.CONT,
+    Action.KILL: Action.RESTART,
+    Action.TERM: Action.RESTART,
+    Action.STOP: Action.CONTINUE,
     Action.PARTITION: Action.HEAL,
     Action.DELAY: Action.HEAL,
     Action.BANDWIDTH: Action.HEAL,
-    Action.SLOW: Action.HEAL,
+    Action.SLOW_DATABASE: Action.HEAL,
 }
 SCENARIO_ACTIONS = tuple(action for action in Action if action not in END_OF_ACTION.values())
-LINK_ACTIONS = frozenset({Action.PARTITION, Action.DELAY, Action.BANDWIDTH, Action.CUT})
-FLEET_ACTIONS = frozenset({Action.SLOW, Action.GENERATION})  # these apply to no single node
+LINK_ACTIONS = frozenset({Action.PARTITION, Action.DELAY, Action.BANDWIDTH, Action.CLOSE_CONNECTIONS})
+# These actions apply to the whole fleet instead of single nodes.
+FLEET_ACTIONS = frozenset({Action.SLOW_DATABASE, Action.NEXT_GENERATION})
 RESTARTED_ACTIONS = frozenset({Action.KILL, Action.TERM})
 NODES_MAX = 64
 CORES_MAX = 64
@@ -75,16 +78,16 @@
 
 
 class _DatabaseSettings(NamedTuple):
-    """The block ``database``."""
+    """Settings of the block ``database``."""
 
-    slots: int  # calls that it works on at a time
+    slots: int  # Number of calls that the database processes at a time.
     call_ms: float
 
 
-class _Magnitude(NamedTuple):
-    """How strong the effect of a step is."""
+class _ActionParameters(NamedTuple):
+    """The parameters of a step's action."""
 
-    value: float = 0.0  # milliseconds of a delay, factor of a slowdown, or bytes a second
+    value: float = 0.0  # Delay in ms, slowdown factor, or bytes per second, depending on the action.
     jitter_ms: float = 0.0
 
 
@@ -92,10 +95,10 @@
     """Read and check a scenario file.
 
     Raises:
-        ConfigError: The file is missing, or a key cannot be used; it is named.
+        ConfigError: The file is missing, or a key is invalid; the error names it.
     """
     if not path.is_file():
-        raise ConfigError(f"{path}: no such scenario")
+        raise ConfigError(f"{path}: the scenario file does not exist")
     file = read_file(path)
     seed = file.integer("seed", 1)
     nodes = file.integer("nodes", 5, 1, NODES_MAX)
@@ -109,7 +112,8 @@
     reader = _StepReader(node_names(nodes), seed, duration_ms)
     steps = [step for block in file.blocks("step", STEPS_MAX) for step in reader.read(block)]
     file.reject_unknown_keys()
-    steps.sort(key=lambda step: step.at_ms)  # stable: simultaneous steps keep the order of the file
+    # The sort is stable, so that simultaneous steps stay in the order of the file.
+    steps.sort(key=lambda step: step.at_ms)
     return Scenario(
         name=path.stem,
         seed=seed,
@@ -159,27 +163,27 @@
 
 @dataclass(frozen=True, slots=True)
 class _StepReader:
-    """Reads ``step`` blocks against the fleet and the duration of their scenario."""
+    """Reads ``step`` blocks for a fleet with these nodes and a scenario with this seed and duration."""
 
     node_names: list[str]
     seed: int
     duration_ms: float
 
     def read(self, block: Block) -> list[Step]:
-        """Return the step of a block, followed by the step that ends it where it has a length."""
+        """Return the step of a block, and the step that ends its effect if it has a duration."""
         at_ms = block.duration_ms("at", "0ms", least_ms=0.0, most_ms=self.duration_ms)
         action = Action(block.choice("do", SCENARIO_ACTIONS, Action.KILL))
         named = block.text_list("nodes", ())
         share = block.number("share", 0.0, 0.0, 1.0)
         link = block.choice("link", LinkName, LinkName.DATABASE) if action in LINK_ACTIONS else ""
-        magnitude = _read_magnitude(block, action)
+        parameters = _read_action_parameters(block, action)
         length_ms = self._read_length(block, action)
         block.reject_unknown_keys()
         for name in named:
             if name not in self.node_names:
                 raise block.error("nodes", f"no node {name!r} among n1 to n{len(self.node_names)}")
         nodes = named or self._draw_nodes(action, at_ms, share)
-        steps = [Step(at_ms, action, nodes, link, magnitude.jitter_ms, magnitude.value)]
+        steps = [Step(at_ms, action, nodes, link, parameters.jitter_ms, parameters.value)]
         if length_ms:
             steps.append(replace(steps[0], at_ms=at_ms + length_ms, do=END_OF_ACTION[action]))
         return steps
@@ -194,19 +198,20 @@
         if action in FLEET_ACTIONS:
             return ()
         order = list(self.node_names)
-        # Seeded by the time: simultaneous steps draw one order, so a smaller share is a subset of a larger.
+        # Seeded by time: simultaneous steps use one order, so that a smaller share is a subset of a larger
+        # one.
         random.Random(f"{self.seed}/{at_ms}").shuffle(order)
         return tuple(sorted(order[: round(share * len(order))], key=self.node_names.index))
 
 
-def _read_magnitude(block: Block, action: Action) -> _Magnitude:
-    """Return how strong the effect of a step with this action is."""
+def _read_action_parameters(block: Block, action: Action) -> _ActionParameters:
+    """Read the parameters of a step with this action; each key has a default."""
     match action:
         case Action.DELAY:
-            return _Magnitude(block.number("ms", 100.0), block.number("jitter_ms", 0.0))
-        case Action.SLOW:
-            return _Magnitude(block.number("factor", 5.0, 1.0))
+            return _ActionParameters(block.number("ms", 100.0), block.number("jitter_ms", 0.0))
+        case Action.SLOW_DATABASE:
+            return _ActionParameters(block.number("factor", 5.0, 1.0))
         case Action.BANDWIDTH:
-            return _Magnitude(block.number("bytes_per_s", 2000.0, 1.0))
+            return _ActionParameters(block.number("bytes_per_s", 2000.0, 1.0))
         case _:
-            return _Magnitude()
+            return _ActionParameters()
--- a/snowthread/lab/service_recovery.py
+++ b/snowthread/lab/service_recovery.py
@@ -1,7 +1,7 @@
-"""How service comes back after a fault. Pure.
+"""Measures how service recovers after a fault. Pure.
 
-Service is fully recovered in the first second from which three smoothed seconds (each the mean of three) in a
-row reach 95 % of the baseline. A second dip is a later smoothed second below 90 %.
+Service is smoothed by a mean over three seconds. It has fully recovered in the first second from which three
+smoothed values in a row reach 95 % of the baseline. A second dip is a later smoothed value below 90 %.
 """
 
 from __future__ import annotations
@@ -9,30 +9,36 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-FULL_SERVICE_SHARE = 0.95  # of the baseline
-DIP_SHARE = 0.9  # of the baseline
-FULL_SERVICE_SECONDS = 3  # in a row
+FULL_SERVICE_SHARE = 0.95  # Service counts as full from this share of the baseline.
+DIP_SHARE = 0.9  # Service below this share of the baseline, after it was full again, is a second dip.
+FULL_SERVICE_SECONDS = 3  # Service must be full for this number of consecutive seconds.
 
 
-class Recovery(NamedTuple):
-    """How service came back after a fault."""
+class ServiceRecovery(NamedTuple):
+    """The time until service was full after a fault, and the number of later dips."""
 
-    full_service_s: float | None  # from the fault; None: not within the run
+    full_service_s: float | None  # Seconds from the fault to full service; None if the run ended before.
     second_dips: int
 
 
 def smooth(values: Sequence[float]) -> list[float]:
-    """Return the mean of each value and its neighbours."""
+    """Return the mean of each value and its direct neighbors."""
     windows = [values[max(0, index - 1) : index + 2] for index in range(len(values))]
     return [sum(window) / len(window) for window in windows]
 
 
-def measure_recovery(service: Sequence[float], fault_s: float, baseline: float) -> Recovery:
-    """Return when service, given by second, reached the baseline again after a fault, and its later dips."""
+def measure_recovery(service: Sequence[float], fault_s: float, baseline: float) -> ServiceRecovery:
+    """Return when service recovered from a fault, and how many seconds dipped later.
+
+    Args:
+        service: Service in each second of the run.
+        fault_s: Time of the fault, in seconds from the start of the run.
+        baseline: Service before the fault.
+    """
     smoothed = smooth(service)
     for second in range(int(fault_s) + 1, len(smoothed) - FULL_SERVICE_SECONDS + 1):
         end = second + FULL_SERVICE_SECONDS
         if all(value >= FULL_SERVICE_SHARE * baseline for value in smoothed[second:end]):
             dips = sum(value < DIP_SHARE * baseline for value in smoothed[end:])
-            return Recovery(max(0.0, second - fault_s), dips)
-    return Recovery(None, 0)
+            return ServiceRecovery(max(0.0, second - fault_s), dips)
+    return ServiceRecovery(None, 0)
--- a/snowthread/lab/state_damage.py
+++ b/snowthread/lab/state_damage.py
@@ -1,4 +1,4 @@
-"""Damage to a node's state folder, as crashes and faulty disks leave it."""
+"""Damages the files of a node's state folder in the ways that crashes and faulty disks do."""
 
 from __future__ import annotations
 
@@ -10,24 +10,25 @@
 CORRUPTION_MASK = 0x5A
 
 
-def wipe(folder: Path) -> None:
-    """Delete everything in the folder."""
+def delete_contents(folder: Path) -> None:
+    """Delete the contents of the folder; the empty folder is kept."""
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True, exist_ok=True)
 
 
 def truncate_files(folder: Path) -> None:
-    """Cut each file to half its size."""
+    """Truncate each file to half its size."""
     for path in _files(folder):
         os.truncate(path, path.stat().st_size // 2)
 
 
 def corrupt_files(folder: Path) -> None:
-    """Change one byte of each file that is not empty."""
+    """Change one byte in each file that is not empty."""
     for path in _files(folder):
         data = bytearray(path.read_bytes())
         if data:
-            data[len(data) // 3] ^= CORRUPTION_MASK  # not at the end: unused slots may be there
+            # Not at the end of the file, since unused slots may be there.
+            data[len(data) // 3] ^= CORRUPTION_MASK
             path.write_bytes(data)
 
 
--- a/snowthread/lab/summary.py
+++ b/snowthread/lab/summary.py
@@ -1,9 +1,9 @@
-"""Sum up a run of the lab as one JSON object. Pure.
+"""Summarizes a run of the lab as one JSON object. Pure.
 
-Service is the value of the answers given over the value asked for, by the second in which requests were
-sent. The baseline is its mean from the third second to the first fault.
+Service is the value of the answers over the value of the requests, by the second in which the requests were
+sent. The baseline is the mean service from the third second to the first fault.
 
-The keys of the objects read and returned here are read by ``benchmarks/recovery.py`` and in ``docs/lab.md``.
+``benchmarks/recovery.py`` and ``docs/lab.md`` use the keys of the objects that are read and returned here.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 
 from snowthread.lab.deployment import DATABASE_CALLS_PER_SLOT_MAX
 from snowthread.lab.scenario import Action, Scenario
-from snowthread.lab.service_recovery import Recovery, measure_recovery
+from snowthread.lab.service_recovery import ServiceRecovery, measure_recovery
 
-SETTLING_SECONDS = 2  # at the start of a run: not part of the baseline
-MIN_VALUE_ASKED = 1e-9  # where nothing was asked, the baseline is 0
+SETTLING_SECONDS = 2  # The first seconds of a run, which are not part of the baseline.
+MIN_VALUE_ASKED = 1e-9  # Avoids a division by zero: the baseline is 0 if there were no requests.
 MS_PER_S = 1000.0
 NODE_FAULTS = frozenset({Action.KILL, Action.TERM, Action.STOP})
 
 
 @dataclass(frozen=True, slots=True)
-class _Reports:
-    """The scenario of a run and what the emulators counted in it."""
+class _RunReports:
+    """The scenario of a run, and the reports of its emulators."""
 
     scenario: Scenario
-    traffic: dict[str, Any]  # of emulators.balancers
-    services: dict[str, Any]  # of emulators.fleet_services
+    traffic: dict[str, Any]  # Report of emulators.balancers.
+    services: dict[str, Any]  # Report of emulators.fleet_services.
 
     @property
     def table(self) -> dict[str, list[float]]:
-        """The traffic by second of the run."""
+        """Sums over the requests, by name, for each second of the run."""
         table: dict[str, list[float]] = self.traffic["by_second"]
         return table
 
@@ -41,7 +41,7 @@
 
     @property
     def fault_s(self) -> float | None:
-        """When the first node was disturbed."""
+        """Time of the first fault of a node, in seconds from the start of the run; None if there is none."""
         faults = [step.at_ms / MS_PER_S for step in self.scenario.steps if step.do in NODE_FAULTS]
         return faults[0] if faults else None
 
@@ -50,7 +50,7 @@
         return range(self.seconds if self.fault_s is None else int(self.fault_s), self.seconds)
 
     def services_by_second(self, name: str) -> list[Any]:
-        """Return a count that the services made by second of their clock, by second of the run."""
+        """Return a count of the services for each second of the run; they count by seconds of their clock."""
         counts = self.services[name]
         begin = int(self.traffic["begin"] // MS_PER_S)
         return [counts.get(str(begin + second), 0) for second in range(self.seconds)]
@@ -63,8 +63,15 @@
 def summarize(
     scenario: Scenario, traffic: dict[str, Any], services: dict[str, Any], runner: dict[str, Any]
 ) -> dict[str, Any]:
-    """Return the summary of a run from the reports of the emulators and of the runner."""
-    reports = _Reports(scenario, traffic, services)
+    """Return the summary of a run.
+
+    Args:
+        scenario: The scenario.
+        traffic: Report of ``emulators.balancers``.
+        services: Report of ``emulators.fleet_services``.
+        runner: Observations of the runner, which are added to the summary.
+    """
+    reports = _RunReports(scenario, traffic, services)
     return {
         "scenario": scenario.name,
         "seed": scenario.seed,
@@ -78,7 +85,7 @@
     }
 
 
-def _request_figures(reports: _Reports) -> dict[str, Any]:
+def _request_figures(reports: _RunReports) -> dict[str, Any]:
     traffic = reports.traffic
     keyed_runs = reports.services["keyed"]
     tries = traffic["tries"]
@@ -97,16 +104,17 @@
     }
 
 
-def _service_figures(reports: _Reports) -> dict[str, Any]:
+def _service_figures(reports: _RunReports) -> dict[str, Any]:
     table = reports.table
     after = reports.seconds_after_fault
-    calm = range(min(SETTLING_SECONDS, after.start), after.start)
-    value_asked = sum(table["worth_asked"][second] for second in calm)
-    baseline = sum(table["worth"][second] for second in calm) / max(MIN_VALUE_ASKED, value_asked)
-    recovery = Recovery(0.0, 0)
+    baseline_seconds = range(min(SETTLING_SECONDS, after.start), after.start)
+    value_asked = sum(table["worth_asked"][second] for second in baseline_seconds)
+    baseline = sum(table["worth"][second] for second in baseline_seconds) / max(MIN_VALUE_ASKED, value_asked)
+    recovery = ServiceRecovery(0.0, 0)
     if reports.fault_s is not None:
         recovery = measure_recovery(_service_by_second(reports), reports.fault_s, baseline)
-    # The cost of the recovery, whatever its course: what the baseline would have served beyond what was.
+    # The cost of the recovery, however it went: the value that baseline service would have delivered, minus
+    # the value that was delivered.
     lost = sum(baseline * table["worth_asked"][second] - table["worth"][second] for second in after)
     return {
         "served_before": round(baseline, 3),
@@ -118,12 +126,12 @@
     }
 
 
-def _service_by_second(reports: _Reports) -> list[float]:
+def _service_by_second(reports: _RunReports) -> list[float]:
     rows = zip(reports.table["worth"], reports.table["worth_asked"], strict=True)
     return [value / asked if asked else 1.0 for value, asked in rows]
 
 
-def _database_figures(reports: _Reports) -> dict[str, Any]:
+def _database_figures(reports: _RunReports) -> dict[str, Any]:
     scenario = reports.scenario
     capacity_per_s = scenario.database_per_s
     calls_max = DATABASE_CALLS_PER_SLOT_MAX * scenario.slots
@@ -136,7 +144,7 @@
     }
 
 
-def _figures_by_second(reports: _Reports) -> dict[str, Any]:
+def _figures_by_second(reports: _RunReports) -> dict[str, Any]:
     classes: dict[str, list[list[float]]] = reports.traffic["classes"]
     return {
         "classes": {name: _value_share(rows) for name, rows in classes.items()},
@@ -153,6 +161,6 @@
 
 
 def _value_share(rows: list[list[float]]) -> float | None:
-    """Return the value served over the value asked for; None where nothing was asked."""
+    """Return the value served over the value requested; None if nothing was requested."""
     asked = sum(row[0] for row in rows)
     return round(sum(row[1] for row in rows) / asked, 3) if asked else None
--- a/snowthread/lab/timeline.py
+++ b/snowthread/lab/timeline.py
@@ -1,4 +1,4 @@
-"""Carry out the steps of a scenario on its fleet at their times."""
+"""Executes the steps of a scenario on its fleet at their times."""
 
 from __future__ import annotations
 
@@ -15,32 +15,33 @@
     Action.KILL: signal.SIGKILL,
     Action.TERM: signal.SIGTERM,
     Action.STOP: signal.SIGSTOP,
-    Action.CONT: signal.SIGCONT,
+    Action.CONTINUE: signal.SIGCONT,
 }
 DAMAGE_OF_ACTION = {
-    Action.WIPE: state_damage.wipe,
-    Action.TEAR: state_damage.truncate_files,
-    Action.SPOIL: state_damage.corrupt_files,
+    Action.WIPE: state_damage.delete_contents,
+    Action.TRUNCATE: state_damage.truncate_files,
+    Action.CORRUPT: state_damage.corrupt_files,
 }
-INTERRUPTING_ACTIONS = frozenset({Action.PARTITION, Action.CUT})  # requests open on the link may be lost
+# After these actions, requests open on the link may stay unanswered.
+INTERRUPTING_ACTIONS = frozenset({Action.PARTITION, Action.CLOSE_CONNECTIONS})
 
 
 class Timeline:
-    """Applies steps to a fleet, and records which ones it applied."""
+    """Applies the steps of a scenario to its fleet, and records the applied ones."""
 
     def __init__(self, fleet: Fleet) -> None:
-        """Apply nothing until :meth:`schedule`."""
+        """Prepare for a fleet; :meth:`schedule` schedules its steps."""
         self._fleet = fleet
         self._generation = 1
         self.applied: list[Step] = []
 
     def schedule(self, begin_ms: float) -> None:
-        """Schedule all steps of the scenario on the fleet's loop."""
+        """Schedule all steps on the fleet's event loop, counted from ``begin_ms`` on its clock."""
         for step in self._fleet.scenario.steps:
             self._fleet.loop.call_at(begin_ms + step.at_ms, partial(self.apply, step))
 
     def apply(self, step: Step) -> None:
-        """Carry out one step now."""
+        """Apply a step now."""
         self.applied.append(step)
         if not step.link:
             self._apply_to_fleet(step)
@@ -50,18 +51,18 @@
     def _apply_to_fleet(self, step: Step) -> None:
         services = self._fleet.services
         match step.do:
-            case Action.SLOW:
+            case Action.SLOW_DATABASE:
                 services.send(f"slow {step.value}")
             case Action.HEAL:
                 services.send("slow 1.0")
-            case Action.GENERATION:
+            case Action.NEXT_GENERATION:
                 self._generation += 1
                 services.send(f"generation {self._generation}")
 
     def _apply_to_node(self, node: NodeProcess, step: Step) -> None:
         if step.do in SIGNAL_OF_ACTION:
             self._fleet.signal_node(node, SIGNAL_OF_ACTION[step.do])
-        elif step.do is Action.START:
+        elif step.do is Action.RESTART:
             self._fleet.restart_node(node)
         elif step.do in DAMAGE_OF_ACTION:
             DAMAGE_OF_ACTION[step.do](state_folder(node.folder))
@@ -71,8 +72,8 @@
     def _apply_to_link(self, node: NodeProcess, step: Step) -> None:
         link = LinkName(step.link)
         faults = self._fleet.links[node.name].get(link).faults
-        if link is LinkName.FRONT and step.do in INTERRUPTING_ACTIONS:
-            self._fleet.announce_down(node)
+        if link is LinkName.INBOUND and step.do in INTERRUPTING_ACTIONS:
+            self._fleet.report_node_down(node)
         match step.do:
             case Action.PARTITION:
                 faults.partitioned = True
@@ -81,13 +82,13 @@
                 faults.jitter_ms = step.jitter_ms
             case Action.BANDWIDTH:
                 faults.bytes_per_s = step.value
-            case Action.CUT:
+            case Action.CLOSE_CONNECTIONS:
                 faults.cut_count += 1
             case Action.HEAL:
                 faults.clear()
 
     def events(self) -> list[dict[str, Any]]:
-        """Return the steps applied so far, for the summary."""
+        """Return the steps applied so far, as objects of the summary."""
         return [
             {"at_ms": step.at_ms, "do": step.do, "nodes": list(step.nodes), "link": step.link}
             for step in self.applied
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -1,7 +1,7 @@
-"""Mass restarts of nodes under load, run by the lab with several processes and faults between them.
+"""Tests mass restarts of nodes under load in the fleet lab, with several processes and faults between them.
 
-The scenarios run four at a time, once for all tests. Each starts its nodes, the emulators and the relays. In
-most of them two of three nodes are killed and start again half a second later, with keyed repeats throughout.
+All scenarios run once for all tests, four at a time. Each has its own nodes, emulators and relays. In most of
+them, two of three nodes are killed and restarted half a second later, while clients repeat keyed requests.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def step(do: str, at: str, **settings: str | float | list[str]) -> str:
-    """Return a step of a scenario as HCL."""
+    """Return the HCL of a scenario's step."""
     lines = [f" {key} = {json.dumps(value)}\n" for key, value in {"at": at, "do": do, **settings}.items()]
     return "step {\n" + "".join(lines) + "}\n"
 
@@ -63,7 +63,7 @@
         + step("slow", "3s", factor=5, **{"for": "3s"})
         + step("stop", "4s", nodes=["n3"], **{"for": "300ms"})
     ),
-    # More than the site can serve, two in five requests from another site's clients; no node dies.
+    # An overload in which two of five requests come from another site's clients; no node is killed.
     "foreign": FleetScenario("", load="share = 1.2\n keyed = 0.2\n repeats = 0.5\n foreign = 0.4"),
 }
 WITH_FAULTS = [name for name in SCENARIOS if name != "foreign"]
@@ -71,13 +71,13 @@
 
 @dataclass(frozen=True)
 class Result:
-    """What a run of a scenario left."""
+    """The output folder and the summary of one run of a scenario."""
 
     folder: Path
     summary: dict[str, Any]
 
     def log(self, node: str, start: int) -> str:
-        """Return the log of a node after so many starts."""
+        """Return the log of a node's start, counted from 1."""
         return (self.folder / node / f"log.{start}").read_text()
 
 
@@ -86,7 +86,7 @@
 
 @pytest.fixture(scope="module")
 def result_of(tmp_path_factory: pytest.TempPathFactory) -> Results:
-    """Return the result of a scenario by its name."""
+    """Run all scenarios, and return a function that gives the result of a scenario by name."""
     folder = tmp_path_factory.mktemp("lab")
     results: dict[str, Result] = {}
     names = list(SCENARIOS)
@@ -96,7 +96,7 @@
 
 
 def run_side_by_side(folder: Path, names: list[str]) -> dict[str, Result]:
-    """Run these scenarios at the same time, each in a folder of its own."""
+    """Run these scenarios at the same time, each in its own folder."""
     processes = {}
     for name in names:
         scenario = folder / f"{name}.hcl"
@@ -122,17 +122,20 @@
     summary = result_of(name).summary
     assert summary["asked"] > 400 and summary["tries"]["repeats"] > 100
     assert summary["answered_twice"] == summary["spoilt"] == 0
-    # Some twenty processes share the test's cores, and a host may hold them all up for a while: a few answers
-    # are late by 110 ms and more then. The benchmark, which reports how much was stolen, allows none.
+    # Some twenty processes share the cores of the test, and the host of a virtual machine may suspend all of
+    # them for a while, so that a few answers are late by 110 ms and more. The benchmark, which reports the
+    # processor time stolen by the host, allows none.
     assert summary["lost"] <= 0.01 * summary["asked"] and summary["late"] <= 0.05 * summary["asked"]
-    assert 0 < summary["gone_with_node"] < 150  # open at the kills and the stop, and only those
+    # Only requests that were open when a node was killed or stopped.
+    assert 0 < summary["gone_with_node"] < 150
     assert summary["alive_by_s"][-1] == 3 and min(summary["alive_by_s"]) < 3
     assert summary["lives"]["n1"] >= 2 and summary["lives"]["n3"] == 1
-    assert summary["warmth_by_s"][4] < 0.9 and summary["known"][2] == 1.0  # two machines restarted cold
+    assert summary["warmth_by_s"][4] < 0.9 and summary["known"][2] == 1.0  # Two machines restarted cold.
 
 
 def test_keyed_repeats_run_twice_only_without_the_key_log(result_of: Results) -> None:
-    assert result_of("service").summary["keyed_runs_doubled"] > 0  # else the others would prove nothing
+    # Otherwise the zeros of the other scenarios would prove nothing.
+    assert result_of("service").summary["keyed_runs_doubled"] > 0
     for name in SCENARIOS:
         if name != "service":
             assert result_of(name).summary["keyed_runs_doubled"] == 0, name
@@ -144,8 +147,9 @@
     result = result_of("intact")
     starts = result.summary["starts"]
     assert starts["ring whole"] == 5 and starts["snapshot fresh"] == 2
-    assert "all keys indeterminate for" not in result.log("n1", 2)  # not all keys, as with wiped state
-    assert result.summary["tries"]["Failed"] > 0  # repeats of what the earlier incarnation ran
+    # Only recorded keys are indeterminate, unlike after a wipe.
+    assert "all keys indeterminate for" not in result.log("n1", 2)
+    assert result.summary["tries"]["Failed"] > 0  # Repeats of requests that the earlier incarnation ran.
 
 
 def test_wiped_state_makes_all_keys_indeterminate_for_their_window(result_of: Results) -> None:
@@ -153,7 +157,7 @@
     starts = result.summary["starts"]
     assert starts["ring missing"] == 2 and "snapshot fresh" not in starts
     assert "all keys indeterminate for 5.3 s" in result.log("n1", 2)
-    assert starts["life"] == 2  # the count was lost too: the registry knows the earlier incarnations
+    assert starts["life"] == 2  # The incarnation was lost too; the registry knew the earlier ones.
     assert result.summary["old_lives"] >= 2
     assert result.summary["tries"]["Failed"] > result_of("intact").summary["tries"]["Failed"]
 
@@ -170,18 +174,20 @@
     third = result.log("n1", 3)
     assert "key log: whole" in third
     found = re.search(r"all keys indeterminate for (\d\.\d) s", third)
-    assert found is not None and 0.5 < float(found[1]) < 4.5  # what is left of 5.3 s
+    # The rest of the 5.3 s that began with the previous start.
+    assert found is not None and 0.5 < float(found[1]) < 4.5
 
 
 def test_calls_stay_within_the_capacity_of_a_slow_database(result_of: Results) -> None:
     summary = result_of("slow").summary
-    assert max(summary["database_held_by_s"][4:]) <= 20  # 6 slots, three nodes, and calls given up
-    assert max(summary["database_done_by_s"][7:]) > 20  # and it is used again once it has recovered
+    # 6 slots shared by three nodes, plus calls that were given up.
+    assert max(summary["database_held_by_s"][4:]) <= 20
+    assert max(summary["database_done_by_s"][7:]) > 20  # The database is used again once it is fast.
 
 
 def test_partition_from_the_registry_delays_no_node(result_of: Results) -> None:
     result = result_of("intact")
-    assert "snapshot: fresh" in result.log("n2", 2)  # confirmed once the link is back
+    assert "snapshot: fresh" in result.log("n2", 2)  # The snapshot was assessed once the link was healed.
     assert result.summary["service_by_s"][-1] > 0.5
 
 
@@ -197,5 +203,6 @@
 
     assert rejected_share(foreign, "match") > rejected_share(own, "match")
     assert rejected_share(foreign, "recalc") > rejected_share(own, "recalc")
-    assert rejected_share(foreign, "match") > rejected_share(foreign, "recalc")  # less value for its work
+    # Class match has less value for its work.
+    assert rejected_share(foreign, "match") > rejected_share(foreign, "recalc")
     assert foreign["recalc served"] > 0
--- a/tests/lab/test_scenario_file.py
+++ b/tests/lab/test_scenario_file.py
@@ -1,4 +1,4 @@
-"""Scenarios and their plans: the same file and seed give the same plan, and faults of a file are named."""
+"""Tests scenario files: the same file and seed give the same plan, and errors name the invalid key."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_summary.py
+++ b/tests/lab/test_summary.py
@@ -1,4 +1,4 @@
-"""The figures of a run's summary: when service has recovered, and what the nodes found at their starts."""
+"""Tests the figures of a run's summary: when service has recovered, and what the nodes found at start."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from snowthread.lab import state_damage
 from snowthread.lab.record_summary import summarize_records
-from snowthread.lab.service_recovery import Recovery, measure_recovery, smooth
+from snowthread.lab.service_recovery import ServiceRecovery, measure_recovery, smooth
 from snowthread.records.model import Record
 
 
@@ -21,17 +21,17 @@
 @pytest.mark.parametrize(
     ("service", "fault_s", "expected"),
     [
-        # Smoothed over three seconds, the dip of 3 and 4 is full again in 6, three seconds after the fault.
-        ([1.0, 1.0, 1.0, 0.0, 0.0, 1.0, 1.0, 1.0, 1.0, 1.0], 3.0, Recovery(3.0, 0)),
-        ([1.0, 1.0, 1.0, 0.0, 0.0, 1.0, 1.0, 1.0, 1.0, 1.0], 3.5, Recovery(2.5, 0)),
-        # Full for three seconds, then a second dip, of which the neighbours feel a part.
-        ([1.0, 1.0, 0.0, 1.0, 1.0, 1.0, 1.0, 1.0, 0.0, 1.0, 1.0], 2.0, Recovery(2.0, 3)),
-        ([1.0, 1.0, 1.0, 0.5, 0.5, 0.5, 0.5], 3.0, Recovery(None, 0)),
-        ([1.0, 1.0, 1.0], 9.0, Recovery(None, 0)),  # a fault after the run
+        # Smoothed over three seconds, the dip in seconds 3 and 4 ends in second 6, 3 s after the fault.
+        ([1.0, 1.0, 1.0, 0.0, 0.0, 1.0, 1.0, 1.0, 1.0, 1.0], 3.0, ServiceRecovery(3.0, 0)),
+        ([1.0, 1.0, 1.0, 0.0, 0.0, 1.0, 1.0, 1.0, 1.0, 1.0], 3.5, ServiceRecovery(2.5, 0)),
+        # Full for three seconds, then a second dip, which smoothing spreads to the neighboring seconds.
+        ([1.0, 1.0, 0.0, 1.0, 1.0, 1.0, 1.0, 1.0, 0.0, 1.0, 1.0], 2.0, ServiceRecovery(2.0, 3)),
+        ([1.0, 1.0, 1.0, 0.5, 0.5, 0.5, 0.5], 3.0, ServiceRecovery(None, 0)),
+        ([1.0, 1.0, 1.0], 9.0, ServiceRecovery(None, 0)),  # The fault is after the end of the run.
     ],
 )
 def test_service_has_recovered_once_three_seconds_reach_the_baseline(
-    service: list[float], fault_s: float, expected: Recovery
+    service: list[float], fault_s: float, expected: ServiceRecovery
 ) -> None:
     assert measure_recovery(service, fault_s, baseline=1.0) == expected
 
@@ -54,7 +54,8 @@
             record("note", event=f"{prefix}.{key_log}", verdict="whole"),
             record("note", event=f"{prefix}.snapshot", verdict="torn"),
             record("note", event=f"{prefix}.{incarnation}"),
-            record("note", event=f"{prefix}.{write}"),  # a snapshot not written: nothing about a start
+            # A failed write of a snapshot says nothing about a start.
+            record("note", event=f"{prefix}.{write}"),
             record("note", event="node.started"),
             record("note"),
         ]
@@ -89,5 +90,5 @@
         assert sum(new != old for new, old in zip(path.read_bytes(), data, strict=True)) == 1
     state_damage.truncate_files(state)
     assert [path.stat().st_size for path in files] == [50, 50]
-    state_damage.wipe(state)
+    state_damage.delete_contents(state)
     assert state.is_dir() and not list(state.iterdir())
