--- a/snowthread/admission/admission_rule.py
+++ b/snowthread/admission/admission_rule.py
@@ -9,7 +9,7 @@
 
 # A request may wait at most for this part of the time that its expected run leaves until the objective.
 MAX_WAIT_RATIO = 0.7
-MAX_QUEUED_PER_CORE = 4  # Queued requests per core that are allowed as long as the service rate is unknown.
+MAX_QUEUED_PER_CORE = 4  # queued requests per core that are allowed as long as the service rate is unknown
 # A class may send a probe when none of its runs succeeded, and no probe started, for this long.
 PROBE_INTERVAL_S = 1.0
 
--- a/snowthread/admission/deadline_rule.py
+++ b/snowthread/admission/deadline_rule.py
@@ -10,11 +10,12 @@
 # Seconds before its deadline at which a request is answered, so that the answer arrives in time.
 ANSWER_MARGIN_S = 0.03
 MIN_CHECK_INTERVAL_S = 0.02  # seconds between two deadline checks of one queued request, at least
-# Ratio of median to mean of the skewed run times; a run that starts at the latest time it allows has an even
-# chance to end in time.
+# Factor on the expected run time that gives the latest start of a request without a work hint. It is the
+# ratio of median to mean of the skewed run times, so a run that starts then has an even chance to end in
+# time.
 MEDIAN_RUN_RATIO = 0.75
-# Margin on the expected run time of a request with a work hint. Its run time is known better, and an early
-# rejection leaves time for a retry elsewhere.
+# Factor on the expected run time that gives the latest start of a request with a work hint. Its run time is
+# known better, and an early rejection leaves time for a retry elsewhere.
 HINTED_RUN_RATIO = 1.25
 
 
@@ -40,6 +41,7 @@
     if is_due:
         return reject_or_fail(state, now, request, RejectReason.DEADLINE_REACHED)
     if request.state is RequestState.CALL_PENDING and request.retry_at > now + TIME_TOLERANCE_S:
-        check_at = request.retry_at + ANSWER_MARGIN_S  # ``watch_deadline`` subtracts the margin
+        # ``watch_deadline`` subtracts the margin, so the check is due at the time of the retry itself.
+        check_at = request.retry_at + ANSWER_MARGIN_S
     state.deadlines.watch_deadline(request, check_at)
     return []
--- a/snowthread/admission/downstream_calls.py
+++ b/snowthread/admission/downstream_calls.py
@@ -34,7 +34,7 @@
 # on it.
 HUNG_CALL_FACTOR = 6.0
 QUOTA_PER_SLOT = 5.0  # calls in flight that the dependency survives for each call that it works on at a time
-OVERLOAD_SLOW_CALL_RATIO = 0.3  # share of slow calls above which the dependency counts as overloaded
+OVERLOAD_SLOW_CALL_RATIO = 0.3  # share of slow calls from which the dependency counts as overloaded
 LIMIT_GROWTH_FACTOR = 1.15  # growth of the limit on calls in flight, per update in which it was reached
 # Factor applied to the limit on calls in flight, per update with an overloaded dependency.
 LIMIT_CUT_FACTOR = 0.8
--- a/snowthread/admission/estimators.py
+++ b/snowthread/admission/estimators.py
@@ -24,7 +24,8 @@
 READ_WORK_RATIO = 0.25  # work of reading a request, in units of work
 # Share of answers that are still useful at their latency objective, in Berger's model of abandonment.
 OBJECTIVE_SUCCESS_RATIO = 0.7
-# Berger's example, used until the service rate is known and as the upper limit after that.
+# Abandonment ratio of Berger's example, used until the service rate is known and as the upper limit after
+# that.
 INITIAL_ABANDONMENT_RATIO = 0.071
 # Initial exponent of core time over work hint: on a log scale core times grow half as much as hints.
 HINT_EXPONENT = 0.5
@@ -135,7 +136,7 @@
         """Learn from a call of a class, of ``duration_s`` seconds.
 
         A few hung calls among quick ones do not make the dependency count as slow: the averages span
-        several calls, and each duration is capped.
+        several calls, and a long call counts with a capped duration.
         """
         base_s = self.base_call_time_s[index]
         last_at = self.last_call_at_s[index]
--- a/snowthread/admission/recovery_pacer.py
+++ b/snowthread/admission/recovery_pacer.py
@@ -1,6 +1,6 @@
 """Paces runs and calls until this node and the fleet are warm, so that a recovery overloads nothing.
 
-The methods take the time as ``now_ms``, in milliseconds of the monotonic clock; random draws come from a
+The methods take the time as ``now_ms``, in milliseconds of the node's single clock; random draws come from a
 seeded generator::
 
     phase       event                                next
--- a/tests/admission/test_backoff.py
+++ b/tests/admission/test_backoff.py
@@ -8,11 +8,15 @@
 
 
 def test_delays_stay_within_base_and_cap_and_differ_between_peers_that_failed_together() -> None:
-    draws = [random.Random(seed) for seed in range(100)]
-    backoffs = [Backoff(base_ms=50.0, cap_ms=2000.0) for _ in draws]
+    generators = [random.Random(seed) for seed in range(100)]
+    backoffs = [Backoff(base_ms=50.0, cap_ms=2000.0) for _ in generators]
     for _ in range(6):
-        sleeps = [backoff.next_delay_ms(draw) for backoff, draw in zip(backoffs, draws, strict=True)]
-        assert all(50.0 <= sleep <= 2000.0 for sleep in sleeps)
-    assert len({round(sleep) for sleep in sleeps}) > 60  # peers that failed together retry at different times
+        delays_ms = [
+            backoff.next_delay_ms(generator) for backoff, generator in zip(backoffs, generators, strict=True)
+        ]
+        assert all(50.0 <= delay_ms <= 2000.0 for delay_ms in delays_ms)
+    assert (
+        len({round(delay_ms) for delay_ms in delays_ms}) > 60
+    )  # peers that failed together retry at different times
     backoffs[0].reset()
     assert backoffs[0].delay_ms == 50.0
--- a/tests/admission/test_run_count.py
+++ b/tests/admission/test_run_count.py
@@ -24,8 +24,8 @@
     return controller
 
 
-def measure(controller: Controller, at_s: float, on_cores: float | None) -> None:
-    controller.handle(at_s, TimerFired(UPDATE_TIMER, core_utilization=1.0, core_demand=on_cores))
+def measure(controller: Controller, now_s: float, measured_runs: float | None) -> None:
+    controller.handle(now_s, TimerFired(UPDATE_TIMER, core_utilization=1.0, core_demand=measured_runs))
 
 
 def test_indeterminate_runs_that_are_measured_keep_their_cores() -> None:
@@ -50,9 +50,8 @@
 def test_excess_runs_measured_count_for_a_while_after_a_broken_link() -> None:
     controller = started_controller()
     measure(controller, 0.25, 7.0)
-    assert request_ids(arrive(controller, 0.3, 1), StartRun) == [
-        1
-    ]  # no link was lost, so the load may be from reading requests
+    # No link was lost, so what is measured beyond the count may be the reading of requests.
+    assert request_ids(arrive(controller, 0.3, 1), StartRun) == [1]
     controller.handle(0.4, RunFinished(1, Outcome.SUCCESS))
     controller.handle(0.4, RunCountUncertain())
     measure(controller, 0.5, 7.0)
--- a/tests/admission/test_simulator_adapter.py
+++ b/tests/admission/test_simulator_adapter.py
@@ -24,7 +24,7 @@
 BOOT = {"boot": {"i": "worker/1", "prng": 7, "facts": FACTS}}
 
 
-def play(*batches: list[dict[str, Any]]) -> list[list[dict[str, Any]]]:
+def process_batches(*batches: list[dict[str, Any]]) -> list[list[dict[str, Any]]]:
     adapter = SimulatorAdapter()
     return [
         json.loads(adapter.process_batch(json.dumps({"now_s": 1.0 + n, "events": b}).encode()))["out"]
@@ -34,24 +34,24 @@
 
 def test_boot_and_run() -> None:
     request = {"accept": {"i": "worker/1", "op_id": 5, "category": "a", "held_kb": 8.0}}
-    _, out = play([BOOT], [request])
-    assert {"run": {"i": "worker/1", "op_id": 5}} in out
+    _, reply = process_batches([BOOT], [request])
+    assert {"run": {"i": "worker/1", "op_id": 5}} in reply
 
 
 def test_unknown_events_are_skipped_and_down_forgets() -> None:
-    _, odd, gone = play(
+    _, reply, reply_after_down = process_batches(
         [BOOT],
         [{"novelty": {"i": "worker/1"}}],
         [{"down": {"i": "worker/1"}}, {"expired": {"i": "worker/1", "op_id": 3}}],
     )
-    assert odd == [] and gone == []
+    assert reply == [] and reply_after_down == []
 
 
 def test_malformed_line_and_bad_settings_become_the_fault_message() -> None:
     assert "bug" in json.loads(SimulatorAdapter().process_batch(b"{"))["out"][0]
     bad = {"boot": {"i": "worker/1", "prng": 1, "facts": {**FACTS, "classes": []}}}
-    (out,) = play([bad])
-    assert "classes" in out[0]["bug"]["words"]
+    (reply,) = process_batches([bad])
+    assert "classes" in reply[0]["bug"]["words"]
 
 
 def test_settings_that_are_absent_or_unknown_get_defaults() -> None:
@@ -87,9 +87,9 @@
         3,
     ]
     assert settings.load_report_ttl_s == 0.0
-    odd = parse_settings({**facts, "domain": {**domain, "say": "whisper", "preemption": "ask"}})
-    assert odd.load_report_kind is LoadReportKind.NONE and odd.preemption is Preemption.NONE
-    Controller(odd, seed=1)
+    unknown = parse_settings({**facts, "domain": {**domain, "say": "whisper", "preemption": "ask"}})
+    assert unknown.load_report_kind is LoadReportKind.NONE and unknown.preemption is Preemption.NONE
+    Controller(unknown, seed=1)
     with pytest.raises(KeyError, match="goal_time_s"):
         parse_settings({**facts, "classes": [{"name": "a", "deadline_s": 3.0}]})
 
--- a/tests/admission/test_slow_start.py
+++ b/tests/admission/test_slow_start.py
@@ -9,13 +9,13 @@
 
 def test_window_starts_at_one_and_doubles_a_round_on_success() -> None:
     slow_start = SlowStart(max_window=16.0)
-    widths = []
+    windows = []
     for _ in range(4):
-        width = int(slow_start.window)
-        widths.append(width)
-        for _ in range(width):
+        window = int(slow_start.window)
+        windows.append(window)
+        for _ in range(window):
             slow_start.success(0.0)
-    assert widths == [1, 2, 4, 8] and slow_start.admits(15) and not slow_start.admits(16)
+    assert windows == [1, 2, 4, 8] and slow_start.admits(15) and not slow_start.admits(16)
 
 
 def test_a_loss_halves_the_window_and_growth_goes_on_slowly_after() -> None:
