--- a/snowthread/admission/cores.py
+++ b/snowthread/admission/cores.py
@@ -26,7 +26,8 @@
         self._absent_runs = 0.0  # indeterminate runs that were not on the cores at the last measurement
         self.saturated_s = 0.0  # seconds with at least one run per core in the present update period
         self._unfinished_work = 0.0  # units of work that unfinished runs had done at the last update
-        self._core_clock_s = 0.0  # seconds of core time of a run that has been on the cores since the start
+        # Core time in seconds that a run which was on the cores from the start would have had.
+        self._core_clock_s = 0.0
 
     def advance(self, elapsed_s: float) -> None:
         """Account for the time that has passed, in seconds."""
@@ -65,7 +66,7 @@
         self.mark_determinate(request)
 
     def mark_indeterminate(self, request: RequestRecord, presumed_lost_at: float) -> None:
-        """Count a run as indeterminate until ``presumed_lost_at``, when it is presumed lost."""
+        """Count a run as indeterminate; from ``presumed_lost_at`` on it is presumed lost."""
         self.indeterminate += not request.is_indeterminate
         request.presumed_lost_at = presumed_lost_at
 
--- a/snowthread/admission/open_requests.py
+++ b/snowthread/admission/open_requests.py
@@ -52,7 +52,7 @@
     def requeue(self, request: RequestRecord, keeps_progress: bool) -> None:
         """Queue a run that was stopped.
 
-        ``keeps_progress`` says whether it was paused; otherwise it starts anew.
+        ``keeps_progress`` says whether the run was paused; otherwise it starts from the beginning.
         """
         self.cores.leave(request)
         if not keeps_progress:
--- a/snowthread/admission/settings.py
+++ b/snowthread/admission/settings.py
@@ -191,4 +191,4 @@
     invalid = [name for name, value in positive.items() if not value > 0.0]
     invalid += [name for name in not_negative if not getattr(settings, name) >= 0.0]
     if invalid or not settings.classes:
-        raise ValueError(f"settings absent or out of range: {', '.join(invalid) or 'classes'}")
+        raise ValueError(f"settings: {', '.join(invalid) or 'classes'} absent or out of range")
--- a/snowthread/admission/slow_start.py
+++ b/snowthread/admission/slow_start.py
@@ -43,8 +43,8 @@
         valid_factor = 0 < self.backoff_factor < 1
         if not valid_factor or self.min_window < 1 or self.max_window < self.min_window:
             raise ValueError(
-                f"slow start: windows {self.min_window} to {self.max_window} or backoff factor "
-                f"{self.backoff_factor} out of range"
+                f"slow start out of range: window from {self.min_window} to {self.max_window}, "
+                f"backoff factor {self.backoff_factor}"
             )
         self.window = max(self.window, self.min_window)
 
--- a/snowthread/admission/start_rule.py
+++ b/snowthread/admission/start_rule.py
@@ -8,9 +8,7 @@
 from snowthread.admission.state import State
 
 # Seconds between two computations of all priorities, which cost more than most events.
-PRIORITY_REFRESH_INTERVAL_S = (
-    0.02  # between two computations of all priorities, which cost more than most events
-)
+PRIORITY_REFRESH_INTERVAL_S = 0.02
 # Seconds added to the time left, so that the priority of a request that is due now stays finite.
 MIN_PRIORITY_TIME_S = 0.05
 
