--- a/snowthread/admission/class_times.py
+++ b/snowthread/admission/class_times.py
@@ -16,12 +16,12 @@
     """Times in seconds, in lists indexed by the position of the class in the settings."""
 
     def __init__(self, hint_fit: PowerLawFit) -> None:
-        self.core_time_s: list[float] = []  # recent time on a core per unit of work
-        self.run_time_s: list[float] = []  # recent time from start to end per unit of work, calls included
-        self.base_core_time_s: list[float] = []  # baseline time of one run on a core
+        self.core_time_s: list[float] = []  # recent seconds on a core per unit of work
+        self.run_time_s: list[float] = []  # recent seconds from start to end per unit of work, calls included
+        self.base_core_time_s: list[float] = []  # baseline seconds of one run on a core
         self.last_run_at_s: list[float] = []  # when a run last succeeded or a probe started (0: never)
-        self.call_time_s: list[float] = []  # recent duration of a call
-        self.base_call_time_s: list[float] = []  # baseline duration of a call
+        self.call_time_s: list[float] = []  # recent duration of a call in seconds
+        self.base_call_time_s: list[float] = []  # baseline duration of a call in seconds
         self.last_call_at_s: list[float] = []  # when a call last ended (0: never)
         self.hint_fit = hint_fit  # fit of core times to work hints
         self.cores = 0
--- a/snowthread/admission/quotas.py
+++ b/snowthread/admission/quotas.py
@@ -6,9 +6,9 @@
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.tenant_table import TenantTable
 
-# Part of its quota that a tenant uses when its next request gets the full reduction of weight.
+# Use of a tenant's quota, as a ratio, from which its next request gets the full reduction of weight.
 MAX_QUOTA_USE_RATIO = 1.5
-# Runs of a tenant at its quota that span the window over which its runs are counted.
+# Window over which a tenant's runs are counted, as the number of runs that it makes in it at its quota.
 QUOTA_WINDOW_RUNS = AVERAGED_REQUESTS / 2.0
 
 
--- a/snowthread/admission/settings.py
+++ b/snowthread/admission/settings.py
@@ -127,7 +127,7 @@
     cold_speed: float = 1.0  # lowest speed at a cold start, relative to the warm speed
     warmup_s: float = 0.0  # time from a cold start until the machine is warm
     collapse_multiple: float = 3.0  # runs per core that a warm server survives
-    collapse_after_s: float = 2.0  # time over which the runs on the cores are averaged to tell a collapse
+    collapse_after_s: float = 2.0  # time over which the runs on the cores are averaged to detect a collapse
     drain_grace_s: float = 1.0  # time after a shutdown notice in which new requests are still admitted
     preemption: Preemption = Preemption.NONE
     propagates_deadline: bool = False  # callers send the time that is left to them
@@ -139,7 +139,7 @@
     dependency: Dependency = Dependency.NONE
     # Average calls in flight that are allowed: this node's part of what the dependency sustains.
     call_quota: float = 0.0
-    call_quota_window_s: float = 0.0  # time over which calls in flight are averaged
+    call_quota_window_s: float = 0.0  # time over which the calls in flight are averaged for the quota
     given_up_call_s: float = 0.0  # longest time for which the dependency works on a call that was given up
     supports_retry_after: bool = False  # callers observe Retry-After
     max_retry_after_s: float = 0.0  # upper limit of the Retry-After that is sent
--- a/tests/admission/test_blocking.py
+++ b/tests/admission/test_blocking.py
@@ -93,7 +93,7 @@
     )
 
 
-def test_settings_that_are_absent_zero_or_absurd_lead_to_a_working_default() -> None:
+def test_settings_that_are_absent_zero_or_extreme_lead_to_a_working_default() -> None:
     unusual_settings: tuple[dict[str, object], ...] = (
         {"caller_count": 0},
         {"node_count": 0},
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -102,9 +102,8 @@
         controller.handle(now + 0.5, TimerFired(UPDATE_TIMER))
     assert controller.estimates.call_time_s[2] < 0.06 and controller.estimates.slow_call_share < 0.5
     started_calls = [arrive_and_call(controller, 300.0, n, "non_idempotent") for n in range(301, 306)]
-    assert (
-        sum(len(request_ids(actions, StartCall)) for actions in started_calls) == 4
-    )  # the lower bound of the limit
+    # As many calls as the lower bound of the limit start.
+    assert sum(len(request_ids(actions, StartCall)) for actions in started_calls) == 4
     for n in range(301, 305):
         controller.handle(300.02, CallFinished(n, Outcome.SUCCESS))
     assert controller.state.calls._limit >= 4.0
--- a/tests/admission/test_reject_reasons.py
+++ b/tests/admission/test_reject_reasons.py
@@ -51,7 +51,7 @@
     return controller.handle(0.3, TenantsChanged(changed=(SUSPENDED,)))
 
 
-def memory_short() -> list[Action]:
+def memory_limit_reached() -> list[Action]:
     return arrive(started_controller(memory_kb=100.0), 0.1, 1, memory_kb=93.0)
 
 
@@ -61,32 +61,31 @@
     return arrive(controller, 0.2, 4)
 
 
-def too_much_queued() -> list[Action]:
+def too_much_work_queued() -> list[Action]:
     controller = started_controller(memory_kb=1e6)
     return [action for request in range(1, 20) for action in arrive(controller, 0.1, request)]
 
 
-def late_on_idle_cores() -> list[Action]:
+def late_request_on_idle_cores() -> list[Action]:
     controller = started_controller()
     arrive(controller, 0.1, 1)
     controller.handle(0.5, RunFinished(1, Outcome.SUCCESS, 0.4))
     return arrive(controller, 1.0, 2, unread_s=0.9)
 
 
-def original_without_memory() -> list[Action]:
+def retry_without_memory() -> list[Action]:
     controller = started_controller(memory_kb=130.0)
     arrive(controller, 0.1, 1, memory_kb=25.0)
-    arrive(
-        controller, 0.1, 2, "keyed", memory_kb=5.0
-    )  # it stays queued, because its run would need more memory
+    # The original stays queued, because its run would need more memory.
+    arrive(controller, 0.1, 2, "keyed", memory_kb=5.0)
     return arrive(controller, 0.2, 3, "keyed", memory_kb=20.0, original_id=2)
 
 
-def due_in_the_queue() -> list[Action]:
+def deadline_reached_while_queued() -> list[Action]:
     return controller_with_full_cores().handle(1.08, TimerFired(DEADLINE_TIMER))
 
 
-def due_while_running() -> list[Action]:
+def deadline_reached_while_running() -> list[Action]:
     controller = started_controller()
     arrive(controller, 0.1, 1, "keyed")
     return controller.handle(3.08, TimerFired(DEADLINE_TIMER))
@@ -100,30 +99,30 @@
 
 
 @pytest.mark.parametrize(
-    ("bring_about", "reason"),
+    ("cause_rejection", "reason"),
     [
         (unknown_class, RejectReason.UNKNOWN_CLASS),
         (shutting_down, RejectReason.SHUTDOWN),
         (near_the_stop, RejectReason.SHUTDOWN),
         (suspended_tenant, RejectReason.TENANT),
         (tenant_suspended_while_queued, RejectReason.TENANT),
-        (memory_short, RejectReason.MEMORY),
+        (memory_limit_reached, RejectReason.MEMORY),
         (blocked, RejectReason.BLOCKED),
-        (too_much_queued, RejectReason.WAIT_TOO_LONG),
-        (late_on_idle_cores, RejectReason.CANNOT_MEET_DEADLINE),
-        (original_without_memory, RejectReason.ORIGINAL_UNAVAILABLE),
-        (due_in_the_queue, RejectReason.DEADLINE_REACHED),
+        (too_much_work_queued, RejectReason.WAIT_TOO_LONG),
+        (late_request_on_idle_cores, RejectReason.CANNOT_MEET_DEADLINE),
+        (retry_without_memory, RejectReason.ORIGINAL_UNAVAILABLE),
+        (deadline_reached_while_queued, RejectReason.DEADLINE_REACHED),
         (stopped_shortly_before_the_stop, RejectReason.PREEMPTED),
     ],
 )
 def test_rejection_gives_the_reason_of_its_rule(
-    bring_about: Callable[[], list[Action]], reason: RejectReason
+    cause_rejection: Callable[[], list[Action]], reason: RejectReason
 ) -> None:
-    rejections = [action for action in bring_about() if isinstance(action, Reject)]
+    rejections = [action for action in cause_rejection() if isinstance(action, Reject)]
     assert rejections
     assert {rejection.reason for rejection in rejections} == {reason}
 
 
 def test_failure_in_place_of_a_rejection_gives_the_same_reason() -> None:
-    failures = [action for action in due_while_running() if isinstance(action, Fail)]
+    failures = [action for action in deadline_reached_while_running() if isinstance(action, Fail)]
     assert [failure.reason for failure in failures] == [RejectReason.DEADLINE_REACHED]
