--- a/snowthread/admission/slow_start.py
+++ b/snowthread/admission/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: limits the runs of a cold node to a window that grows with measured success, not with time.
 
-Times are arguments, in milliseconds of the node's single clock. As in TCP, the window doubles every round up to a
-threshold and grows by one per round beyond it::
+Times are arguments, in milliseconds of the node's single clock. As in TCP, the window doubles every round up
+to a threshold and grows by one per round beyond it::
 
     state     event                                next
     --------  -----------------------------------  --------------------------------------------------
