--- a/snowthread/admission/slow_start.py
+++ b/snowthread/admission/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: limits the runs of a cold node to a window that grows with measured success, not with time.
 
-Times are arguments, in milliseconds of the monotonic clock. As in TCP, the window doubles every round up to a
-threshold and grows by one per round beyond it::
+Times are arguments, in milliseconds of the node's single clock. As in TCP, the window doubles every round up
+to a threshold and grows by one per round beyond it::
 
     state     event                                next
     --------  -----------------------------------  --------------------------------------------------
@@ -43,8 +43,8 @@
         valid_factor = 0 < self.backoff_factor < 1
         if not valid_factor or self.min_window < 1 or self.max_window < self.min_window:
             raise ValueError(
-                f"slow start: windows {self.min_window} to {self.max_window} or backoff factor "
-                f"{self.backoff_factor} out of range"
+                f"slow start out of range: window from {self.min_window} to {self.max_window}, "
+                f"backoff factor {self.backoff_factor}"
             )
         self.window = max(self.window, self.min_window)
 
--- a/snowthread/ldap/message_codec.py
+++ b/snowthread/ldap/message_codec.py
@@ -1,4 +1,4 @@
-"""Encode requests and decode responses (RFC 4511, section 4) with the schema's ASN.1."""
+"""Encode requests and decode responses (RFC 4511, section 4) according to the ASN.1 in ``schema``."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import asn1tools
 
-from snowthread.ldap.ber import Bounds, MalformedError, check
+from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check
 from snowthread.ldap.messages import (
     AbandonRequest,
     BindResponse,
@@ -26,7 +26,7 @@
     SimpleBindRequest,
     UnbindRequest,
 )
-from snowthread.ldap.schema import MODULE
+from snowthread.ldap.schema import LDAP_MODULE
 from snowthread.ldap.search_filter import (
     And,
     Comparison,
@@ -38,26 +38,26 @@
     Substrings,
 )
 
-_MESSAGE = MODULE.types["LDAPMessage"]
+_MESSAGE = LDAP_MODULE.types["LDAPMessage"]
 LDAP_VERSION = 3  # RFC 4511, section 4.2
 NEVER_DEREF_ALIASES = 0  # RFC 4511, section 4.5.1.3
 
 
 def encode(message_id: int, request: Request) -> bytes:
-    """Return a request's bytes."""
+    """Return the encoded request."""
     fields: dict[str, Any] = {"messageID": message_id, "protocolOp": _encode_request(request)}
     if isinstance(request, SearchRequest) and request.controls:
         fields["controls"] = [_encode_control(control) for control in request.controls]
     return bytes(_MESSAGE.encode(fields))
 
 
-def decode(frame: bytes, bounds: Bounds) -> Message:
-    """Return the response in one complete frame.
+def decode(frame: bytes, limits: MessageLimits) -> Message:
+    """Return the response in one complete message frame.
 
     Raises:
-        MalformedError: The frame is no response, or exceeds the bounds.
+        MalformedMessageError: The frame is not a valid response or exceeds the limits.
     """
-    check(frame, bounds)
+    check(frame, limits)
     try:
         fields = _MESSAGE.decode(frame)
         controls = tuple(
@@ -71,7 +71,7 @@
         kind, content = fields["protocolOp"]
         return Message(fields["messageID"], _decode_response(kind, content, controls))
     except (asn1tools.Error, UnicodeDecodeError, KeyError, IndexError, OverflowError) as error:
-        raise MalformedError(f"not a message: {type(error).__name__}") from None
+        raise MalformedMessageError(f"message can't be decoded: {type(error).__name__}") from None
 
 
 def _encode_control(control: Control) -> dict[str, Any]:
@@ -170,11 +170,11 @@
         case "intermediateResponse":
             name = content.get("responseName", b"").decode()
             return IntermediateResponse(name, content.get("responseValue", b""))
-    raise MalformedError(f"{kind} is nothing that a server sends")
+    raise MalformedMessageError(f"received a {kind}, which is not a response")
 
 
 def _decode_attributes(fields: Any) -> dict[str, tuple[bytes, ...]]:
-    """Return the values by lower-cased name, joined where a server sends a name twice."""
+    """Return the values by lower-cased name; the values of a repeated name are joined."""
     attributes: dict[str, tuple[bytes, ...]] = {}
     for attribute in fields:
         name = attribute["type"].decode().lower()
--- a/snowthread/recovery/storage.py
+++ b/snowthread/recovery/storage.py
@@ -1,10 +1,12 @@
-"""The files of a node's state folder: written atomically, read back complete or not at all.
+"""Reads and writes the files of a node's state folder; writes are atomic.
 
-Write order: the bytes go to a temporary file in the same folder, are fsynced, renamed over the file, and the
-folder is fsynced. A crash before the rename leaves the old file; after it, the new one. A file system that
-loses the rename's order may leave a torn file, which the digest of :mod:`snapshot` and the checksums of
-:mod:`key_log` find. A write that fails is returned as a :class:`StorageFailure`, nothing is raised; reading a
-file that is missing gives empty bytes.
+A write goes to a temporary file in the same folder, which is fsynced and renamed over the target; then the
+folder is fsynced. A crash before the rename leaves the old file, a crash after it the new one. A file system
+that reorders the rename may leave a torn file, which is detected by the digest of a snapshot
+(:mod:`snapshot`) and the checksums of a key log (:mod:`key_log`).
+
+A failed write is returned as a :class:`StorageFailure` and raises nothing. Reading a missing file returns
+empty bytes.
 """
 
 from __future__ import annotations
@@ -18,18 +20,19 @@
 from loguru import logger
 
 from snowthread.recovery import key_log
-from snowthread.recovery.key_log import KeyLog, KeyLogContents, KeyLogVerdict
+from snowthread.recovery.key_log import KeyLog, KeyLogContents, KeyLogStatus
 
 SNAPSHOT_FILE = "warm.snap"
 KEY_LOG_FILE = "keys.ring"
 INCARNATION_FILE = "incarnation"
 TEMPORARY_SUFFIX = ".tmp"
-MAX_READ_BYTES = 2 << 20  # more than any snapshot; of a larger file only so much is read, so it is torn
+# More than any valid snapshot has. A longer file is read only up to this size and then decodes as corrupt.
+MAX_READ_BYTES = 2 << 20
 MAX_INCARNATION_BYTES = 32
 
 
 class StorageStep(Enum):
-    """What was being done when storage failed."""
+    """The operation during which storage failed."""
 
     OPEN = "open"
     WRITE = "write"
@@ -41,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StorageFailure:
-    """Why a file was not written: the step that failed, and the system's reason."""
+    """The operation that failed on a file, and the operating system's reason."""
 
     step: StorageStep
     reason: str
@@ -52,18 +55,27 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedKeyLog:
-    """What a start finds in the key log, and the log to append to, or why there is none."""
+    """The contents of the key log found at start, and the log to append to or the error that prevented it."""
 
-    found: KeyLogContents
+    contents: KeyLogContents
     key_log: KeyLog | None = None
     error: StorageFailure | None = None
 
 
-def write(folder: Path, data: bytes, name: str = SNAPSHOT_FILE, sync: bool = True) -> StorageFailure | None:
-    """Write a file atomically; return None once it is in place, else the error.
+def write_state_file(
+    folder: Path, data: bytes, name: str = SNAPSHOT_FILE, sync: bool = True
+) -> StorageFailure | None:
+    """Write a file atomically.
+
+    Args:
+        folder: The state folder.
+        data: The new contents.
+        name: Name of the file.
+        sync: Whether to wait until the data is on disk. Without it, the file outlives the process but perhaps
+            not a power failure.
 
-    Without ``sync`` the file outlives the process but may not outlive a power failure, and the caller does
-    not wait for the disk.
+    Returns:
+        None if the file is in place, otherwise the failure.
     """
     temporary = folder / (name + TEMPORARY_SUFFIX)
     step = StorageStep.OPEN
@@ -101,64 +113,75 @@
         os.close(descriptor)
 
 
-def warn_if_failed(error: StorageFailure | None) -> None:
-    """Log a failed write of state that the node can do without."""
+def log_write_failure(error: StorageFailure | None) -> None:
+    """Log a failed write of state without which the node can continue."""
     if error is not None:
-        logger.bind(event="recovery.write_failed").warning("state not written: {}", error)
+        logger.bind(event="recovery.write_failed").warning(
+            "could not write recovery state, continuing without it: {}", error
+        )
 
 
-def read(folder: Path, name: str = SNAPSHOT_FILE, most: int = MAX_READ_BYTES) -> bytes:
-    """Return the first ``most`` bytes of a file, empty where there is none or it cannot be read."""
+def read_state_file(folder: Path, name: str = SNAPSHOT_FILE, max_bytes: int = MAX_READ_BYTES) -> bytes:
+    """Return up to ``max_bytes`` bytes of a file; empty if it is missing or unreadable."""
     try:
         with (folder / name).open("rb") as file:
-            return file.read(most)
+            return file.read(max_bytes)
     except OSError:
         return b""
 
 
 def read_incarnation(folder: Path) -> int:
-    """Return the last incarnation that was written; 0 where there is none or it cannot be read."""
+    """Return the stored incarnation, or 0 if it is missing or unreadable."""
     try:
-        return max(0, int(read(folder, INCARNATION_FILE, MAX_INCARNATION_BYTES) or b"0"))
+        return max(0, int(read_state_file(folder, INCARNATION_FILE, MAX_INCARNATION_BYTES) or b"0"))
     except ValueError:
         return 0
 
 
 def write_incarnation(folder: Path, number: int) -> StorageFailure | None:
-    """Write an incarnation; return None or the error. The registry knows it too, so a start goes on."""
-    return write(folder, b"%d\n" % number, INCARNATION_FILE)
+    """Store an incarnation; return the failure, if any.
+
+    A start continues after a failure, since the registry knows the incarnation too.
+    """
+    return write_state_file(folder, b"%d\n" % number, INCARNATION_FILE)
 
 
 def read_key_log(folder: Path) -> KeyLogContents:
-    """Return the contents of the folder's key log."""
-    return key_log.read_key_log(read(folder, KEY_LOG_FILE, key_log.key_log_size(key_log.MAX_SLOTS) + 1))
+    """Read and decode the key log of a state folder."""
+    return key_log.decode_key_log(
+        read_state_file(folder, KEY_LOG_FILE, key_log.key_log_size(key_log.MAX_SLOT_COUNT) + 1)
+    )
 
 
 def create_key_log(folder: Path) -> StorageFailure | None:
-    """Write an empty key log; return None or the error.
+    """Write a key log without keys; return the failure, if any.
 
-    It is the operator's statement that no earlier incarnation of this node ran requests with keys.
+    By this, the operator states that no earlier incarnation of the node ran requests with idempotency keys.
     """
-    return write(folder, key_log.new_key_log(), KEY_LOG_FILE)
+    return write_state_file(folder, key_log.encode_empty_key_log(), KEY_LOG_FILE)
 
 
-def open_key_log(folder: Path, any_until_ms: float) -> OpenedKeyLog:
+def open_key_log(folder: Path, all_indeterminate_until_ms: float) -> OpenedKeyLog:
     """Read the key log and open it for appending.
 
-    An incomplete one is replaced by an empty one in which any key may have run until ``any_until_ms`` (wall
-    ms), so that the next start does not take it for a complete one.
+    A missing or invalid log is replaced by an empty one, in which every key is indeterminate until
+    ``all_indeterminate_until_ms`` (wall clock ms). The next start therefore does not take it for a log that
+    lists all keys.
     """
-    found = read_key_log(folder)
-    if found.verdict is not KeyLogVerdict.COMPLETE:
-        error = write(folder, key_log.new_key_log(any_until_ms), KEY_LOG_FILE)
+    contents = read_key_log(folder)
+    if contents.status is not KeyLogStatus.COMPLETE:
+        error = write_state_file(
+            folder, key_log.encode_empty_key_log(all_indeterminate_until_ms), KEY_LOG_FILE
+        )
         if error is not None:
-            return OpenedKeyLog(found, error=error)
+            return OpenedKeyLog(contents, error=error)
     try:
         descriptor = os.open(folder / KEY_LOG_FILE, os.O_RDWR)
         try:
-            mapped = mmap.mmap(descriptor, 0)  # shared: what is written outlives the process without a call
+            # The map is shared with the file: written bytes outlive the process without a system call.
+            mapped = mmap.mmap(descriptor, 0)
         finally:
             os.close(descriptor)
     except (OSError, ValueError) as failure:
-        return OpenedKeyLog(found, error=StorageFailure(StorageStep.MAP, str(failure)))
-    return OpenedKeyLog(found, KeyLog(memoryview(mapped), found.sequence))
+        return OpenedKeyLog(contents, error=StorageFailure(StorageStep.MAP, str(failure)))
+    return OpenedKeyLog(contents, KeyLog(memoryview(mapped), contents.sequence))
--- a/snowthread/tenants/connection_settings.py
+++ b/snowthread/tenants/connection_settings.py
@@ -1,4 +1,4 @@
-"""How the ``tenants`` block says to connect to the directory: deadlines, TLS and credentials."""
+"""The connection settings in the ``tenants`` block: timeouts, TLS and credentials."""
 
 from __future__ import annotations
 
@@ -9,15 +9,21 @@
 
 from snowthread.hcl import Block
 from snowthread.ldap import dn, url
-from snowthread.ldap.ber import Bounds
+from snowthread.ldap.ber import MessageLimits
 from snowthread.ldap.client import ConnectionSettings
 from snowthread.ldap.messages import ExternalBindRequest, Secret, SimpleBindRequest
 
 Servers = tuple[url.LdapUrl, ...]
 
 
-def read_connection_settings(block: Block, servers: Servers, bounds: Bounds) -> ConnectionSettings:
-    """Read how to connect; certificates and secrets are read too, so that errors in them are found now."""
+def read_connection_settings(
+    block: Block, servers: Servers, message_limits: MessageLimits
+) -> ConnectionSettings:
+    """Return the connection settings of the ``tenants`` block.
+
+    Certificates and passwords are read too, so that errors in them are found when the file is loaded. An
+    invalid value, an unreadable file or a password that would be sent in clear text is a BlockKeyError.
+    """
     start_tls = block.flag("start_tls", False)
     connect_timeout_ms = block.duration_ms("connect", "2s")
     bind_timeout_ms = block.duration_ms("bind_within", "3s")
@@ -30,7 +36,7 @@
     if start_tls or any(server.scheme == "ldaps" for server in servers):
         tls_context = _new_tls_context(tls, ca_file, cert_file, key_file)
     elif ca_file or cert_file or key_file or server_name:
-        raise tls.error("ca_file", "no server is reached over TLS: ldaps URLs or start_tls are wanted")
+        raise tls.error("ca_file", "no server uses TLS; use ldaps URLs or set start_tls")
     tls.reject_unknown_keys()
     return ConnectionSettings(
         bind=_read_bind(block, tls_context is not None, cert_file is not None, servers),
@@ -39,7 +45,7 @@
         server_name=server_name,
         connect_timeout_ms=connect_timeout_ms,
         bind_timeout_ms=bind_timeout_ms,
-        bounds=bounds,
+        message_limits=message_limits,
     )
 
 
@@ -49,17 +55,17 @@
     try:
         context = ssl.create_default_context(cafile=ca_file)
     except (OSError, ssl.SSLError) as error:
-        raise tls.error("ca_file", f"{ca_file}: {_reason_of(error)}") from None
+        raise tls.error("ca_file", f"{ca_file}: {_error_reason(error)}") from None
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     if cert_file is not None:
         try:
             context.load_cert_chain(cert_file, key_file)
         except (OSError, ssl.SSLError) as error:
-            raise tls.error("cert_file", f"{cert_file}: {_reason_of(error)}") from None
+            raise tls.error("cert_file", f"{cert_file}: {_error_reason(error)}") from None
     return context
 
 
-def _reason_of(error: OSError) -> str | None:
+def _error_reason(error: OSError) -> str | None:
     return getattr(error, "reason", None) or error.strerror
 
 
@@ -72,7 +78,7 @@
     method = bind.choice("method", ("simple", "external"), "simple")
     if method == "external":
         if not has_certificate:
-            raise bind.error("method", "external needs tls.cert_file")
+            raise bind.error("method", "method 'external' requires tls.cert_file")
         identity = bind.text("identity", "")
         bind.reject_unknown_keys()
         return ExternalBindRequest(identity)
@@ -85,7 +91,7 @@
         if not uses_tls and not allow_clear_text and not ip_address(server.host).is_loopback:
             raise bind.error(
                 "allow_clear_text",
-                f"the password would go to {server.server} in clear text; use ldaps or start_tls",
+                f"the password would be sent to {server.server} in clear text; use ldaps or start_tls",
             )
     return SimpleBindRequest(name, Secret(password))
 
@@ -94,10 +100,10 @@
     file = bind.optional_text("password_file")
     variable = bind.optional_text("password_env")
     if (file is None) == (variable is None):
-        raise bind.error("password_file", "either this or password_env is wanted")
+        raise bind.error("password_file", "set exactly one of password_file and password_env")
     password = _read_password_file(bind, file) if file is not None else os.environ.get(variable or "", "")
-    if not password:  # a simple bind without one is anonymous and succeeds (RFC 4513, section 5.1.2)
-        raise bind.error("password_file" if file else "password_env", "it holds no password")
+    if not password:  # a simple bind with an empty password is anonymous and succeeds (RFC 4513, 5.1.2)
+        raise bind.error("password_file" if file else "password_env", "no password found")
     return password
 
 
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -1,4 +1,4 @@
-"""The lab's relay on loopback: it forwards bytes unchanged, and each fault has its effect."""
+"""Tests the lab's TCP relay: it forwards bytes unchanged, and each fault has its effect."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from emulators.servers import accept_connections, listen
 from snowthread.address import Address
-from snowthread.lab.faults import LinkFaults, Pacing, release_ms
+from snowthread.lab.faults import ForwardingState, LinkFaults, compute_release_ms
 from snowthread.lab.relay import Relay
 from snowthread.net.clock import Clock
 from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
 
 
 class Echo:
-    """A server that writes back what it reads."""
+    """A server that echoes the bytes that it reads."""
 
     def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
@@ -49,7 +49,7 @@
 
 
 def exchange(loop: EventLoop, relay: Relay, data: bytes, timeout_ms: float = 3000.0) -> tuple[bytes, float]:
-    """Send data and read the echo; return what came before the timeout, and the time it took in ms."""
+    """Send data and read the echo; return what arrived before the timeout, and the time taken in ms."""
     client = socket.create_connection(relay.address)
     client.setblocking(False)
     begin = loop.clock.now()
@@ -81,21 +81,21 @@
     loop, relay = link
     relay.faults.delay_ms = 150.0
     received, took_ms = exchange(loop, relay, b"ping")
-    assert received == b"ping" and took_ms >= 300.0  # there and back
+    assert received == b"ping" and took_ms >= 300.0  # Each direction adds 150 ms.
 
 
 def test_bandwidth_limits_a_large_write(link: tuple[EventLoop, Relay]) -> None:
     loop, relay = link
     relay.faults.bytes_per_s = 200_000.0
     received, took_ms = exchange(loop, relay, b"x" * 100_000)
-    assert len(received) == 100_000 and took_ms >= 500.0  # 0.5 s each way, the two in part at once
+    assert len(received) == 100_000 and took_ms >= 500.0  # 0.5 s in each direction, partly at the same time.
 
 
 def test_partition_rejects_new_connections_until_it_heals(link: tuple[EventLoop, Relay]) -> None:
     loop, relay = link
     relay.faults.partitioned = True
     received, _ = exchange(loop, relay, b"ping", timeout_ms=400.0)
-    assert received == b"" and relay.rejected == 1
+    assert received == b"" and relay.rejected_connections == 1
     relay.faults.partitioned = False
     assert exchange(loop, relay, b"ping")[0] == b"ping"
 
@@ -108,7 +108,7 @@
     for _ in range(40):
         loop.run_once(0.005)
     assert client.recv(10) == b"one"
-    relay.faults.cuts += 1
+    relay.faults.cut_count += 1
     ended = False
     for _ in range(200):
         loop.run_once(0.005)
@@ -121,14 +121,14 @@
         if ended:
             break
     assert ended
-    assert exchange(loop, relay, b"two")[0] == b"two"  # the relay still accepts connections
+    assert exchange(loop, relay, b"two")[0] == b"two"  # The relay still accepts connections.
 
 
 def test_jitter_keeps_the_order_of_a_connection() -> None:
     faults = LinkFaults(delay_ms=10.0, jitter_ms=100.0)
-    pacing = Pacing(0)
+    state = ForwardingState(0)
     generator = random.Random(3)
-    times = [release_ms(faults, pacing, float(at), 10, generator) for at in range(0, 100, 5)]
+    times = [compute_release_ms(faults, state, float(at), 10, generator) for at in range(0, 100, 5)]
     assert times == sorted(times) and len(set(times)) > 5
 
 
--- a/tests/ldap/test_ldap_codec.py
+++ b/tests/ldap/test_ldap_codec.py
@@ -1,4 +1,4 @@
-"""LDAP's bytes: client and emulated directory understand each other, and nothing else passes."""
+"""LDAP encoding: the client and the emulated directory interoperate, and invalid bytes are rejected."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from emulators.directory import Entry, ber, matches, protocol
 from emulators.directory.protocol import Operation
 from snowthread.ldap import controls, filters
-from snowthread.ldap.ber import Bounds, MalformedError, check, frame_length
+from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check, frame_length
 from snowthread.ldap.message_codec import encode
 from snowthread.ldap.messages import (
     START_TLS_OID,
@@ -30,7 +30,7 @@
 from snowthread.ldap.search_filter import Present
 from snowthread.ldap.session import Session, SessionEnded, SessionState, SessionStateError
 
-BOUNDS = Bounds()
+LIMITS = MessageLimits()
 WORDS = st.text(max_size=12)
 PRESENT = Present(b"a")
 UUID = bytes(range(16))
@@ -129,17 +129,17 @@
     deep = b""
     for _ in range(60):
         deep = b"\x30" + (bytes([len(deep)]) if len(deep) < 128 else b"\x81" + bytes([len(deep)])) + deep
-    with pytest.raises(MalformedError, match="deeper"):
-        check(deep, BOUNDS)
+    with pytest.raises(MalformedMessageError, match="deeper"):
+        check(deep, LIMITS)
     many = b"\x30\x82\x9c\x42" + b"\x05\x00" * 20_001
-    with pytest.raises(MalformedError, match="elements"):
-        check(many, BOUNDS)
-    with pytest.raises(MalformedError, match="reaches out"):
-        check(b"\x30\x04\x30\x04\x05\x00", BOUNDS)
-    check(b"\x30\x04\x30\x02\x05\x00", BOUNDS)
+    with pytest.raises(MalformedMessageError, match="elements"):
+        check(many, LIMITS)
+    with pytest.raises(MalformedMessageError, match="extends beyond its parent"):
+        check(b"\x30\x04\x30\x04\x05\x00", LIMITS)
+    check(b"\x30\x04\x30\x02\x05\x00", LIMITS)
 
 
-def test_the_emulator_reads_a_search_as_it_was_meant() -> None:
+def test_the_emulator_decodes_a_search_as_the_client_encoded_it() -> None:
     request = SearchRequest(
         "dc=x",
         Scope.ONE,
@@ -223,10 +223,10 @@
     with pytest.raises(SessionStateError):
         session.send(SimpleBindRequest("", Secret("")))
     session.send(AbandonRequest(search_id))
-    assert session.receive(entry(search_id, "cn=late", [])) == []  # crossed the abandon request
+    assert session.receive(entry(search_id, "cn=late", [])) == []  # sent before the abandon request arrived
     assert session.receive(done(search_id)) == [] and session.state is SessionState.READY
     (ended,) = session.receive(done(search_id))
-    assert isinstance(ended, SessionEnded) and "to no open request" in ended.reason
+    assert isinstance(ended, SessionEnded) and "which has no open request" in ended.reason
     with pytest.raises(SessionStateError):
         session.send(UnbindRequest())
 
@@ -234,14 +234,14 @@
 @pytest.mark.parametrize(
     ("wire", "text"),
     [
-        (done(9), "to no open request"),
-        (bind_response(1), "BindResponse answers a SearchRequest"),
+        (done(9), "message id 9, which has no open request"),
+        (bind_response(1), "received BindResponse in response to SearchRequest"),
         (
             message(0, protocol.extended_response(52, oid=protocol.NOTICE_OF_DISCONNECTION)),
             "notice",
         ),
-        (message(0, protocol.search_done(0)), "unsolicited"),
-        (message(1, ber.application(Operation.SEARCH_REQUEST)), "not a message"),
+        (message(0, protocol.search_done(0)), "unknown unsolicited notification"),
+        (message(1, ber.application(Operation.SEARCH_REQUEST)), "message can't be decoded"),
     ],
 )
 def test_a_protocol_error_or_a_notice_ends_the_session(wire: bytes, text: str) -> None:
@@ -249,8 +249,8 @@
     assert isinstance(ended, SessionEnded) and text in ended.reason
 
 
-def test_clear_text_behind_the_response_to_start_tls_is_a_protocol_error() -> None:
-    # An attacker on the path could otherwise inject messages before the stream is secured.
+def test_clear_text_after_the_start_tls_response_is_a_protocol_error() -> None:
+    # An attacker on the network path could otherwise inject messages before the stream is secured.
     accepted = message(1, protocol.extended_response(0))
     session = Session()
     session.send(ExtendedRequest(START_TLS_OID))
@@ -258,7 +258,7 @@
     assert isinstance(received[-1], SessionEnded) and "clear text" in received[-1].reason
 
 
-def test_nothing_is_sent_between_the_response_to_start_tls_and_the_handshake() -> None:
+def test_nothing_is_sent_between_the_start_tls_response_and_the_handshake() -> None:
     session = Session()
     session.send(ExtendedRequest(START_TLS_OID))
     assert len(session.receive(message(1, protocol.extended_response(0)))) == 1
@@ -304,14 +304,14 @@
     ids=["empty", "no choice", "short UUID", "long cookie"],
 )
 def test_a_bad_intermediate_message_is_an_error(value: bytes) -> None:
-    with pytest.raises(MalformedError):
+    with pytest.raises(MalformedMessageError):
         controls.read_sync_info(value)
 
 
 def test_the_length_of_a_frame_is_known_from_its_head() -> None:
     for size in (0, 5, 127, 128, 300, 70_000):
         frame = ber.encode(ber.sequence(ber.octets(b"x" * size)))
-        assert frame_length(frame[:6], BOUNDS) == len(frame)
+        assert frame_length(frame[:6], LIMITS) == len(frame)
 
 
 def test_a_secret_is_sent_but_never_shown() -> None:
