--- a/snowthread/ldap/ber.py
+++ b/snowthread/ldap/ber.py
@@ -61,7 +61,7 @@
     return head_bytes + length
 
 
-def check(frame: bytes, limits: MessageLimits) -> None:
+def check_structure(frame: bytes, limits: MessageLimits) -> None:
     """Validate the structure of a complete message in one pass.
 
     Raises:
--- a/snowthread/ldap/circuit_breaker.py
+++ b/snowthread/ldap/circuit_breaker.py
@@ -29,8 +29,8 @@
     """The circuit breaker of one server; times are milliseconds."""
 
     policy: RetryPolicy
-    consecutive_failures: int = 0  # since the last success or opening
-    consecutive_opens: int = 0  # since the last success
+    consecutive_failures: int = 0  # failures since the last success or opening of the circuit
+    consecutive_opens: int = 0  # openings of the circuit since the last success
     open_until_ms: float = -math.inf
     probing: bool = False  # whether the one attempt that the half-open state allows is in progress
 
--- a/snowthread/ldap/client.py
+++ b/snowthread/ldap/client.py
@@ -85,7 +85,7 @@
         self._stream = Stream(self._loop, attempt.sock)
         failure: ConnectionFailure | None = None
         if self.url.scheme == "ldaps":
-            failure = yield from self._secure(self._stream)
+            failure = yield from self._perform_tls_handshake(self._stream)
         elif self._settings.start_tls:
             failure = yield from self._start_tls(self._stream)
         if failure is None and self._settings.bind is not None:
@@ -134,7 +134,7 @@
             raise RuntimeError("the connection is not open")
         return self._stream
 
-    def _secure(self, stream: Stream) -> Generator[Wait, int, ConnectionFailure | None]:
+    def _perform_tls_handshake(self, stream: Stream) -> Generator[Wait, int, ConnectionFailure | None]:
         context = self._settings.tls_context
         if context is None:
             return ConnectionFailure(
@@ -158,9 +158,9 @@
             return ConnectionFailure(
                 Progress.REPLY_BEGUN, f"StartTLS: result code {code}", Reaction.NEEDS_OPERATOR
             )
-        failure = yield from self._secure(stream)
+        failure = yield from self._perform_tls_handshake(stream)
         if failure is None:
-            self._session.mark_secured()
+            self._session.complete_tls_handshake()
         return failure
 
     def _bind(
--- a/snowthread/ldap/controls.py
+++ b/snowthread/ldap/controls.py
@@ -12,7 +12,7 @@
 
 import asn1tools
 
-from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check
+from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check_structure
 from snowthread.ldap.messages import Control
 from snowthread.ldap.schema import LDAP_MODULE
 
@@ -150,7 +150,7 @@
 
 def _decode(kind: str, value: bytes | None) -> Any:
     try:
-        check(value or b"", _VALUE_LIMITS)
+        check_structure(value or b"", _VALUE_LIMITS)
         return LDAP_MODULE.types[kind].decode(value or b"")
     except (asn1tools.Error, KeyError, IndexError) as error:
         raise MalformedMessageError(f"{kind}: {type(error).__name__}") from None
--- a/snowthread/ldap/health.py
+++ b/snowthread/ldap/health.py
@@ -36,7 +36,7 @@
     ResultCode.SIZE_LIMIT_EXCEEDED: Reaction.REDUCE_PAGE_SIZE,
     ResultCode.AUTH_METHOD_NOT_SUPPORTED: Reaction.NEEDS_OPERATOR,
     ResultCode.STRONGER_AUTH_REQUIRED: Reaction.NEEDS_OPERATOR,
-    ResultCode.REFERRAL: Reaction.FAIL_OVER,  # not followed: the operator did not configure the target
+    ResultCode.REFERRAL: Reaction.FAIL_OVER,  # referrals are not followed: no operator configured the targets
     ResultCode.ADMIN_LIMIT_EXCEEDED: Reaction.REDUCE_PAGE_SIZE,
     ResultCode.UNAVAILABLE_CRITICAL_EXTENSION: Reaction.FALL_BACK,
     ResultCode.CONFIDENTIALITY_REQUIRED: Reaction.NEEDS_OPERATOR,
--- a/snowthread/ldap/message_codec.py
+++ b/snowthread/ldap/message_codec.py
@@ -6,7 +6,7 @@
 
 import asn1tools
 
-from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check
+from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check_structure
 from snowthread.ldap.messages import (
     AbandonRequest,
     BindResponse,
@@ -57,7 +57,7 @@
     Raises:
         MalformedMessageError: The frame is not a valid response or exceeds the limits.
     """
-    check(frame, limits)
+    check_structure(frame, limits)
     try:
         fields = _MESSAGE.decode(frame)
         controls = tuple(
--- a/snowthread/ldap/messages.py
+++ b/snowthread/ldap/messages.py
@@ -95,7 +95,7 @@
     filter: Filter
     attributes: tuple[str, ...] = ()
     size_limit: int = 0  # entries; 0: no limit
-    time_limit_s: int = 0  # 0: no limit
+    time_limit_s: int = 0  # seconds; 0: no limit
     controls: tuple[Control, ...] = ()
 
 
--- a/snowthread/ldap/result_codes.py
+++ b/snowthread/ldap/result_codes.py
@@ -10,7 +10,7 @@
 
     SUCCESS = 0
     OPERATIONS_ERROR = 1
-    PROTOCOL_ERROR = 2  # also sent in response to an unknown extended operation
+    PROTOCOL_ERROR = 2  # also sent by servers in response to an unknown extension
     TIME_LIMIT_EXCEEDED = 3
     SIZE_LIMIT_EXCEEDED = 4
     AUTH_METHOD_NOT_SUPPORTED = 7
--- a/snowthread/ldap/retry_budget.py
+++ b/snowthread/ldap/retry_budget.py
@@ -12,20 +12,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """The settings of retries and circuit breakers; times are milliseconds."""
+    """The settings of retries and circuit breakers; times are milliseconds.
 
-    first_backoff_ms: float = 200.0  # cap before the first retry, doubled for each further one
-    max_backoff_ms: float = 30_000.0  # upper limit of the cap
-    budget_share: float = 0.2  # retries allowed per success
-    budget_floor_per_s: float = 0.1  # retries per second without successes, so that retries never stop
-    max_saved_retries: float = 10.0  # capacity of the budget
+    Without ``budget_floor_per_s`` no server would be tried again after the budget is used up.
+    """
+
+    first_backoff_ms: float = 200.0  # upper bound of the wait before the first retry; doubles with each retry
+    max_backoff_ms: float = 30_000.0  # largest upper bound of the wait before a retry
+    budget_share: float = 0.2  # retries that each success adds to the retry budget
+    budget_floor_per_s: float = 0.1  # retries per second that are added without any success
+    max_saved_retries: float = 10.0  # the most retries that the retry budget can hold
     failures_to_open: int = 3  # consecutive failures that open a server's circuit
-    open_ms: float = 5_000.0  # first open time, doubled for each consecutive opening
-    max_open_ms: float = 120_000.0  # upper limit of the open time
+    open_ms: float = 5_000.0  # time for which a circuit first opens; doubles with each consecutive opening
+    max_open_ms: float = 120_000.0  # the longest time for which a circuit opens
 
 
 def backoff_ms(retry: int, policy: RetryPolicy, rng: random.Random) -> float:
-    """Return the wait before a retry, counted from 1, with full jitter: uniform between 0 and the cap."""
+    """Return the wait before a retry, counted from 1, with full jitter: uniform from 0 to an upper bound."""
     cap_ms = min(policy.max_backoff_ms, policy.first_backoff_ms * 2.0 ** min(retry - 1, MAX_DOUBLINGS))
     return rng.uniform(0.0, cap_ms)
 
--- a/snowthread/ldap/session.py
+++ b/snowthread/ldap/session.py
@@ -1,12 +1,12 @@
 """The protocol state of one LDAP connection, without I/O: encodes requests and decodes responses.
 
-| state          | requests allowed          | event: next state                                     |
-| -------------- | ------------------------- | ----------------------------------------------------- |
-| READY          | all                       | bind: BINDING; StartTLS: START_TLS_SENT               |
-| START_TLS_SENT | none                      | StartTLS response: success: HANDSHAKE, else READY     |
-| HANDSHAKE      | none                      | ``mark_secured``: READY; a byte of clear text: CLOSED |
-| BINDING        | none (RFC 4511, 4.2.1)    | bind response: READY                                  |
-| CLOSED         | none                      | -                                                     |
+| state          | requests allowed          | event: next state                                       |
+| -------------- | ------------------------- | ------------------------------------------------------- |
+| READY          | all                       | bind: BINDING; StartTLS: START_TLS_SENT                 |
+| START_TLS_SENT | none                      | StartTLS response: success: TLS_HANDSHAKE, else READY   |
+| TLS_HANDSHAKE  | none                      | handshake complete: READY; a byte of clear text: CLOSED |
+| BINDING        | none (RFC 4511, 4.2.1)    | bind response: READY                                    |
+| CLOSED         | none                      | -                                                       |
 
 An unbind request, a notice of disconnection or a protocol error changes any state to CLOSED. A request that
 the state does not allow raises SessionStateError, since it is an error in this program. A protocol error of
@@ -56,7 +56,7 @@
 
     READY = 0
     START_TLS_SENT = 1
-    HANDSHAKE = 2
+    TLS_HANDSHAKE = 2
     BINDING = 3
     CLOSED = 4
 
@@ -152,14 +152,14 @@
         del self._buffer[:position]
         return received
 
-    def mark_secured(self) -> None:
+    def complete_tls_handshake(self) -> None:
         """Record that the TLS handshake is complete, so that requests may be sent on the secured stream.
 
         Raises:
             SessionStateError: No successful StartTLS response preceded the handshake.
         """
-        if self.state is not SessionState.HANDSHAKE:
-            raise SessionStateError("mark_secured without a StartTLS handshake")
+        if self.state is not SessionState.TLS_HANDSHAKE:
+            raise SessionStateError("no TLS handshake is in progress")
         self.state = SessionState.READY
 
     def _next_frame(self, data: bytes, position: int) -> bytes | None:
@@ -168,7 +168,7 @@
         Raises:
             MalformedMessageError: Clear text arrived between the StartTLS response and the TLS handshake.
         """
-        if self.state is SessionState.HANDSHAKE:
+        if self.state is SessionState.TLS_HANDSHAKE:
             raise MalformedMessageError("clear text after the StartTLS response")
         length = frame_length(data[position : position + MAX_HEAD_BYTES], self.limits)
         if length is None or position + length > len(data):
@@ -222,7 +222,7 @@
                 self.state = SessionState.READY
             elif self.state is SessionState.START_TLS_SENT:
                 accepted = response.result.result_code == ResultCode.SUCCESS
-                self.state = SessionState.HANDSHAKE if accepted else SessionState.READY
+                self.state = SessionState.TLS_HANDSHAKE if accepted else SessionState.READY
         return None
 
     def _close(self, ended: SessionEnded) -> SessionEnded:
@@ -235,5 +235,7 @@
 def _session_end_from(message: Message) -> SessionEnded:
     response = message.response
     if isinstance(response, ExtendedResponse) and response.response_name == NOTICE_OF_DISCONNECTION_OID:
-        return SessionEnded(f"notice of disconnection, code {response.result.result_code}", response.result)
+        return SessionEnded(
+            f"notice of disconnection, result code {response.result.result_code}", response.result
+        )
     return SessionEnded("unknown unsolicited notification")
--- a/snowthread/ldap/url.py
+++ b/snowthread/ldap/url.py
@@ -70,7 +70,7 @@
         dn.parse(base)
         if query.filter:
             filters.parse(query.filter)
-    except ValueError as error:  # a lone surrogate raises UnicodeEncodeError, which is no LdapTextError
+    except ValueError as error:  # a lone surrogate raises UnicodeEncodeError, not an LdapTextError
         raise UrlError(f"{text!r}: {error}") from None
     return LdapUrl(
         split.scheme,
--- a/snowthread/tenants/changes.py
+++ b/snowthread/tenants/changes.py
@@ -13,7 +13,7 @@
 
 TenantQuota = admission_settings.Tenant  # all that admission control knows about a tenant
 
-MAX_LOG_LINES = 20  # per step; one further line says that lines were omitted
+MAX_LOG_LINES = 20  # log lines per step of the tenant state; one further line says that lines were omitted
 MS_PER_S = 1000.0
 
 
--- a/snowthread/tenants/cli.py
+++ b/snowthread/tenants/cli.py
@@ -35,7 +35,7 @@
 )
 
 
-def _fetch(operator_file: Path, snapshot: Path | None) -> InspectionResult:
+def _read_tenants(operator_file: Path, snapshot: Path | None) -> InspectionResult:
     """Read the tenants from the snapshot, or from the directory that the operator's file configures.
 
     The example node configuration is used if NODE_CONFIG is not set, since reading tenants needs no node.
@@ -45,7 +45,7 @@
     """
     from snowthread import config
     from snowthread.operator.features import Features
-    from snowthread.tenants.inspection import fetch
+    from snowthread.tenants.inspection import read_tenants
 
     environment = dict(os.environ)
     if not environment.get("NODE_CONFIG"):
@@ -53,7 +53,7 @@
     settings = Features.load(operator_file, config.load(environment)).tenants
     if settings is None:
         raise config.ConfigError(f"{operator_file}: the block 'tenants' is missing")
-    return fetch(settings, snapshot)
+    return read_tenants(settings, snapshot)
 
 
 @click.group()
@@ -68,7 +68,7 @@
     """List all tenants with their status, quota, networks, balancer numbers and classes."""
     from snowthread.tenants.inspection import format_tenants
 
-    for line in format_tenants(_fetch(operator_file, snapshot)):
+    for line in format_tenants(_read_tenants(operator_file, snapshot)):
         click.echo(line)
 
 
@@ -86,7 +86,7 @@
     """Show which tenant owns requests from ADDRESS, and by which rule (exit status 1 if none does)."""
     from snowthread.tenants.inspection import describe_owner
 
-    owner = describe_owner(_fetch(operator_file, snapshot), address, balancer)
+    owner = describe_owner(_read_tenants(operator_file, snapshot), address, balancer)
     click.echo(owner.text)
     if not owner.is_known:
         sys.exit(1)
@@ -99,7 +99,7 @@
     """List invalid and conflicting entries in the directory (exit status 1 if there are any)."""
     from snowthread.tenants.inspection import find_problems
 
-    problems = find_problems(_fetch(operator_file, snapshot))
+    problems = find_problems(_read_tenants(operator_file, snapshot))
     for line in problems:
         click.echo(line)
     click.echo(f"{len(problems)} problems found" if problems else "no problems found")
--- a/snowthread/tenants/counters.py
+++ b/snowthread/tenants/counters.py
@@ -12,9 +12,9 @@
     The field names appear as they are in the log event ``tenants.state``.
     """
 
-    known_requests: int = 0  # from clients that a tenant owns
-    unknown_requests: int = 0  # from clients that no tenant owns
-    refreshes: int = 0  # refreshes that completed
+    known_requests: int = 0  # requests from clients that a tenant owns
+    unknown_requests: int = 0  # requests from clients that no tenant owns
+    refreshes: int = 0  # refreshes of the tenants that the directory completed
     changes: int = 0  # changes received between refreshes
     removals_held: int = 0  # removals that had to wait for confirmation
     conflicts: int = 0  # new conflicts between claims of tenants
--- a/snowthread/tenants/directory_session.py
+++ b/snowthread/tenants/directory_session.py
@@ -29,13 +29,13 @@
     SyncEvent,
 )
 
-MAX_SEARCH_RESTARTS = 4  # on one connection between two completed refreshes
+MAX_SEARCH_RESTARTS = 4  # restarts of the search on one connection between two completed refreshes
 RESTART_REACTIONS = frozenset({Reaction.FULL_REFRESH, Reaction.FALL_BACK, Reaction.REDUCE_PAGE_SIZE})
 LOOKUP_POLL_MS = 50.0  # interval of the checks whether a waiting lookup may be sent
 # The poll interval is multiplied by a random factor in this range.
 MIN_POLL_JITTER_RATIO = 0.8
 MAX_POLL_JITTER_RATIO = 1.2
-NO_SEARCH = 0  # message ids of requests start at 1
+NO_SEARCH = 0  # the message id while no search is open; ids of requests start at 1
 
 
 class DirectorySession:
@@ -128,7 +128,7 @@
 
     def _full_refresh_due(self, now: float) -> bool:
         """Return whether the full refresh that can confirm a pending removal is due."""
-        due_at = self._context.tenants.guard.confirmation_due_at()
+        due_at = self._context.tenants.removal_guard.confirmation_due_at()
         return due_at is not None and now >= due_at
 
     def _next_deadline(self) -> float:
@@ -146,7 +146,7 @@
             probe_at = self._probe.deadline
         else:
             probe_at = self._last_received_at + settings.probe_interval_ms
-        confirmation_at = tenants.guard.confirmation_due_at()
+        confirmation_at = tenants.removal_guard.confirmation_due_at()
         deadline = min(deadline, self._poll_at, probe_at)
         if confirmation_at is not None:
             deadline = min(deadline, confirmation_at)
--- a/snowthread/tenants/entry.py
+++ b/snowthread/tenants/entry.py
@@ -112,7 +112,7 @@
 def _single_value(attributes: Attributes, name: str) -> str | None:
     values = _values(attributes, name)
     if len(values) > 1:
-        if name == NAME_ATTRIBUTE:  # it may have several values; every node picks the same one, the least
+        if name == NAME_ATTRIBUTE:  # names may have several spellings; all nodes use the least one
             return min(values)
         raise ValueError(f"{name}: expected one value, found {len(values)}")
     return values[0] if values else None
--- a/snowthread/tenants/identification.py
+++ b/snowthread/tenants/identification.py
@@ -98,7 +98,7 @@
         self.publish(self.tenants.apply_rules(settings.rules))
         self._post(events.TenantQuotasChanged(over_quota_weight=settings.over_quota_weight))
         self._snapshots.apply_settings(settings)
-        if self.replicator is not None and not _same_replication(old, settings):
+        if self.replicator is not None and not _replication_settings_equal(old, settings):
             self.replicator.apply_settings(settings)
 
     def _run_housekeeping(self) -> TaskSteps:
@@ -118,7 +118,7 @@
         replicator = self.replicator
         stage = tenants.staleness.stage(now).value
         age_s = tenants.staleness.age_ms(now) / MS_PER_S
-        removal = tenants.guard.pending
+        removal = tenants.removal_guard.pending
         logger.bind(
             event="tenants.state",
             peer="directory",
@@ -131,7 +131,7 @@
             age_s=round(age_s, 1) if math.isfinite(age_s) else None,
             lookups_pending=len(tenants.unknown_clients),
             negative_cache=tenants.unknown_clients.negative_cache_size,
-            held=len(removal.tenant_ids) if removal else 0,  # the field name in the documentation
+            held=len(removal.tenant_ids) if removal else 0,  # ``held`` is the documented name of this field
             **asdict(tenants.counters),
         ).info(
             "tenants: {} known, data is {}, {} requests from known clients, {} from unknown clients",
@@ -142,7 +142,7 @@
         )
 
 
-def _same_replication(old: TenantSettings, new: TenantSettings) -> bool:
+def _replication_settings_equal(old: TenantSettings, new: TenantSettings) -> bool:
     """Return whether the two settings are equal in everything that concerns directory replication."""
     return old == replace(
         new,
--- a/snowthread/tenants/inspection.py
+++ b/snowthread/tenants/inspection.py
@@ -42,17 +42,17 @@
     text: str
 
 
-def fetch(settings: TenantSettings, snapshot_path: Path | None) -> InspectionResult:
+def read_tenants(settings: TenantSettings, snapshot_path: Path | None) -> InspectionResult:
     """Read all tenants from the snapshot if a path is given, else from the directory.
 
     A snapshot that can't be used, or a directory that does not complete a refresh in time, is a ConfigError.
     """
     if snapshot_path is not None:
-        return _fetch_from_snapshot(settings, snapshot_path)
-    return _fetch_from_directory(settings)
+        return _read_from_snapshot(settings, snapshot_path)
+    return _read_from_directory(settings)
 
 
-def _fetch_from_snapshot(settings: TenantSettings, path: Path) -> InspectionResult:
+def _read_from_snapshot(settings: TenantSettings, path: Path) -> InspectionResult:
     now = Clock().now()
     try:
         snapshot = tenant_snapshot.read(path, settings.source)
@@ -65,7 +65,7 @@
     return InspectionResult(tenants, problems, f"{path}, {age_s:.0f} s old")
 
 
-def _fetch_from_directory(settings: TenantSettings) -> InspectionResult:
+def _read_from_directory(settings: TenantSettings) -> InspectionResult:
     logger.remove()
     warnings: list[str] = []
     logger.add(lambda message: warnings.append(message.record["message"]), level="WARNING")
--- a/snowthread/tenants/removal_guard.py
+++ b/snowthread/tenants/removal_guard.py
@@ -25,10 +25,8 @@
 
     max_share: float = 0.1  # of the tenants that may be removed within the window
     min_allowance: int = 2  # tenants that may be removed within the window, whatever the share
-    confirm_by_refresh: bool = (
-        True  # a second full refresh confirms a removal; if False, only an operator does
-    )
-    confirm_after_ms: float = 60_000.0  # from the first report to the refresh that may confirm it
+    confirm_by_refresh: bool = True  # a second full refresh confirms removals; else only an operator does
+    confirm_after_ms: float = 60_000.0  # delay from the report of a removal to a refresh that may confirm it
     accepted_digest: str = ""  # digest of the pending removal that the operator accepts
 
 
--- a/snowthread/tenants/replication_mode.py
+++ b/snowthread/tenants/replication_mode.py
@@ -30,7 +30,9 @@
     def __init__(self, initial_mode: ReplicationMode, page_size: int) -> None:
         self.page_size = page_size
         self._initial_mode = initial_mode
-        self._fallbacks: dict[str, ReplicationMode] = {}  # by server, where it is not the initial mode
+        self._fallbacks: dict[
+            str, ReplicationMode
+        ] = {}  # modes of the servers that do not use the initial mode
 
     def mode_of(self, server: str) -> ReplicationMode:
         """Return the replication mode of a server."""
--- a/snowthread/tenants/rules.py
+++ b/snowthread/tenants/rules.py
@@ -18,7 +18,5 @@
     staleness: StalenessRules = field(default_factory=StalenessRules)
     unknown_clients: UnknownClientRules = field(default_factory=UnknownClientRules)
     default_quota_per_s: float = 0.0  # requests per second of the default tenant; 0: no quota
-    default_rejected: bool = (
-        False  # whether requests of the default tenant, from unknown clients, are rejected
-    )
+    default_rejected: bool = False  # whether requests from unknown clients are rejected
     trusted_networks: tuple[Network, ...] = ()  # networks whose requests may name a balancer number
--- a/snowthread/tenants/server_probe.py
+++ b/snowthread/tenants/server_probe.py
@@ -10,7 +10,7 @@
 
 ANY_ENTRY = Present(b"objectClass")
 NO_ATTRIBUTES = ("1.1",)  # requests entries without attributes (RFC 4511, section 4.5.1.8)
-NOT_IN_FLIGHT = 0  # message ids of requests start at 1
+NOT_IN_FLIGHT = 0  # the message id while no probe is in flight; ids of requests start at 1
 
 
 class ServerProbe:
--- a/snowthread/tenants/snapshot_schedule.py
+++ b/snowthread/tenants/snapshot_schedule.py
@@ -104,7 +104,7 @@
 
     def _start_write(self, writer: SnapshotWriter, sync: DirectorySync, now: float) -> None:
         table = self._tenants.table
-        guard = self._tenants.guard
+        guard = self._tenants.removal_guard
         self._last_write_started_ms = now
         self._last_written_version = table.version
         # The file has no pending removal, and a refresh from the cookie would not report the removal again.
--- a/snowthread/tenants/snapshot_writer.py
+++ b/snowthread/tenants/snapshot_writer.py
@@ -58,7 +58,7 @@
         except OSError as error:
             exit_code = error.errno or FAILED_WITHOUT_ERRNO
         finally:
-            os._exit(min(exit_code, MAX_EXIT_CODE))  # runs neither exit handlers nor the event loop
+            os._exit(min(exit_code, MAX_EXIT_CODE))  # the parent's exit handlers and event loop must not run
 
     def poll(self) -> WriteResult | None:
         """Return the result of the last write once; None while it runs or if none was started."""
--- a/snowthread/tenants/state.py
+++ b/snowthread/tenants/state.py
@@ -35,7 +35,7 @@
     def __init__(self, rules: TenantRules) -> None:
         self.rules = rules
         self.table = TenantTable(rules.trusted_networks)
-        self.guard = RemovalGuard(rules.removal)
+        self.removal_guard = RemovalGuard(rules.removal)
         self.staleness = StalenessTracker(rules.staleness)
         self.unknown_clients = UnknownClients(rules.unknown_clients)
         self.counters = TenantCounters()
@@ -95,11 +95,11 @@
         """Apply a change that the directory reports between refreshes."""
         changes = TenantChanges()
         self.counters.changes += 1
-        self.guard.mark_present(change.upserts.keys())
+        self.removal_guard.mark_present(change.upserts.keys())
         decision = NOTHING_REMOVED
         deleted = change.removed_ids & self.table.tenants.keys()
         if deleted:
-            decision = self.guard.evaluate_deletions(deleted, len(self.table), server, now)
+            decision = self.removal_guard.evaluate_deletions(deleted, len(self.table), server, now)
         self._report_bad_entries(change.bad_entries, changes)
         self._apply(change.upserts.values(), decision, changes)
         self.staleness.confirm(now)
@@ -135,7 +135,7 @@
         changes = TenantChanges()
         self._apply(tenants, NOTHING_REMOVED, changes)
         self.staleness.confirm(min(confirmed_at, now))
-        self.guard.source_server = source_server
+        self.removal_guard.source_server = source_server
         return changes
 
     def apply_rules(self, rules: TenantRules) -> TenantChanges:
@@ -144,10 +144,10 @@
         if rules.trusted_networks != self.rules.trusted_networks:
             self.table.set_trusted_networks(rules.trusted_networks)
         self.rules = rules
-        self.guard.rules = rules.removal
+        self.removal_guard.rules = rules.removal
         self.staleness.rules = rules.staleness
         self.unknown_clients.rules = rules.unknown_clients
-        accepted = self.guard.take_accepted(self.table.tenants)
+        accepted = self.removal_guard.take_accepted(self.table.tenants)
         if accepted:
             self._apply((), RemovalDecision(accepted, None), changes)
         changes.quotas.append(self.default_quota())
@@ -165,9 +165,13 @@
         known_ids = self.table.tenants.keys()
         seen_ids = refresh.present_ids | refresh.upserts.keys()
         if refresh.is_full:
-            return self.guard.evaluate_full_refresh(known_ids - seen_ids, len(self.table), server, now)
-        self.guard.mark_present(seen_ids)
-        return self.guard.evaluate_deletions(refresh.removed_ids & known_ids, len(self.table), server, now)
+            return self.removal_guard.evaluate_full_refresh(
+                known_ids - seen_ids, len(self.table), server, now
+            )
+        self.removal_guard.mark_present(seen_ids)
+        return self.removal_guard.evaluate_deletions(
+            refresh.removed_ids & known_ids, len(self.table), server, now
+        )
 
     def _drop_outdated(self, upserts: Iterable[Tenant]) -> list[Tenant]:
         """Return the tenants without those that are older than their known version, which are counted."""
--- a/snowthread/tenants/sync.py
+++ b/snowthread/tenants/sync.py
@@ -194,9 +194,8 @@
         if self.state is ReplicationState.FOLLOWING or not isinstance(info, controls.RefreshPhase):
             return []
         if not info.is_delete_phase:
-            self._refresh.is_full = (
-                True  # a present phase names all existing entries (RFC 4533, section 3.3.2)
-            )
+            # A present phase names all existing entries (RFC 4533, section 3.3.2).
+            self._refresh.is_full = True
         if info.refresh_done and self.mode is ReplicationMode.PERSIST:
             return [self._complete_refresh(ReplicationState.FOLLOWING)]
         return []
@@ -226,9 +225,7 @@
         if not sync_done.refresh_deletes:
             self._refresh.is_full = True
         completed = self._complete_refresh(ReplicationState.IDLE)
-        if (
-            self.mode is ReplicationMode.PERSIST
-        ):  # the server refreshes but does not report changes afterwards
+        if self.mode is ReplicationMode.PERSIST:  # the server refreshes but reports no later changes
             return [completed, SearchEnded("server ended the search", Reaction.RETRY)]
         return [completed]
 
--- a/snowthread/tenants/sync_events.py
+++ b/snowthread/tenants/sync_events.py
@@ -19,7 +19,7 @@
     the directory; otherwise only those in ``removed_ids`` were.
     """
 
-    upserts: Mapping[str, Tenant]  # by tenant id
+    upserts: Mapping[str, Tenant]  # tenants by tenant id
     present_ids: frozenset[str]
     removed_ids: frozenset[str]
     is_full: bool
@@ -30,7 +30,7 @@
 class EntriesChanged:
     """Entries were added, changed or deleted after the refresh."""
 
-    upserts: Mapping[str, Tenant]  # by tenant id
+    upserts: Mapping[str, Tenant]  # tenants by tenant id
     removed_ids: frozenset[str] = frozenset()
     bad_entries: tuple[BadEntry, ...] = ()
 
--- a/snowthread/tenants/table.py
+++ b/snowthread/tenants/table.py
@@ -31,7 +31,7 @@
 
     changed: list[Tenant] = field(default_factory=list)
     removed: list[Tenant] = field(default_factory=list)
-    conflicts: list[Conflict] = field(default_factory=list)  # only those that did not exist before
+    conflicts: list[Conflict] = field(default_factory=list)  # only new conflicts
 
     def __bool__(self) -> bool:
         return bool(self.changed or self.removed)
--- a/tests/ldap/test_ldap_codec.py
+++ b/tests/ldap/test_ldap_codec.py
@@ -9,7 +9,7 @@
 from emulators.directory import Entry, ber, matches, protocol
 from emulators.directory.protocol import Operation
 from snowthread.ldap import controls, filters
-from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check, frame_length
+from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check_structure, frame_length
 from snowthread.ldap.message_codec import encode
 from snowthread.ldap.messages import (
     START_TLS_OID,
@@ -130,13 +130,13 @@
     for _ in range(60):
         deep = b"\x30" + (bytes([len(deep)]) if len(deep) < 128 else b"\x81" + bytes([len(deep)])) + deep
     with pytest.raises(MalformedMessageError, match="deeper"):
-        check(deep, LIMITS)
+        check_structure(deep, LIMITS)
     many = b"\x30\x82\x9c\x42" + b"\x05\x00" * 20_001
     with pytest.raises(MalformedMessageError, match="elements"):
-        check(many, LIMITS)
+        check_structure(many, LIMITS)
     with pytest.raises(MalformedMessageError, match="extends beyond its parent"):
-        check(b"\x30\x04\x30\x04\x05\x00", LIMITS)
-    check(b"\x30\x04\x30\x02\x05\x00", LIMITS)
+        check_structure(b"\x30\x04\x30\x04\x05\x00", LIMITS)
+    check_structure(b"\x30\x04\x30\x02\x05\x00", LIMITS)
 
 
 def test_the_emulator_decodes_a_search_as_the_client_encoded_it() -> None:
@@ -262,10 +262,10 @@
     session = Session()
     session.send(ExtendedRequest(START_TLS_OID))
     assert len(session.receive(message(1, protocol.extended_response(0)))) == 1
-    assert session.state is SessionState.HANDSHAKE
+    assert session.state is SessionState.TLS_HANDSHAKE
     with pytest.raises(SessionStateError):
         session.send(UnbindRequest())
-    session.mark_secured()
+    session.complete_tls_handshake()
     secured_state: SessionState = session.state
     assert secured_state is SessionState.READY
 
--- a/tests/tenants/test_replication.py
+++ b/tests/tenants/test_replication.py
@@ -71,9 +71,10 @@
     assert len(harness.tenant_names) == 25 and harness.replicator.sync.mode is mode
     harness.directories[0].put("new", snowthreadQuota=1)
     harness.directories[0].remove("t7")
+    # The next poll brings both changes.
     harness.wait_until(
         lambda: "new" in harness.tenant_names and "t7" not in harness.tenant_names, timeout_ms=7_000.0
-    )  # by the next poll
+    )
     assert harness.replicator.sync.mode is mode and harness.replicator.connection_failures == 0
 
 
@@ -115,9 +116,8 @@
     assert harness.tenants.identify("10.9.0.1", None, harness.now).tenant_id != "default"
     directory.faults.stall = False
     directory.wake_connections()
-    harness.wait_until(
-        lambda: harness.tenant_names == ALL_TENANTS - {"t9"}, timeout_ms=60_000.0
-    )  # a refresh from the cookie reports the removal of t9
+    # A refresh from the cookie reports the removal of t9.
+    harness.wait_until(lambda: harness.tenant_names == ALL_TENANTS - {"t9"}, timeout_ms=60_000.0)
     assert harness.tenants.staleness.stage(harness.now) is StalenessStage.FRESH
 
 
@@ -160,14 +160,14 @@
     assert harness.replicator.sync.cookie.value != cookie  # each server has its own cookie
     quota = {t.name: t.quota_per_s for t in harness.tenants.table.tenants.values()}
     assert quota["t1"] == 99.0  # the older entry of the second server was ignored
-    assert harness.log_texts("tenants.removal_held") and harness.tenants.guard.pending is not None
+    assert harness.log_texts("tenants.removal_held") and harness.tenants.removal_guard.pending is not None
     first.faults.refuse = False
     second.faults.refuse = True
     second.disconnect_all()
     harness.wait_until(
         lambda: (
             harness.replicator.connected_server == f"ldap://{first.address}"
-            and harness.tenants.guard.pending is None
+            and harness.tenants.removal_guard.pending is None
         )
     )
     assert "newest" in harness.tenant_names
