--- a/snowthread/ldap/client.py
+++ b/snowthread/ldap/client.py
@@ -102,7 +102,7 @@
     def receive(self, until: float) -> Generator[Wait, int, list[Message] | ConnectionFailure]:
         """Return received messages or the failure of the connection.
 
-        The list is empty if the time ``until`` was reached or the task was woken.
+        The list is empty if the time ``until`` (in milliseconds) was reached or the task was woken.
         """
         stream = self._open_stream()
         if self._session.state is SessionState.CLOSED:
--- a/snowthread/ldap/filters.py
+++ b/snowthread/ldap/filters.py
@@ -156,7 +156,7 @@
     """
     stars = [index for index, token in enumerate(tokens) if token.type == "STAR"]
     if any(second - first == 1 for first, second in pairwise(stars)):
-        raise FilterError("adjacent stars")
+        raise FilterError("two adjacent stars are not allowed")
     substrings = []
     for index, token in enumerate(tokens):
         if token.type == "VALUE":
--- a/snowthread/ldap/url.py
+++ b/snowthread/ldap/url.py
@@ -95,9 +95,9 @@
     parts = [unquote(part) for part in query.split("?")] if query else []
     if len(parts) > MAX_QUERY_PARTS:
         raise UrlError(f"{text!r}: more than four question marks")
-    attributes, scope, search, extensions = (*parts, "", "", "", "")[:MAX_QUERY_PARTS]
+    attributes, scope, filter_text, extensions = (*parts, "", "", "", "")[:MAX_QUERY_PARTS]
     if scope.lower() not in _SCOPES:
         raise UrlError(f"{text!r}: unknown scope {scope!r}")
     if any(extension.startswith("!") for extension in extensions.split(",")):
         raise UrlError(f"{text!r}: unknown critical extension")
-    return _Query(attributes, _SCOPES[scope.lower()], search)
+    return _Query(attributes, _SCOPES[scope.lower()], filter_text)
--- a/snowthread/tenants/directory_session.py
+++ b/snowthread/tenants/directory_session.py
@@ -31,7 +31,7 @@
 
 MAX_SEARCH_RESTARTS = 4  # restarts of the search on one connection between two completed refreshes
 RESTART_REACTIONS = frozenset({Reaction.FULL_REFRESH, Reaction.FALL_BACK, Reaction.REDUCE_PAGE_SIZE})
-LOOKUP_POLL_MS = 50.0  # interval of the checks whether a waiting lookup may be sent
+LOOKUP_POLL_MS = 50.0  # interval at which a session checks whether a waiting lookup may be sent
 # The poll interval is multiplied by a random factor in this range.
 MIN_POLL_JITTER_RATIO = 0.8
 MAX_POLL_JITTER_RATIO = 1.2
--- a/snowthread/tenants/removal_guard.py
+++ b/snowthread/tenants/removal_guard.py
@@ -75,7 +75,10 @@
     def evaluate_full_refresh(
         self, missing_ids: Collection[str], known_count: int, server: str, now: float
     ) -> RemovalDecision:
-        """Decide about the known tenants that a full refresh from ``server`` did not contain."""
+        """Decide about the known tenants that a full refresh from ``server`` did not contain.
+
+        ``known_count`` is the number of all known tenants, of which the allowance is a share.
+        """
         missing = frozenset(missing_ids)
         if not missing:
             self.source_server = server
@@ -97,7 +100,10 @@
     def evaluate_deletions(
         self, deleted_ids: Collection[str], known_count: int, server: str, now: float
     ) -> RemovalDecision:
-        """Decide about tenants that an incremental refresh or a change reports as deleted."""
+        """Decide about known tenants that an incremental refresh or a change reports as deleted.
+
+        ``known_count`` is the number of all known tenants, of which the allowance is a share.
+        """
         pending = self.pending
         tenant_ids = frozenset(deleted_ids) | (pending.tenant_ids if pending is not None else frozenset())
         if not tenant_ids:
--- a/snowthread/tenants/replication_mode.py
+++ b/snowthread/tenants/replication_mode.py
@@ -13,11 +13,11 @@
 
 from enum import IntEnum
 
-MIN_PAGE_SIZE = 10
+MIN_PAGE_SIZE = 10  # entries per page
 
 
 class ReplicationMode(IntEnum):
-    """How a server is replicated; each mode requires fewer LDAP features than the one before."""
+    """How a server is replicated; a higher value requires fewer LDAP features of the server."""
 
     PERSIST = 0
     REFRESH = 1
@@ -30,9 +30,7 @@
     def __init__(self, initial_mode: ReplicationMode, page_size: int) -> None:
         self.page_size = page_size
         self._initial_mode = initial_mode
-        self._fallbacks: dict[
-            str, ReplicationMode
-        ] = {}  # modes of the servers that do not use the initial mode
+        self._fallbacks: dict[str, ReplicationMode] = {}  # by server: modes other than the initial one
 
     def mode_of(self, server: str) -> ReplicationMode:
         """Return the replication mode of a server."""
--- a/snowthread/tenants/settings.py
+++ b/snowthread/tenants/settings.py
@@ -64,7 +64,7 @@
     @classmethod
     def read(cls, block: Block, config: Config) -> TenantSettings:
         """Validate the block and return its settings; a ConfigError names the key with an invalid value."""
-        _check_replaces_settings(block, config)
+        _check_replace_settings(block, config)
         servers = _read_servers(block)
         base = block.text("base")
         filter_text = block.text("filter", DEFAULT_FILTER)
@@ -99,13 +99,13 @@
         return settings
 
 
-def _check_replaces_settings(block: Block, config: Config) -> None:
+def _check_replace_settings(block: Block, config: Config) -> None:
     replaces = block.flag("replace_settings", False)
     if config.settings.tenants and not replaces:
         raise block.error(
             "replace_settings",
             "the node's settings define tenants too, and their quotas can't be combined with "
-            "those of a directory; set it to true to use the directory's only",
+            "those of a directory; set replace_settings to true to use only the directory",
         )
 
 
--- a/tests/tenants/test_tenants_program.py
+++ b/tests/tenants/test_tenants_program.py
@@ -77,7 +77,7 @@
         self.directory.stdin.flush()
         assert self.directory.stdout.readline() == f"done: {line}\n"
 
-    def start_node(self, **extra: Any) -> subprocess.Popen[str]:
+    def start_node(self, **options: Any) -> subprocess.Popen[str]:
         if self.node_config.with_name("site").exists() is False:
             self.node_config.with_name("site").touch()
             self.stack.enter_context(site(self.node_config))
@@ -89,7 +89,7 @@
                 "--with",
                 str(self.operator_file),
                 env=environment(self.node_config),
-                **extra,
+                **options,
             )
         )
         self.startup_log = read_log_until(process, "listens on")
