--- a/snowthread/tenants/changes.py
+++ b/snowthread/tenants/changes.py
@@ -11,7 +11,7 @@
 from snowthread.tenants.removal_guard import PendingRemoval
 from snowthread.tenants.staleness import StalenessStage
 
-TenantQuota = admission_settings.Tenant  # all that admission control knows about a tenant
+TenantQuota = admission_settings.Tenant  # the quota settings are all that admission control knows of a tenant
 
 MAX_LOG_LINES = 20  # log lines per step of the tenant state; one further line says that lines were omitted
 MS_PER_S = 1000.0
--- a/snowthread/tenants/counters.py
+++ b/snowthread/tenants/counters.py
@@ -14,7 +14,7 @@
 
     known_requests: int = 0  # requests from clients that a tenant owns
     unknown_requests: int = 0  # requests from clients that no tenant owns
-    refreshes: int = 0  # refreshes of the tenants that the directory completed
+    refreshes: int = 0  # completed refreshes of the tenants from the directory
     changes: int = 0  # changes received between refreshes
     removals_held: int = 0  # removals that had to wait for confirmation
     conflicts: int = 0  # new conflicts between claims of tenants
--- a/snowthread/tenants/model.py
+++ b/snowthread/tenants/model.py
@@ -32,7 +32,7 @@
     id: str
     name: str
     status: TenantStatus = TenantStatus.ACTIVE
-    quota_per_s: float = 0.0  # requests per second over all nodes; 0: no quota
+    quota_per_s: float = 0.0  # quota in requests per second over all nodes; 0: no quota
     networks: tuple[Network, ...] = ()
     balancers: tuple[BalancerRange, ...] = ()
     classes: frozenset[str] = frozenset()  # request classes that the tenant may send; empty: all
--- a/snowthread/tenants/removal_guard.py
+++ b/snowthread/tenants/removal_guard.py
@@ -23,7 +23,7 @@
 class RemovalRules:
     """How many tenants may be removed without confirmation, and what confirms other removals."""
 
-    max_share: float = 0.1  # of the tenants that may be removed within the window
+    max_share: float = 0.1  # share of the tenants that may be removed within the window
     min_allowance: int = 2  # tenants that may be removed within the window, whatever the share
     confirm_by_refresh: bool = True  # a second full refresh confirms removals; else only an operator does
     confirm_after_ms: float = 60_000.0  # delay from the report of a removal to a refresh that may confirm it
--- a/snowthread/tenants/snapshot.py
+++ b/snowthread/tenants/snapshot.py
@@ -1,4 +1,4 @@
-"""The snapshot file of the known tenants, which is restored when a node starts while the directory is down.
+"""The snapshot file of the known tenants, for a cold start of a node while the directory is down.
 
 The file is one header line and one line of JSON, the body. The header holds the name of the format, its
 version, and the length and BLAKE2b digest of the body, so that a truncated or foreign file, or one of another
