--- a/snowthread/ldap/controls.py
+++ b/snowthread/ldap/controls.py
@@ -21,7 +21,7 @@
 SYNC_STATE_OID = "1.3.6.1.4.1.4203.1.9.1.2"
 SYNC_DONE_OID = "1.3.6.1.4.1.4203.1.9.1.3"
 SYNC_INFO_OID = "1.3.6.1.4.1.4203.1.9.1.4"
-MAX_COOKIE_BYTES = 4096  # the protocol sets no limit (RFC 4533, section 2.1.2)
+MAX_COOKIE_BYTES = 4096  # longest cookie accepted; the protocol sets no limit (RFC 4533, section 2.1.2)
 UUID_BYTES = 16  # RFC 4533, section 2.1.1
 _VALUE_LIMITS = MessageLimits(max_frame_bytes=512 * 1024, max_depth=6, max_elements=20_000)
 
