--- a/snowthread/ldap/controls.py
+++ b/snowthread/ldap/controls.py
@@ -12,7 +12,7 @@
 
 import asn1tools
 
-from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check
+from snowthread.ldap.ber import MalformedMessageError, MessageLimits, check_structure
 from snowthread.ldap.messages import Control
 from snowthread.ldap.schema import LDAP_MODULE
 
@@ -21,7 +21,7 @@
 SYNC_STATE_OID = "1.3.6.1.4.1.4203.1.9.1.2"
 SYNC_DONE_OID = "1.3.6.1.4.1.4203.1.9.1.3"
 SYNC_INFO_OID = "1.3.6.1.4.1.4203.1.9.1.4"
-MAX_COOKIE_BYTES = 4096  # the protocol sets no limit (RFC 4533, section 2.1.2)
+MAX_COOKIE_BYTES = 4096  # longest cookie accepted; the protocol sets no limit (RFC 4533, section 2.1.2)
 UUID_BYTES = 16  # RFC 4533, section 2.1.1
 _VALUE_LIMITS = MessageLimits(max_frame_bytes=512 * 1024, max_depth=6, max_elements=20_000)
 
@@ -150,7 +150,7 @@
 
 def _decode(kind: str, value: bytes | None) -> Any:
     try:
-        check(value or b"", _VALUE_LIMITS)
+        check_structure(value or b"", _VALUE_LIMITS)
         return LDAP_MODULE.types[kind].decode(value or b"")
     except (asn1tools.Error, KeyError, IndexError) as error:
         raise MalformedMessageError(f"{kind}: {type(error).__name__}") from None
--- a/snowthread/tenants/entry.py
+++ b/snowthread/tenants/entry.py
@@ -20,8 +20,8 @@
 MAX_BALANCER_RANGES = 1024
 MAX_CLASSES = 256
 MAX_QUOTA_PER_S = 1e9
-MAX_QUOTED_CHARS = 40  # of an invalid value that an error message quotes
-MAX_QUOTED_NETWORK_CHARS = 60  # of an invalid network that an error message quotes
+MAX_QUOTED_CHARS = 40  # characters of an invalid value that an error message quotes
+MAX_QUOTED_NETWORK_CHARS = 60  # characters of an invalid network that an error message quotes
 NAME_ATTRIBUTE = "cn"
 _QUOTA_PATTERN = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 _BALANCER_RANGE_PATTERN = re.compile(r"([0-9]{1,18})(?:\s*-\s*([0-9]{1,18}))?")
@@ -112,7 +112,7 @@
 def _single_value(attributes: Attributes, name: str) -> str | None:
     values = _values(attributes, name)
     if len(values) > 1:
-        if name == NAME_ATTRIBUTE:  # it may have several values; every node picks the same one, the least
+        if name == NAME_ATTRIBUTE:  # names may have several spellings; all nodes use the least one
             return min(values)
         raise ValueError(f"{name}: expected one value, found {len(values)}")
     return values[0] if values else None
--- a/snowthread/tenants/removal_guard.py
+++ b/snowthread/tenants/removal_guard.py
@@ -23,12 +23,10 @@
 class RemovalRules:
     """How many tenants may be removed without confirmation, and what confirms other removals."""
 
-    max_share: float = 0.1  # of the tenants that may be removed within the window
+    max_share: float = 0.1  # share of the tenants that may be removed within the window
     min_allowance: int = 2  # tenants that may be removed within the window, whatever the share
-    confirm_by_refresh: bool = (
-        True  # a second full refresh confirms a removal; if False, only an operator does
-    )
-    confirm_after_ms: float = 60_000.0  # from the first report to the refresh that may confirm it
+    confirm_by_refresh: bool = True  # a second full refresh confirms removals; else only an operator does
+    confirm_after_ms: float = 60_000.0  # delay from the report of a removal to a refresh that may confirm it
     accepted_digest: str = ""  # digest of the pending removal that the operator accepts
 
 
@@ -77,7 +75,10 @@
     def evaluate_full_refresh(
         self, missing_ids: Collection[str], known_count: int, server: str, now: float
     ) -> RemovalDecision:
-        """Decide about the known tenants that a full refresh from ``server`` did not contain."""
+        """Decide about the known tenants that a full refresh from ``server`` did not contain.
+
+        ``known_count`` is the number of all known tenants, of which the allowance is a share.
+        """
         missing = frozenset(missing_ids)
         if not missing:
             self.source_server = server
@@ -99,7 +100,10 @@
     def evaluate_deletions(
         self, deleted_ids: Collection[str], known_count: int, server: str, now: float
     ) -> RemovalDecision:
-        """Decide about tenants that an incremental refresh or a change reports as deleted."""
+        """Decide about known tenants that an incremental refresh or a change reports as deleted.
+
+        ``known_count`` is the number of all known tenants, of which the allowance is a share.
+        """
         pending = self.pending
         tenant_ids = frozenset(deleted_ids) | (pending.tenant_ids if pending is not None else frozenset())
         if not tenant_ids:
