--- a/snowthread/lab/address_reservation.py
+++ b/snowthread/lab/address_reservation.py
@@ -36,12 +36,12 @@
         self._sockets.append(sock)
         sock.bind(self._any_port)
         address = Address(*sock.getsockname()[:2])
-        # Set after the bind: the kernel may give the same free port to two sockets that have the option
-        # before.
+        # SO_REUSEADDR is set after the bind, because the kernel may give the same free port to two sockets
+        # that have the option before.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if kind is socket.SOCK_DGRAM:
-            # Connected to itself, the socket receives nothing from others: datagrams go to the program's
-            # socket.
+            # A socket connected to itself receives nothing from others, so that datagrams go to the socket of
+            # the program that binds the address.
             sock.connect(sock.getsockname())
         return address
 
--- a/snowthread/lab/demo_timeline.py
+++ b/snowthread/lab/demo_timeline.py
@@ -17,12 +17,12 @@
 SLOW_DATABASE_END_SHARE = 0.45
 DEPLOY_START_SHARE = 0.6
 CRASH_TIME_SHARE = 0.85
-# Seconds between the steps of the rolling deployment, and until nodes restart.
+# Seconds between the nodes of the rolling deployment, and from a node's stop or crash to its restart.
 DEPLOY_INTERVAL_S = 3.0
 DEPLOY_RESTART_S = 2.0
 CRASH_RESTART_S = 4.0
 CRASHED_NODE = 1
-MIN_TRAFFIC_AFTER_LAST_STEP_S = 6.0  # The load continues for at least this long after the last step.
+MIN_TRAFFIC_AFTER_LAST_STEP_S = 6.0  # Seconds of load at least after the last step.
 
 
 @dataclass(frozen=True, slots=True)
--- a/snowthread/lab/deployment.py
+++ b/snowthread/lab/deployment.py
@@ -36,7 +36,7 @@
 
     name: str
     share: float  # Share of this class in the requests without an idempotency key.
-    run_ms: float  # Core time of one run.
+    run_ms: float  # Core time of one run of this class, in ms.
     latency_objective_ms: float
     deadline_ms: float
     priority_weight: float
@@ -96,7 +96,7 @@
 class ServiceAddresses:
     """Addresses of the emulated services."""
 
-    runtimes: list[Address]  # Address of each node's runtime.
+    runtimes: list[Address]  # Addresses of the emulated runtimes, one per node.
     database: Address
     registry: Address
 
--- a/snowthread/lab/processes.py
+++ b/snowthread/lab/processes.py
@@ -90,9 +90,10 @@
     environment: Mapping[str, str]
     process: subprocess.Popen[bytes] | None = None
     starts: int = 0
-    # SIGKILL was sent. The process counts as ended from then on, even while poll() still returns None.
+    # Whether SIGKILL was sent: the process then counts as ended, even while poll() still returns None.
     killed: bool = False
-    accepting: bool = False  # The node accepted a connection since its last start, and was not killed.
+    # Whether the node accepted a connection since its last start and was not killed since.
+    accepting: bool = False
 
     @property
     def running(self) -> bool:
--- a/snowthread/lab/record_summary.py
+++ b/snowthread/lab/record_summary.py
@@ -15,9 +15,9 @@
 MS_PER_S = 1000.0
 # Prefixes of the recovery feature's log events in records; earlier versions wrote "comeback.".
 RECOVERY_EVENT_PREFIXES = ("recovery.", "comeback.")
-# These events report the writing of a snapshot and say nothing about a start.
+# Events that report the writing of a snapshot; they say nothing about a node's start.
 SNAPSHOT_WRITE_EVENTS = frozenset({"write", "write_failed"})
-# Keys of the summary, by the names of the log events that they stand for.
+# Keys of the summary by the names of log events, without their prefix.
 START_FINDING_KEYS = {"key_log": "ring", "incarnation": "life", "registry": "roster"}
 
 
--- a/snowthread/lab/relay.py
+++ b/snowthread/lab/relay.py
@@ -33,7 +33,7 @@
         self.loop = loop
         self.target = target
         self.faults = LinkFaults()
-        self.rejected_connections = 0  # Connections that were not forwarded.
+        self.rejected_connections = 0  # Number of accepted connections that were not forwarded.
         self._link = RelayedLink(loop, self.faults, generator)
         self.address = listen
         self._listener: socket.socket | None = None
--- a/snowthread/lab/relay_direction.py
+++ b/snowthread/lab/relay_direction.py
@@ -18,10 +18,10 @@
 from snowthread.lab.faults import ForwardingState, LinkFaults, compute_release_ms, is_cut
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, TaskSteps, Wait
 
-QUEUE_BYTES_MAX = 1 << 20  # Limit of the queue of one direction of a connection.
+QUEUE_BYTES_MAX = 1 << 20  # Maximum number of bytes queued in one direction of a relayed connection.
 CHUNK_BYTES = 65536
 FAULT_POLL_MS = 50.0  # Interval at which a waiting direction checks the faults again.
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # Value of SO_LINGER: enabled, with a timeout of 0 s.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0 s: closing resets the connection.
 DIRECTIONS_PER_CONNECTION = 2
 
 
@@ -31,7 +31,7 @@
 
     loop: EventLoop
     faults: LinkFaults
-    generator: random.Random  # Draws the jitter.
+    generator: random.Random  # Random numbers for the jitter of delays.
 
 
 class ConnectionState:
--- a/snowthread/lab/runner.py
+++ b/snowthread/lab/runner.py
@@ -73,7 +73,7 @@
 
     def _measure_cpu(self) -> None:
         for name, pid in ({"lab": os.getpid()} | self._fleet.pids()).items():
-            with contextlib.suppress(OSError):  # The process has ended.
+            with contextlib.suppress(OSError):  # A process that has ended has no usage to read.
                 self._cpu_s[name] = round(cpu_seconds(pid), 2)
 
     def _close(self) -> None:
--- a/snowthread/lab/scenario.py
+++ b/snowthread/lab/scenario.py
@@ -86,10 +86,10 @@
     duration_ms: float
     load: LoadSettings
     slots: int  # Number of calls that the database processes at a time.
-    call_ms: float  # Duration of one database call.
+    call_ms: float  # Duration of one database call, in ms.
     machine: MachineSettings = MachineSettings()
     cores: int = 4  # Cores of each node's machine.
-    run_ms: float = 100.0  # Core time of one run, averaged over the classes.
+    run_ms: float = 100.0  # Core time of one run in ms, averaged over the classes.
     comeback: bool = False  # Whether the recovery feature of the nodes is enabled.
     steps: tuple[Step, ...] = ()
 
--- a/snowthread/lab/scenario_file.py
+++ b/snowthread/lab/scenario_file.py
@@ -62,7 +62,7 @@
 }
 SCENARIO_ACTIONS = tuple(action for action in Action if action not in END_OF_ACTION.values())
 LINK_ACTIONS = frozenset({Action.PARTITION, Action.DELAY, Action.BANDWIDTH, Action.CLOSE_CONNECTIONS})
-# These actions apply to the whole fleet instead of single nodes.
+# Actions that apply to the whole fleet instead of single nodes.
 FLEET_ACTIONS = frozenset({Action.SLOW_DATABASE, Action.NEXT_GENERATION})
 RESTARTED_ACTIONS = frozenset({Action.KILL, Action.TERM})
 NODES_MAX = 64
@@ -198,8 +198,8 @@
         if action in FLEET_ACTIONS:
             return ()
         order = list(self.node_names)
-        # Seeded by time: simultaneous steps use one order, so that a smaller share is a subset of a larger
-        # one.
+        # The order is seeded by the time of the step. Simultaneous steps use the same order, so that a
+        # smaller share is a subset of a larger one.
         random.Random(f"{self.seed}/{at_ms}").shuffle(order)
         return tuple(sorted(order[: round(share * len(order))], key=self.node_names.index))
 
--- a/snowthread/lab/state_damage.py
+++ b/snowthread/lab/state_damage.py
@@ -27,7 +27,7 @@
     for path in _files(folder):
         data = bytearray(path.read_bytes())
         if data:
-            # Not at the end of the file, since unused slots may be there.
+            # The byte is not near the end of the file, where a key log may have unused slots.
             data[len(data) // 3] ^= CORRUPTION_MASK
             path.write_bytes(data)
 
--- a/snowthread/lab/summary.py
+++ b/snowthread/lab/summary.py
@@ -15,8 +15,8 @@
 from snowthread.lab.scenario import Action, Scenario
 from snowthread.lab.service_recovery import ServiceRecovery, measure_recovery
 
-SETTLING_SECONDS = 2  # The first seconds of a run, which are not part of the baseline.
-MIN_VALUE_ASKED = 1e-9  # Avoids a division by zero: the baseline is 0 if there were no requests.
+SETTLING_SECONDS = 2  # Number of seconds at the start of a run that are not part of the baseline.
+MIN_VALUE_ASKED = 1e-9  # Avoids a division by zero, so that the baseline is 0 if there were no requests.
 MS_PER_S = 1000.0
 NODE_FAULTS = frozenset({Action.KILL, Action.TERM, Action.STOP})
 
--- a/snowthread/lab/timeline.py
+++ b/snowthread/lab/timeline.py
@@ -22,7 +22,7 @@
     Action.TRUNCATE: state_damage.truncate_files,
     Action.CORRUPT: state_damage.corrupt_files,
 }
-# After these actions, requests open on the link may stay unanswered.
+# Actions on a link after which requests open on it may stay unanswered.
 INTERRUPTING_ACTIONS = frozenset({Action.PARTITION, Action.CLOSE_CONNECTIONS})
 
 
--- a/snowthread/recovery/manager.py
+++ b/snowthread/recovery/manager.py
@@ -41,7 +41,7 @@
 
 Reducer = Callable[[NodeState, events.Event, float], list[effects.Effect]]
 
-# Combined with the configured seed, so that recovery draws other random numbers than the controller.
+# XORed with the configured seed, so that recovery draws other random numbers than the controller.
 RECOVERY_SEED_MASK = 0x5EED
 # While calls are paced, the controller may have this many times its call quota in flight, because some of
 # these calls wait in the queue of call_pacing.
--- a/snowthread/recovery/storage.py
+++ b/snowthread/recovery/storage.py
@@ -26,7 +26,7 @@
 KEY_LOG_FILE = "keys.ring"
 INCARNATION_FILE = "incarnation"
 TEMPORARY_SUFFIX = ".tmp"
-# More than any valid snapshot has. A longer file is read only up to this size and then decodes as corrupt.
+# No valid snapshot is as long. A longer file is read only up to this size and then decodes as corrupt.
 MAX_READ_BYTES = 2 << 20
 MAX_INCARNATION_BYTES = 32
 
--- a/snowthread/sites/settings.py
+++ b/snowthread/sites/settings.py
@@ -52,7 +52,7 @@
 def _read_range(home: Block, text: str, site: str, assigned: list[_AssignedRange]) -> _AssignedRange:
     """Parse a number like ``"7"`` or a range like ``"3-5"``.
 
-    The result is a :class:`BlockKeyError` if the text is not a range, or overlaps a range of another site.
+    A :class:`BlockKeyError` is raised if the text is not a range, or overlaps a range of another site.
     """
     low, dash, high = text.partition("-")
     first = _read_number(home, low)
--- a/tests/lab/test_address_reservation.py
+++ b/tests/lab/test_address_reservation.py
@@ -28,7 +28,7 @@
 HOST = "127.0.0.1"
 NODES = 3
 LAB_CORES = 2
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 OFFERED_PORTS = range(20_000, 32_000)  # Below the kernel's range of free ports, which other tests use.
 TCP_KEYS = ("listen", "runtime", "index")
 UDP_KEY = "roster"
@@ -150,7 +150,7 @@
             with listen(address) as listener:
                 socket.create_connection(address).close()
                 listener.setblocking(True)
-                listener.settimeout(PATIENCE_S)
+                listener.settimeout(TIMEOUT_S)
                 listener.accept()[0].close()
 
 
@@ -158,7 +158,7 @@
     with AddressReservation(HOST) as addresses, socket.socket(type=socket.SOCK_DGRAM) as sender:
         address = addresses.reserve(socket.SOCK_DGRAM)
         with bind_datagrams(address) as receiver:
-            receiver.settimeout(PATIENCE_S)
+            receiver.settimeout(TIMEOUT_S)
             sender.sendto(b"HERE n1 on", address)
             assert receiver.recv(100) == b"HERE n1 on"
 
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -19,7 +19,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent.parent
-AT_ONCE = 4
+MAX_CONCURRENT_SCENARIOS = 4
 TIMEOUT_S = 180
 DEFAULT_LOAD = "share = 0.5\n keyed = 0.5\n repeats = 0.9"
 
@@ -90,8 +90,8 @@
     folder = tmp_path_factory.mktemp("lab")
     results: dict[str, Result] = {}
     names = list(SCENARIOS)
-    for first in range(0, len(names), AT_ONCE):
-        results |= run_side_by_side(folder, names[first : first + AT_ONCE])
+    for first in range(0, len(names), MAX_CONCURRENT_SCENARIOS):
+        results |= run_side_by_side(folder, names[first : first + MAX_CONCURRENT_SCENARIOS])
     return results.__getitem__
 
 
--- a/tests/recovery/test_key_log.py
+++ b/tests/recovery/test_key_log.py
@@ -68,7 +68,8 @@
     assert opened.contents.status is KeyLogStatus.MISSING
     assert opened.key_log is not None and opened.error is None
     opened.key_log.append(key_digest("k"), NOW + 9000.0, NOW)
-    again = storage.open_key_log(tmp_path, NOW + 99_000.0).contents  # The first window is still open.
+    # Restarted while all keys are still indeterminate.
+    again = storage.open_key_log(tmp_path, NOW + 99_000.0).contents
     assert again.status is KeyLogStatus.COMPLETE and again.all_indeterminate_until_ms == NOW + 16_000.0
     assert again.keys == {key_digest("k"): NOW + 9000.0}
     path = tmp_path / storage.KEY_LOG_FILE
--- a/tests/recovery/test_manager.py
+++ b/tests/recovery/test_manager.py
@@ -97,7 +97,7 @@
 def test_key_is_recorded_before_its_run_starts(harness: Harness, tmp_path: Path) -> None:
     assert started_runs(harness.request(1)) == [FIRST_ATTEMPT_ID]
     assert recorded_keys(tmp_path) == 1
-    assert started_runs(harness.request(2, "recalc"))  # Requests of this class have no key.
+    assert started_runs(harness.request(2, "recalc"))  # Class recalc has no idempotency keys.
     assert recorded_keys(tmp_path) == 1
 
 
@@ -125,7 +125,7 @@
     assert answers
     for answer in answers:
         assert isinstance(answer, effects.Rejected) and answer.retry_after_ms > 0.0
-        assert answer.attempt_id and answer.reason  # The log shows both.
+        assert answer.attempt_id and answer.reason  # The log line of a rejection has both.
     assert harness.manager.rejected_requests == len(answers) == 11 - harness.state.settings.cores
 
 
--- a/tests/recovery/test_membership.py
+++ b/tests/recovery/test_membership.py
@@ -8,18 +8,18 @@
 
 
 def test_all_nodes_count_as_cold_before_the_first_answer() -> None:
-    members = FleetMembership(1, configured_nodes=12)
-    assert members.fleet_size() == FleetSize(12, 12) and members.is_registry_silent(0.0)
-    assert members.handle_answer(b"FLEET 3 10 4 1", 100.0)
-    assert members.fleet_size() == FleetSize(10, 4) and members.status is MembershipStatus.MEMBER
-    assert not members.is_registry_silent(3000.0) and members.is_registry_silent(3200.0)
+    membership = FleetMembership(1, configured_nodes=12)
+    assert membership.fleet_size() == FleetSize(12, 12) and membership.is_registry_silent(0.0)
+    assert membership.handle_answer(b"FLEET 3 10 4 1", 100.0)
+    assert membership.fleet_size() == FleetSize(10, 4) and membership.status is MembershipStatus.MEMBER
+    assert not membership.is_registry_silent(3000.0) and membership.is_registry_silent(3200.0)
 
 
 def test_lost_incarnation_continues_above_the_one_the_registry_knows() -> None:
-    members = FleetMembership(1, configured_nodes=3)
-    members.handle_answer(b"FLEET 1 3 1 41", 0.0)
-    assert members.incarnation == 42 and members.status is MembershipStatus.MEMBER
-    assert members.report_suffix(True) == "42 cold"
+    membership = FleetMembership(1, configured_nodes=3)
+    membership.handle_answer(b"FLEET 1 3 1 41", 0.0)
+    assert membership.incarnation == 42 and membership.status is MembershipStatus.MEMBER
+    assert membership.report_suffix(True) == "42 cold"
 
 
 def test_lost_incarnation_is_never_taken_for_the_one_of_the_same_number() -> None:
@@ -32,12 +32,12 @@
 
 
 def test_member_is_replaced_for_good_once_a_later_incarnation_is_reported() -> None:
-    members = FleetMembership(5, configured_nodes=3)
-    members.handle_answer(b"FLEET 1 3 1 5", 0.0)
-    members.handle_answer(b"FLEET 1 3 1 6", 10.0)
-    assert members.status is MembershipStatus.REPLACED and members.incarnation == 5
-    members.handle_answer(b"FLEET 1 3 1 5", 20.0)
-    assert members.status is MembershipStatus.REPLACED
+    membership = FleetMembership(5, configured_nodes=3)
+    membership.handle_answer(b"FLEET 1 3 1 5", 0.0)
+    membership.handle_answer(b"FLEET 1 3 1 6", 10.0)
+    assert membership.status is MembershipStatus.REPLACED and membership.incarnation == 5
+    membership.handle_answer(b"FLEET 1 3 1 5", 20.0)
+    assert membership.status is MembershipStatus.REPLACED
 
 
 @pytest.mark.parametrize(
@@ -56,12 +56,16 @@
     ],
 )
 def test_invalid_answer_changes_nothing_and_is_counted(answer: bytes) -> None:
-    members = FleetMembership(1, configured_nodes=4)
-    assert not members.handle_answer(answer, 0.0)
-    assert members.invalid_answers == 1 and members.view is None and members.fleet_size() == FleetSize(4, 4)
+    membership = FleetMembership(1, configured_nodes=4)
+    assert not membership.handle_answer(answer, 0.0)
+    assert (
+        membership.invalid_answers == 1
+        and membership.view is None
+        and membership.fleet_size() == FleetSize(4, 4)
+    )
 
 
 def test_answer_of_an_older_generation_is_ignored() -> None:
-    members = FleetMembership(1, configured_nodes=4)
-    members.handle_answer(b"FLEET 7 4 0 1", 0.0)
-    assert not members.handle_answer(b"FLEET 6 4 4 1", 10.0) and members.fleet_size() == FleetSize(4, 0)
+    membership = FleetMembership(1, configured_nodes=4)
+    membership.handle_answer(b"FLEET 7 4 0 1", 0.0)
+    assert not membership.handle_answer(b"FLEET 6 4 4 1", 10.0) and membership.fleet_size() == FleetSize(4, 0)
--- a/tests/recovery/test_snapshot.py
+++ b/tests/recovery/test_snapshot.py
@@ -101,7 +101,8 @@
     temporary = tmp_path / (storage.SNAPSHOT_FILE + storage.TEMPORARY_SUFFIX)
     temporary.write_bytes(first[:20])  # A crash interrupted this write before its rename.
     assert storage.read_state_file(tmp_path) == first
-    error = storage.write_state_file(tmp_path / "gone", first)  # Returned, not raised.
+    # Without the folder, the failure is returned and not raised.
+    error = storage.write_state_file(tmp_path / "gone", first)
     assert error is not None and error.step is storage.StorageStep.OPEN
 
 
