--- a/snowthread/lab/fleet.py
+++ b/snowthread/lab/fleet.py
@@ -150,7 +150,7 @@
         """
         self._cores.assign_lab(self.services.process.pid, self.balancers.process.pid)
         for node in self.nodes.values():
-            # As an operator does for a new machine: this states that no incarnation ran keyed requests.
+            # As an operator does for a new machine: an empty key log states that no keyed request ran.
             if self.scenario.comeback:
                 storage.create_key_log(state_folder(node.folder))
             self.start_node(node)
--- a/tests/recovery/test_manager.py
+++ b/tests/recovery/test_manager.py
@@ -125,7 +125,9 @@
     assert answers
     for answer in answers:
         assert isinstance(answer, effects.Rejected) and answer.retry_after_ms > 0.0
-        assert answer.attempt_id and answer.reason  # The log line of a rejection has both.
+        assert (
+            answer.attempt_id and answer.reason
+        )  # The log line of a rejection names the attempt and the reason.
     assert harness.manager.rejected_requests == len(answers) == 11 - harness.state.settings.cores
 
 
