--- a/benchmarks/hot_restart.py
+++ b/benchmarks/hot_restart.py
@@ -37,7 +37,7 @@
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 from snowthread.lab.process_usage import private_memory_mb
 from snowthread.net.clock import Clock
-from snowthread.net.loop import EventLoop, TaskSteps, Wait
+from snowthread.net.loop import Coroutine, EventLoop, Wait
 
 CORES = 8
 RUN_MS = 100.0  # of core time for each run
@@ -123,11 +123,11 @@
         )
         return NodeProcess(process, admin)
 
-    def _wait_until_ready(self, admin: str) -> TaskSteps:
+    def _wait_until_ready(self, admin: str) -> Coroutine:
         while not is_ready(Address.parse(admin)):
             yield Wait(until_ms=self.loop.clock.now() + READY_POLL_MS)
 
-    def _restart(self) -> TaskSteps:
+    def _restart(self) -> Coroutine:
         """Replace the process that serves by a new one with a runtime of its own."""
         runtime = reserve_address(self.addresses)
         RuntimeEmulator(self.loop, Address.parse(runtime), self.script)
@@ -146,7 +146,7 @@
     def play(self) -> dict[str, Any]:
         """Play the load with its restarts; return the figures."""
         first = self.loop.spawn(self._wait_until_ready(self.processes[0].admin))
-        while first.steps is not None:
+        while first.coroutine is not None:
             self.loop.run_once(LOOP_STEP_S)
         load = LoadGenerator(self.fields["listen"], SOURCES, REQUEST_TIMEOUT_MS, self.loop)
         begin_ms = self.loop.clock.now()
--- a/emulators/directory/__main__.py
+++ b/emulators/directory/__main__.py
@@ -14,7 +14,7 @@
 from emulators.directory.server import Directory
 from snowthread.address import Address
 from snowthread.net.clock import Clock
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 DEFAULT_ADDRESS = "127.0.0.1:3389"
 DEFAULT_TENANTS = ("Farbhof", "Kolory", "Tinte", "Malarz", "Pigment")
@@ -56,7 +56,7 @@
         directory.put(f"tenant {index}", snowthreadNetwork=networks, snowthreadQuota=1 + index % 50)
 
 
-def read_commands(directory: Directory) -> TaskSteps:
+def read_commands(directory: Directory) -> Coroutine:
     """Run each line typed as a command, until standard input ends."""
     while True:
         yield Wait(sys.stdin.fileno(), READABLE)
--- a/emulators/directory/connection.py
+++ b/emulators/directory/connection.py
@@ -16,7 +16,7 @@
 from emulators.directory.responses import ResponseWriter
 from emulators.directory.searches import SearchHandler
 from emulators.directory.state import DirectoryState
-from snowthread.net.loop import HANGUP, READABLE, EventLoop, Task, TaskSteps, Wait
+from snowthread.net.loop import HANGUP, READABLE, Coroutine, EventLoop, Task, Wait
 
 MAX_REQUEST_BYTES = 64 * 1024
 UNSOLICITED = 0  # the message id of notifications
@@ -60,7 +60,7 @@
             self._link.queue(data)
         self._loop.wake(self.task)
 
-    def _run(self) -> TaskSteps:
+    def _run(self) -> Coroutine:
         try:
             if self._directory.capabilities.ldaps:
                 yield from self._link.handshake()
--- a/emulators/directory/server.py
+++ b/emulators/directory/server.py
@@ -11,7 +11,7 @@
 from emulators.directory.protocol import EntryState, ResultCode
 from emulators.directory.state import DirectoryState
 from snowthread.address import Address
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 DEFAULT_BASE = "ou=tenants,dc=example"
 BACKLOG = 64
@@ -69,7 +69,7 @@
         for connection in self.connections:
             connection.notify_change(entry, state)
 
-    def _accept(self) -> TaskSteps:
+    def _accept(self) -> Coroutine:
         while True:
             yield Wait(self._listener.fileno(), READABLE)
             sock, _ = self._listener.accept()
--- a/emulators/fleet_registry.py
+++ b/emulators/fleet_registry.py
@@ -19,7 +19,7 @@
 
 from emulators.servers import bind_datagrams
 from snowthread.address import Address
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 LEASE_MS = 3000.0  # after its last report a node is no longer listed
 DATAGRAM_BYTES_MAX = 1024
@@ -58,7 +58,7 @@
             if registration.on and now - registration.at_ms < LEASE_MS
         }
 
-    def _serve(self) -> TaskSteps:
+    def _serve(self) -> Coroutine:
         while True:
             yield Wait(self._sock.fileno(), READABLE)
             datagram, sender = self._sock.recvfrom(DATAGRAM_BYTES_MAX)
--- a/emulators/load_generator.py
+++ b/emulators/load_generator.py
@@ -25,7 +25,7 @@
     keyed_body,
 )
 from snowthread.net.clock import Clock
-from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, EventLoop, Wait
 
 CONNECTION_LOST = "broken"  # the outcome of a request whose connection ended before an answer
 
@@ -189,7 +189,7 @@
         self._load.loop.spawn(self._read(sock, self._requests))
         return sock
 
-    def _read(self, sock: socket.socket, requests: dict[int, SentRequest]) -> TaskSteps:
+    def _read(self, sock: socket.socket, requests: dict[int, SentRequest]) -> Coroutine:
         """Read answers until the connection ends."""
         unpacker = msgpack.Unpacker()
         try:
--- a/emulators/metered_database.py
+++ b/emulators/metered_database.py
@@ -12,7 +12,7 @@
 from emulators.servers import accept_connections, listen
 from emulators.site import DATABASE_ANSWER, READ_BYTES
 from snowthread.address import Address
-from snowthread.net.loop import HANGUP, READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import HANGUP, READABLE, Coroutine, EventLoop, Wait
 
 LINGER_MS = 200.0
 METER_INTERVAL_MS = 50.0
@@ -49,7 +49,7 @@
         mean = sum(sample.calls for sample in self._samples) * METER_INTERVAL_MS / WINDOW_MS
         self.peak_mean = max(self.peak_mean, mean)
 
-    def _serve(self, connection: socket.socket) -> TaskSteps:
+    def _serve(self, connection: socket.socket) -> Coroutine:
         try:
             while True:
                 yield Wait(connection.fileno(), READABLE | HANGUP)
@@ -62,7 +62,7 @@
         finally:
             self._loop.close(connection)
 
-    def _answer(self, connection: socket.socket) -> TaskSteps:
+    def _answer(self, connection: socket.socket) -> Coroutine:
         """Answer one call, or drop it a while after its client has gone."""
         self._in_hand += 1
         try:
--- a/emulators/node_router.py
+++ b/emulators/node_router.py
@@ -8,7 +8,7 @@
 from emulators.traffic_accounts import ClientRequest
 from emulators.traffic_plan import TrafficPlan
 from snowthread.address import Address
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 REGISTRY_POLL_MS = 300.0
 WEIGHT_MIN = 0.02  # so that a node is heard of again
@@ -29,7 +29,7 @@
         self._sock = Address("127.0.0.1", 0).open(socket.SOCK_DGRAM)
         loop.spawn(self._poll_registry(Address.parse(plan.registry)))
 
-    def _poll_registry(self, registry: Address) -> TaskSteps:
+    def _poll_registry(self, registry: Address) -> Coroutine:
         while True:
             try:
                 self._sock.sendto(b"LIST", registry)
--- a/emulators/persistent_clients.py
+++ b/emulators/persistent_clients.py
@@ -24,7 +24,7 @@
     keyed_body,
 )
 from snowthread.address import Address
-from snowthread.net.loop import HANGUP, READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import HANGUP, READABLE, Coroutine, EventLoop, Wait
 
 CROSSING_MS = 50.0
 READ_BYTES = 65536
@@ -89,7 +89,7 @@
                 del self.open[number]
                 self.sock.sendall(encode_cancellation(number))
 
-    def steps(self) -> TaskSteps:
+    def steps(self) -> Coroutine:
         """Read answers until the connection ends."""
         try:
             while True:
--- a/emulators/servers.py
+++ b/emulators/servers.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from snowthread.address import Address
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 BACKLOG = 256
 READ_BYTES = 65536
@@ -32,8 +32,8 @@
 
 
 def accept_connections(
-    loop: EventLoop, listener: socket.socket, serve: Callable[[socket.socket], TaskSteps]
-) -> TaskSteps:
+    loop: EventLoop, listener: socket.socket, serve: Callable[[socket.socket], Coroutine]
+) -> Coroutine:
     """Accept connections for ever and serve each with a coroutine of its own."""
     try:
         while True:
@@ -45,7 +45,7 @@
         loop.close(listener)
 
 
-def read_json_lines(connection: socket.socket, take: Callable[[dict[str, Any]], None]) -> TaskSteps:
+def read_json_lines(connection: socket.socket, take: Callable[[dict[str, Any]], None]) -> Coroutine:
     """Hand each line that comes to ``take``, as the JSON object it is, until the connection ends."""
     partial_line = b""
     while True:
--- a/emulators/shared_database.py
+++ b/emulators/shared_database.py
@@ -15,7 +15,7 @@
 from emulators.servers import accept_connections, listen
 from emulators.site import DATABASE_ANSWER, READ_BYTES
 from snowthread.address import Address
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 WAITING_MAX = 10_000  # calls; those beyond are answered 503 at once
 BUSY_ANSWER = b"HTTP/1.1 503 Busy\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -44,7 +44,7 @@
     def _second(self) -> int:
         return int(self._loop.clock.now() // MS_PER_S)
 
-    def _serve(self, connection: socket.socket) -> TaskSteps:
+    def _serve(self, connection: socket.socket) -> Coroutine:
         try:
             while True:
                 yield Wait(connection.fileno(), READABLE)
--- a/emulators/site.py
+++ b/emulators/site.py
@@ -24,7 +24,7 @@
 from emulators.stdin_commands import handle_commands
 from snowthread.address import Address
 from snowthread.net.clock import Clock
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 READ_BYTES = 65536
 DATAGRAM_BYTES_MAX = 1024
@@ -71,7 +71,7 @@
         self._cores.abandon()
         self._cores = CoreQueue(self.loop, self.script.cores)
 
-    def _serve(self, connection: socket.socket) -> TaskSteps:
+    def _serve(self, connection: socket.socket) -> Coroutine:
         try:
             yield from read_json_lines(connection, partial(self._take, connection))
         finally:
@@ -155,7 +155,7 @@
         self._script = script
         loop.spawn(accept_connections(loop, listen(address), self._serve))
 
-    def _serve(self, connection: socket.socket) -> TaskSteps:
+    def _serve(self, connection: socket.socket) -> Coroutine:
         try:
             while True:
                 yield Wait(connection.fileno(), READABLE)
@@ -183,7 +183,7 @@
         self._sock = bind_datagrams(address)
         loop.spawn(self._read_reports())
 
-    def _read_reports(self) -> TaskSteps:
+    def _read_reports(self) -> Coroutine:
         last = b""
         try:
             while True:
--- a/emulators/stdin_commands.py
+++ b/emulators/stdin_commands.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 READ_BYTES = 65536
 
@@ -25,7 +25,7 @@
     loop.spawn(_read_commands(handler))
 
 
-def _read_commands(handler: CommandHandler) -> TaskSteps:
+def _read_commands(handler: CommandHandler) -> Coroutine:
     # Read from the descriptor: epoll does not see lines that a buffered reader has taken already.
     descriptor = sys.stdin.fileno()
     os.set_blocking(descriptor, False)
--- a/emulators/strict_runtime.py
+++ b/emulators/strict_runtime.py
@@ -19,7 +19,7 @@
 from emulators.servers import accept_connections, listen, read_json_lines
 from emulators.shared_cores import SharedCores
 from snowthread.address import Address
-from snowthread.net.loop import EventLoop, TaskSteps
+from snowthread.net.loop import Coroutine, EventLoop
 
 MAX_NOTICES = 4000  # that are sent again on a new link
 LOAD_CHECK_MS = 20.0
@@ -107,7 +107,7 @@
 
     # The link.
 
-    def _serve(self, connection: socket.socket) -> TaskSteps:
+    def _serve(self, connection: socket.socket) -> Coroutine:
         try:
             yield from read_json_lines(connection, partial(self._take, connection))
         except OSError:
--- a/snowthread/clients/database.py
+++ b/snowthread/clients/database.py
@@ -17,7 +17,7 @@
 from snowthread.clients.idle_connections import IdleConnections
 from snowthread.core import effects, events
 from snowthread.net.attempt import Failure
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 # The database closes a connection after 10 s without a call. The node closes it earlier, so that no call is
 # sent while the database closes the connection.
@@ -104,7 +104,7 @@
 
     # The task of one connection.
 
-    def _serve_calls(self, connection: DatabaseConnection) -> TaskSteps:
+    def _serve_calls(self, connection: DatabaseConnection) -> Coroutine:
         try:
             while connection.call is not None:
                 call = connection.call
--- a/snowthread/clients/database_connection.py
+++ b/snowthread/clients/database_connection.py
@@ -68,7 +68,7 @@
         was_used = self.sock is not None
         if self.sock is None:
             attempt = ConnectAttempt(address, self._loop, deadline_ms)
-            yield from attempt.steps()
+            yield from attempt.run()
             if attempt.sock is None:
                 return attempt.failure
             self.sock = attempt.sock
--- a/snowthread/clients/registry.py
+++ b/snowthread/clients/registry.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from snowthread.address import Address
-from snowthread.net.loop import READABLE, EventLoop, Task, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Task, Wait
 
 # The registry drops an entry 3 s after the last report. It gets seven reports in that time, most of which may
 # be lost.
@@ -74,7 +74,7 @@
         self._change_reports_left = CHANGE_REPORT_COUNT
         self._loop.wake(self._report_task)
 
-    def _send_reports(self) -> TaskSteps:
+    def _send_reports(self) -> Coroutine:
         while True:
             report = encode_report(self._name, self._accepts_work, self._report_suffix())
             try:
@@ -85,7 +85,7 @@
             interval_ms = CHANGE_REPORT_INTERVAL_MS if self._change_reports_left else REPORT_INTERVAL_MS
             yield Wait(until_ms=self._loop.clock.now() + interval_ms)
 
-    def _receive_answers(self, sock: socket.socket) -> TaskSteps:
+    def _receive_answers(self, sock: socket.socket) -> Coroutine:
         while True:
             yield Wait(sock.fileno(), READABLE)
             try:
--- a/snowthread/clients/runtime.py
+++ b/snowthread/clients/runtime.py
@@ -18,7 +18,7 @@
 from snowthread.core import effects, events
 from snowthread.net.attempt import Failure, Progress
 from snowthread.net.connect import ConnectAttempt
-from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, EventLoop, Wait
 
 READ_BYTES = 64 * 1024
 LOAD_SAMPLE_QUEUE_LIMIT = 64  # with this many unsent commands, load sample requests are dropped
@@ -109,11 +109,11 @@
 
     # The sequence of links.
 
-    def _maintain_link(self) -> TaskSteps:
+    def _maintain_link(self) -> Coroutine:
         backoff_ms = RECONNECT_DELAY_MIN_MS
         while True:
             attempt = ConnectAttempt(self._address, self._loop, self._loop.clock.now() + CONNECT_TIMEOUT_MS)
-            yield from attempt.steps()
+            yield from attempt.run()
             if attempt.sock is not None:
                 self._sock = attempt.sock
                 failure = yield from self._run_link(attempt.sock)
--- a/snowthread/frontends/admin/server.py
+++ b/snowthread/frontends/admin/server.py
@@ -12,7 +12,7 @@
 from snowthread.frontends.admin.codec import CONTINUE, AdminRequest, RequestError, RequestReader, encode
 from snowthread.frontends.admin.routes import AdminResponse, RouteTable
 from snowthread.net.listening import open_listener
-from snowthread.net.loop import READABLE, WRITABLE, EventLoop, Task, TaskSteps, Wait
+from snowthread.net.loop import READABLE, WRITABLE, Coroutine, EventLoop, Task, Wait
 
 MAX_CLIENTS = 12  # at once, within the descriptors set aside; beyond it the oldest client is disconnected
 REQUEST_TIMEOUT_MS = 10_000.0  # for the complete request: some clients stop for seconds and go on
@@ -48,7 +48,7 @@
         host, port = self._listener.getsockname()[:2]
         return host, port
 
-    def _accept(self) -> TaskSteps:
+    def _accept(self) -> Coroutine:
         while True:
             yield Wait(self._listener.fileno(), READABLE)
             try:
@@ -62,7 +62,7 @@
                 self._disconnect(next(iter(self._clients)))
             client = _Client(sock)
             self._clients[client] = None
-            client.task = self._loop.spawn(self._steps(client))
+            client.task = self._loop.spawn(self._run(client))
 
     def _disconnect(self, client: _Client) -> None:
         """Close a client's connection now; a task that never ran does not do so when it is ended."""
@@ -75,7 +75,7 @@
         del self._clients[client]
         self._loop.close(client.sock)
 
-    def _steps(self, client: _Client) -> TaskSteps:
+    def _run(self, client: _Client) -> Coroutine:
         try:
             request = yield from self._read_request(client.sock)
             if request is not None:
@@ -106,7 +106,7 @@
                 sock.send(CONTINUE)
         return reader.result
 
-    def _send_response(self, sock: socket.socket, response: bytes) -> TaskSteps:
+    def _send_response(self, sock: socket.socket, response: bytes) -> Coroutine:
         """Send a response, then read until the client closes.
 
         Bytes left unread at a close would reset the connection, and the response would be lost.
--- a/snowthread/frontends/balancers/acceptor.py
+++ b/snowthread/frontends/balancers/acceptor.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from snowthread.net.listening import has_pending_connection
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 LISTEN_BACKLOG = 1024  # connections that the kernel queues until they are accepted
 ACCEPTS_PER_ROUND = 64  # connections accepted in one round of the loop
@@ -42,7 +42,7 @@
         self._listener: socket.socket | None = listener
         self._table = table
         self._paused = False
-        self._task = loop.spawn(self._steps())
+        self._task = loop.spawn(self._run())
 
     @property
     def address(self) -> tuple[str, int]:
@@ -66,7 +66,7 @@
         """Whether the listening socket was closed."""
         return self._listener is None
 
-    def _steps(self) -> TaskSteps:
+    def _run(self) -> Coroutine:
         while self._listener is not None:
             ready = yield Wait() if self._paused else Wait(self._listener.fileno(), READABLE)
             if ready and self._listener is not None and not self.accept_pending(ACCEPTS_PER_ROUND):
--- a/snowthread/frontends/balancers/connection.py
+++ b/snowthread/frontends/balancers/connection.py
@@ -23,7 +23,7 @@
 from snowthread.frontends.balancers.messages import DecodedMessage
 from snowthread.frontends.balancers.socket_writer import BufferedSocketWriter
 from snowthread.net.limits import AbuseBudget
-from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, EventLoop, Wait
 
 UNSENT_PAUSE_BYTES = 32 * 1024  # nothing is read while the peer has left this much of its answers
 
@@ -76,7 +76,7 @@
         self.abuse_budget = AbuseBudget(self.clock.now())
         self.writer = BufferedSocketWriter(sock, self.clock)
         self.messages = MessageStream(self.clock)
-        self.task = owner.loop.spawn(self._steps())
+        self.task = owner.loop.spawn(self._run())
 
     @property
     def idle(self) -> bool:
@@ -167,7 +167,7 @@
 
     # The connection's task.
 
-    def _steps(self) -> TaskSteps:
+    def _run(self) -> Coroutine:
         try:
             while not self.closing_at_once and not self.closing_gracefully:
                 reads = len(self.writer.unsent) < UNSENT_PAUSE_BYTES
--- a/snowthread/frontends/balancers/lingering_close.py
+++ b/snowthread/frontends/balancers/lingering_close.py
@@ -11,7 +11,7 @@
 from snowthread.frontends.balancers.framing import READ_BYTES
 from snowthread.frontends.balancers.socket_writer import BufferedSocketWriter
 from snowthread.net.clock import Clock
-from snowthread.net.loop import HANGUP, READABLE, WRITABLE, TaskSteps, Wait
+from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, Wait
 
 LINGERING_CLOSE_TIMEOUT_MS = 500.0
 DISCARD_MAX_BYTES = 128 * 1024  # read and discarded at most during a lingering close
@@ -25,7 +25,7 @@
     closing_at_once: bool  # or closed already
 
 
-def lingering_close(connection: ClosingConnection, clock: Clock) -> TaskSteps:
+def lingering_close(connection: ClosingConnection, clock: Clock) -> Coroutine:
     """Send what is unsent, shut down, then read until the peer closes, within limits."""
     writer = connection.writer
     deadline_ms = clock.now() + LINGERING_CLOSE_TIMEOUT_MS
--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -20,7 +20,7 @@
 from snowthread.frontends.balancers.sweeper import FAREWELL_TIMEOUT_MS, ConnectionSweeper
 from snowthread.net.limits import IDLE_CONNECTIONS_RATIO, SWEEP_INTERVAL_MS
 from snowthread.net.listening import adopt_listener, open_listener
-from snowthread.net.loop import EventLoop, TaskSteps, Wait
+from snowthread.net.loop import Coroutine, EventLoop, Wait
 
 MIN_CONNECTION_LIMIT = 8  # connections that are allowed however low the limit is set
 
@@ -174,7 +174,7 @@
 
     # Timeouts.
 
-    def _sweep(self) -> TaskSteps:
+    def _sweep(self) -> Coroutine:
         while True:
             yield Wait(until_ms=self.loop.clock.now() + SWEEP_INTERVAL_MS)
             self._sweeper.sweep(
--- a/snowthread/hot_restart/channel.py
+++ b/snowthread/hot_restart/channel.py
@@ -36,7 +36,7 @@
 from snowthread.hot_restart.link import PeerLink
 from snowthread.hot_restart.messages import HandoverSignal, IncomingMessage, OutgoingMessage
 from snowthread.hot_restart.socket_file import ConnectFailure, PeerProcess
-from snowthread.net.loop import READABLE, EventLoop, Task, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Task, Wait
 
 JOIN_MS = 300.0  # for this long a socket that refuses is tried: its owner may be replacing the file just now
 RETRY_MS = 20.0  # between two attempts to connect
@@ -97,7 +97,7 @@
 
     # The successor's side.
 
-    def _join(self) -> TaskSteps:
+    def _join(self) -> Coroutine:
         """Connect to the predecessor until none is left, then serve standalone.
 
         A broken link does not mean that the predecessor has exited: it still decides on claims of keys. This
@@ -129,7 +129,7 @@
     def _is_nobody_there(self, failure: ConnectFailure, give_up_at_ms: float) -> bool:
         return failure.is_absent or (failure.is_refused and self._loop.clock.now() >= give_up_at_ms)
 
-    def _follow_predecessor(self, sock: socket.socket) -> TaskSteps:
+    def _follow_predecessor(self, sock: socket.socket) -> Coroutine:
         """Run one link to the predecessor until it breaks."""
         link = PeerLink(self._loop, sock, self._receive)
         link.task = self._joining
@@ -151,7 +151,7 @@
             return
         self._loop.spawn(self._accept_successors(self._listener))
 
-    def _accept_successors(self, listener: socket.socket) -> TaskSteps:
+    def _accept_successors(self, listener: socket.socket) -> Coroutine:
         while True:
             yield Wait(listener.fileno(), READABLE)
             try:
@@ -176,7 +176,7 @@
             return True
         return process is not None and self._successor_pid not in (None, process.pid)
 
-    def _serve_successor(self, link: PeerLink, process: PeerProcess | None) -> TaskSteps:
+    def _serve_successor(self, link: PeerLink, process: PeerProcess | None) -> Coroutine:
         """Run one link from the successor, then wait for the end of that process.
 
         A broken link does not mean that the successor has exited. It runs no key without a decision from
@@ -197,7 +197,7 @@
 
     # Both sides.
 
-    def _run_link(self, link: PeerLink) -> TaskSteps:
+    def _run_link(self, link: PeerLink) -> Coroutine:
         try:
             yield from link.run()
         finally:
--- a/snowthread/hot_restart/link.py
+++ b/snowthread/hot_restart/link.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from snowthread.hot_restart.messages import IncomingMessage, OutgoingMessage, decode, encode, unpacker
-from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, Task, TaskSteps, Wait
+from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, EventLoop, Task, Wait
 
 READ_BYTES = 64 * 1024  # at a time
 ENCODE_AHEAD_BYTES = 64 * 1024  # at least so much is encoded at a time; the other messages wait as objects
@@ -75,7 +75,7 @@
             size += len(pieces[-1])
         self._encoded = b"".join(pieces)
 
-    def run(self) -> TaskSteps:
+    def run(self) -> Coroutine:
         """Send and receive until the link breaks, then close the socket."""
         incoming = unpacker()
         try:
--- a/snowthread/lab/datagram_relay.py
+++ b/snowthread/lab/datagram_relay.py
@@ -7,7 +7,7 @@
 
 from snowthread.address import Address
 from snowthread.lab.faults import LinkFaults
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 DATAGRAM_BYTES_MAX = 65536
 ANY_PORT = Address("127.0.0.1", 0)
@@ -33,7 +33,7 @@
         for task in self._tasks:
             self.loop.end_task(task)
 
-    def _forward_requests(self) -> TaskSteps:
+    def _forward_requests(self) -> Coroutine:
         try:
             while True:
                 yield Wait(self._client_socket.fileno(), READABLE)
@@ -46,7 +46,7 @@
         finally:
             self.loop.close(self._client_socket)
 
-    def _forward_answers(self) -> TaskSteps:
+    def _forward_answers(self) -> Coroutine:
         try:
             while True:
                 yield Wait(self._target_socket.fileno(), READABLE)
--- a/snowthread/lab/demo_fleet.py
+++ b/snowthread/lab/demo_fleet.py
@@ -20,7 +20,7 @@
     read_example_configuration,
     stop_nodes,
 )
-from snowthread.net.loop import EventLoop, TaskSteps, Wait
+from snowthread.net.loop import Coroutine, EventLoop, Wait
 
 # Offset of the clock of each node's machine from the true time, in seconds.
 CLOCK_OFFSETS_S = (0.4, -0.6, 0.0)
@@ -103,7 +103,7 @@
                 self.loop.run_once(LOOP_STEP_S)
         self.set_database_call_time(DATABASE_CALL_MS)
 
-    def _wait_until_accepting(self, node: NodeProcess) -> TaskSteps:
+    def _wait_until_accepting(self, node: NodeProcess) -> Coroutine:
         yield from node.wait_until_accepting(self.loop, START_TIMEOUT_MS)
 
     def start_load(self, seconds: float) -> None:
@@ -133,7 +133,7 @@
     def _spawn_restart(self, number: int) -> None:
         self.loop.spawn(self._restart(self.nodes[number], self.loads[number]))
 
-    def _restart(self, node: NodeProcess, load: LoadGenerator) -> TaskSteps:
+    def _restart(self, node: NodeProcess, load: LoadGenerator) -> Coroutine:
         while node.running:
             yield Wait(until_ms=self.loop.clock.now() + EXIT_POLL_MS)
         node.start()
--- a/snowthread/lab/fleet.py
+++ b/snowthread/lab/fleet.py
@@ -41,7 +41,7 @@
 )
 from snowthread.lab.relay import Relay
 from snowthread.lab.scenario import LinkName, Scenario
-from snowthread.net.loop import EventLoop, TaskSteps
+from snowthread.net.loop import Coroutine, EventLoop
 from snowthread.recovery import storage
 
 LOOP_STEP_S = 0.02
@@ -169,7 +169,7 @@
         self._cores.assign_node(node.process.pid)
         self.loop.spawn(self._open_inbound_relay_when_accepting(node))
 
-    def _open_inbound_relay_when_accepting(self, node: NodeProcess) -> TaskSteps:
+    def _open_inbound_relay_when_accepting(self, node: NodeProcess) -> Coroutine:
         started_ms = self.loop.clock.now()
         if (yield from node.wait_until_accepting(self.loop)):
             self.links[node.name].inbound.open()
--- a/snowthread/lab/relay.py
+++ b/snowthread/lab/relay.py
@@ -12,7 +12,7 @@
 from snowthread.lab.faults import LinkFaults
 from snowthread.lab.relay_direction import ConnectionState, RelayDirection, RelayedLink
 from snowthread.net.listening import open_listener
-from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, Task, TaskSteps, Wait
+from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, EventLoop, Task, Wait
 
 CONNECT_TIMEOUT_MS = 3000.0
 LISTEN_BACKLOG = 512
@@ -58,7 +58,7 @@
         if self._listener.fileno() >= 0:  # A task that never ran has not closed its listener.
             self._listener.close()
 
-    def _accept(self, listener: socket.socket) -> TaskSteps:
+    def _accept(self, listener: socket.socket) -> Coroutine:
         try:
             while True:
                 yield Wait(listener.fileno(), READABLE)
@@ -75,7 +75,7 @@
         finally:
             self.loop.close(listener)
 
-    def _connect(self, client: socket.socket) -> TaskSteps:
+    def _connect(self, client: socket.socket) -> Coroutine:
         """Connect to the target and start both directions; close the client if the connect fails."""
         server = self.target.open(socket.SOCK_STREAM)
         try:
--- a/snowthread/lab/relay_direction.py
+++ b/snowthread/lab/relay_direction.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from snowthread.lab.faults import ForwardingState, LinkFaults, compute_release_ms, is_cut
-from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, EventLoop, Wait
 
 QUEUE_BYTES_MAX = 1 << 20  # Limit of the queue of one direction of a connection.
 CHUNK_BYTES = 65536
@@ -72,7 +72,7 @@
         self._queued_bytes = 0
         self._source_ended = False
 
-    def run(self) -> TaskSteps:
+    def run(self) -> Coroutine:
         """Forward until the source has ended and all data is written, then wait for the other direction."""
         try:
             while self._queue or not self._source_ended:
--- a/snowthread/ldap/client.py
+++ b/snowthread/ldap/client.py
@@ -79,7 +79,7 @@
         """Connect, start TLS and bind, each with its own deadline; return the failure, or None."""
         deadline = self._loop.clock.now() + self._settings.connect_timeout_ms
         attempt = ConnectAttempt(self.url.address, self._loop, deadline)
-        yield from attempt.steps()
+        yield from attempt.run()
         if attempt.sock is None:
             return ConnectionFailure(attempt.failure.progress, f"connect: {attempt.failure.reason}")
         self._stream = Stream(self._loop, attempt.sock)
--- a/snowthread/net/connect.py
+++ b/snowthread/net/connect.py
@@ -8,13 +8,13 @@
 
 from snowthread.address import Address
 from snowthread.net.attempt import Failure, Progress
-from snowthread.net.loop import WRITABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import WRITABLE, Coroutine, EventLoop, Wait
 
 
 class ConnectAttempt:
     """One attempt to connect by TCP until a time in Unix milliseconds.
 
-    After ``steps`` has run, ``sock`` is the connected socket, or it is None and ``failure`` says why. Waking
+    After ``run`` has ended, ``sock`` is the connected socket, or it is None and ``failure`` says why. Waking
     the task that runs the steps gives the attempt up, as a timeout.
     """
 
@@ -25,7 +25,7 @@
         self.sock: socket.socket | None = None
         self.failure = Failure(Progress.NOT_CONNECTED, "not attempted")
 
-    def steps(self) -> TaskSteps:
+    def run(self) -> Coroutine:
         """Connect, or set ``failure``."""
         try:
             sock = self.address.open(socket.SOCK_STREAM)
--- a/snowthread/net/loop.py
+++ b/snowthread/net/loop.py
@@ -39,7 +39,7 @@
     until_ms: float = math.inf
 
 
-TaskSteps = Generator[Wait, int, None]
+Coroutine = Generator[Wait, int, None]
 """A coroutine: yields what it waits for and is sent the epoll mask of what happened."""
 
 Timer = list[Callable[[], None]]
@@ -52,14 +52,14 @@
 class Task:
     """A running coroutine."""
 
-    __slots__ = ("begun", "fd", "mask", "steps", "timer", "woken")
+    __slots__ = ("coroutine", "fd", "mask", "started", "timer", "woken")
 
-    def __init__(self, steps: TaskSteps) -> None:
-        self.steps: TaskSteps | None = steps  # None once it has ended
+    def __init__(self, coroutine: Coroutine) -> None:
+        self.coroutine: Coroutine | None = coroutine  # None once it has ended
         self.fd = NO_DESCRIPTOR  # what it waits for, and for which of its events
         self.mask = 0
         self.timer: Timer | None = None  # of the wait's time
-        self.begun = False
+        self.started = False
         self.woken = False
 
 
@@ -77,16 +77,16 @@
         self._timer_numbers = itertools.count()  # timers of one time run in the order they were made in
         self._stopped = False
 
-    def spawn(self, steps: TaskSteps) -> Task:
+    def spawn(self, coroutine: Coroutine) -> Task:
         """Start a coroutine; its first step runs in the loop's next round."""
-        task = Task(steps)
+        task = Task(coroutine)
         self._tasks[task] = None
         self.wake(task)
         return task
 
     def wake(self, task: Task) -> None:
         """Resume a task with 0 in the next round, whatever it waits for."""
-        if not task.woken and task.steps is not None:
+        if not task.woken and task.coroutine is not None:
             task.woken = True
             self._woken_tasks.append(task)
 
@@ -172,13 +172,13 @@
                 logger.exception("a timer failed")
 
     def _resume(self, task: Task, mask: int) -> None:
-        if task.steps is None:
+        if task.coroutine is None:
             return
         self.cancel(task.timer)
         task.timer = None
         try:
-            wait = task.steps.send(mask) if task.begun else next(task.steps)
-            task.begun = True
+            wait = task.coroutine.send(mask) if task.started else next(task.coroutine)
+            task.started = True
         except StopIteration:
             self._end(task)
         except Exception:  # noqa: BLE001  # exceptions stop here: one connection's failure is not another's
@@ -210,11 +210,11 @@
 
     def end_task(self, task: Task) -> None:
         """End a task now; its ``finally`` blocks run."""
-        if task.steps is not None:
-            task.steps.close()
+        if task.coroutine is not None:
+            task.coroutine.close()
         self._end(task)
 
     def _end(self, task: Task) -> None:
         self._unwatch_task(task)
         self._tasks.pop(task, None)
-        task.steps = None
+        task.coroutine = None
--- a/snowthread/node/shutdown.py
+++ b/snowthread/node/shutdown.py
@@ -30,7 +30,7 @@
 from snowthread.core.state import AdmissionClock, NodeState
 from snowthread.frontends.balancers.server import BalancerServer
 from snowthread.hot_restart.channel import HotRestartChannel
-from snowthread.net.loop import EventLoop, TaskSteps, Wait
+from snowthread.net.loop import Coroutine, EventLoop, Wait
 
 CLOSE_LISTENER_BEFORE_KILL_MS = 500.0  # leaves time to answer, before the kill, what was accepted last
 EXIT_BEFORE_KILL_MS = 120.0  # the process exits by then, whatever is left unanswered
@@ -75,10 +75,10 @@
         node.balancers.send_farewell_to_all()
         kill_at_ms = clock.now() + kill_after_ms - elapsed_ms
         if node.hot_restart is None:
-            steps = self.serve_until_kill(kill_at_ms)
+            coroutine = self.serve_until_kill(kill_at_ms)
         else:
-            steps = self.serve_until_superseded(kill_at_ms, node.hot_restart)
-        node.loop.spawn(steps)
+            coroutine = self.serve_until_superseded(kill_at_ms, node.hot_restart)
+        node.loop.spawn(coroutine)
 
     def _kill_after_ms(self) -> float:
         """Return the time from the signal to the kill; with a successor no more than open requests can need.
@@ -96,7 +96,7 @@
             SUPERSEDED_MARGIN_MS + min(SUPERSEDED_DEADLINE_MAX_MS, longest_deadline_ms),
         )
 
-    def serve_until_superseded(self, kill_at_ms: float, channel: HotRestartChannel) -> TaskSteps:
+    def serve_until_superseded(self, kill_at_ms: float, channel: HotRestartChannel) -> Coroutine:
         """Leave new clients to the successor and exit once all is answered.
 
         The listening socket is shared: its close here would refuse nobody. Without a successor, serve until
@@ -117,7 +117,7 @@
         channel.close()
         node.stop()
 
-    def serve_until_kill(self, kill_at_ms: float) -> TaskSteps:
+    def serve_until_kill(self, kill_at_ms: float) -> Coroutine:
         """Serve until shortly before the kill, then close the listener, answer what came and exit."""
         node = self._node
         clock = node.loop.clock
--- a/snowthread/node/signals.py
+++ b/snowthread/node/signals.py
@@ -13,7 +13,7 @@
 
 from loguru import logger
 
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 BLOCKED_SIGNALS = {signal.SIGHUP, *SHUTDOWN_SIGNALS}
@@ -50,7 +50,7 @@
         for number in SHUTDOWN_SIGNALS:
             signal.signal(number, self._note_shutdown_signal)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
-        self._loop.spawn(self._steps(reader))
+        self._loop.spawn(self._run(reader))
 
     def stop(self) -> None:
         """Ignore these signals from now on; the process is about to end.
@@ -71,7 +71,7 @@
         """
         self._shutdown_signal_at_ms = min(self._shutdown_signal_at_ms, self._loop.clock.now())
 
-    def _steps(self, reader: socket.socket) -> TaskSteps:
+    def _run(self, reader: socket.socket) -> Coroutine:
         shutdown_begun = False
         while True:
             yield Wait(reader.fileno(), READABLE)
--- a/snowthread/records/recorder.py
+++ b/snowthread/records/recorder.py
@@ -16,7 +16,7 @@
 from snowthread.core import effects, events
 from snowthread.core.reducer import reduce
 from snowthread.core.state import NodeState
-from snowthread.net.loop import EventLoop, TaskSteps, Wait
+from snowthread.net.loop import Coroutine, EventLoop, Wait
 from snowthread.records import writer
 from snowthread.records.batch import RecordBatch
 from snowthread.records.frame import encode
@@ -94,7 +94,7 @@
         self._close_batch()
         self._link.close(now)
 
-    def _record_seconds(self) -> TaskSteps:
+    def _record_seconds(self) -> Coroutine:
         while True:
             now = self._loop.clock.now()
             # At full seconds of the clock, so that the seconds of all nodes coincide.
--- a/snowthread/recovery/manager.py
+++ b/snowthread/recovery/manager.py
@@ -30,7 +30,7 @@
 from snowthread.config import Config
 from snowthread.core import effects, events
 from snowthread.core.state import NodeState
-from snowthread.net.loop import EventLoop, TaskSteps, Wait
+from snowthread.net.loop import Coroutine, EventLoop, Wait
 from snowthread.recovery.call_pacing import CallPacer
 from snowthread.recovery.key_recorder import KeyRecorder
 from snowthread.recovery.learned_snapshots import SnapshotStore
@@ -219,7 +219,7 @@
 
     # Periodic snapshots.
 
-    def _write_snapshots(self) -> TaskSteps:
+    def _write_snapshots(self) -> Coroutine:
         while True:
             yield Wait(until_ms=self._loop.clock.now() + self._settings.snapshot_interval_ms)
             self._write_snapshot()
--- a/snowthread/sites/client_filter.py
+++ b/snowthread/sites/client_filter.py
@@ -15,7 +15,7 @@
 from snowthread.admission.settings import Idempotency, RequestClass, Settings
 from snowthread.core import effects, events
 from snowthread.core.state import NodeState, Request, RequestPhase
-from snowthread.net.loop import EventLoop, TaskSteps, Wait
+from snowthread.net.loop import Coroutine, EventLoop, Wait
 from snowthread.sites.settings import SiteSettings
 from snowthread.sites.shedding import NodeLoad, SheddingDecision, decide_request, shedding_order
 
@@ -111,7 +111,7 @@
             other_site_requests=len(self._other_site_attempts),
         )
 
-    def _log_counts(self) -> TaskSteps:
+    def _log_counts(self) -> Coroutine:
         while True:
             yield Wait(until_ms=self._loop.clock.now() + LOG_INTERVAL_MS)
             if self.decision_counts:
--- a/snowthread/tenants/directory_session.py
+++ b/snowthread/tenants/directory_session.py
@@ -15,7 +15,7 @@
 from snowthread.ldap.health import Reaction, reaction_to
 from snowthread.ldap.messages import AbandonRequest, Message, Response, SearchResultDone
 from snowthread.net.attempt import Progress
-from snowthread.net.loop import TaskSteps, Wait
+from snowthread.net.loop import Coroutine, Wait
 from snowthread.tenants.lookups import ClientLookups
 from snowthread.tenants.refresh_application import apply_refresh_with_pauses, log_refresh
 from snowthread.tenants.replication_context import ReplicationContext
@@ -209,7 +209,7 @@
         self._poll_at = math.inf
         return None
 
-    def _complete_refresh(self, refresh: RefreshCompleted, now: float) -> TaskSteps:
+    def _complete_refresh(self, refresh: RefreshCompleted, now: float) -> Coroutine:
         context = self._context
         changes = yield from apply_refresh_with_pauses(context, self._sync, refresh, self.server, now)
         log_refresh(context, self._sync, self.server, changes, now - self._search_started_at)
--- a/snowthread/tenants/identification.py
+++ b/snowthread/tenants/identification.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from snowthread.core import events
-from snowthread.net.loop import EventLoop, TaskSteps, Wait
+from snowthread.net.loop import Coroutine, EventLoop, Wait
 from snowthread.tenants.changes import TenantChanges
 from snowthread.tenants.model import IdentifiedBy
 from snowthread.tenants.replication import DirectoryReplicator
@@ -101,7 +101,7 @@
         if self.replicator is not None and not _replication_settings_equal(old, settings):
             self.replicator.apply_settings(settings)
 
-    def _run_housekeeping(self) -> TaskSteps:
+    def _run_housekeeping(self) -> Coroutine:
         clock = self._loop.clock
         report_at = clock.now() + self.settings.report_interval_ms
         while True:
--- a/snowthread/tenants/replication.py
+++ b/snowthread/tenants/replication.py
@@ -14,7 +14,7 @@
 
 from snowthread.ldap.client import ConnectionFailure, LdapConnection
 from snowthread.ldap.health import ServerSelector
-from snowthread.net.loop import EventLoop, TaskSteps, Wait
+from snowthread.net.loop import Coroutine, EventLoop, Wait
 from snowthread.tenants.changes import TenantChanges
 from snowthread.tenants.directory_session import DirectorySession
 from snowthread.tenants.replication_context import ReplicationContext
@@ -73,7 +73,7 @@
         names = tuple(url.server for url in self.settings.servers)
         return ServerSelector(names, self.settings.retry_policy, self._loop.clock.now())
 
-    def _run(self, start_jitter_ms: float) -> TaskSteps:
+    def _run(self, start_jitter_ms: float) -> Coroutine:
         clock = self._loop.clock
         rng = self._context.rng
         # Nodes that start together must not all connect to the directory at the same moment.
--- a/tests/lab/test_balancers.py
+++ b/tests/lab/test_balancers.py
@@ -18,7 +18,7 @@
 from emulators.traffic_plan import TrafficPlan
 from snowthread.address import Address
 from snowthread.net.clock import Clock
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 PLAN = {
     "roster": "127.0.0.1:9",
@@ -58,7 +58,7 @@
         self.listener = listen(Address("127.0.0.1", 0))
         loop.spawn(accept_connections(loop, self.listener, self._serve))
 
-    def _serve(self, connection: socket.socket) -> TaskSteps:
+    def _serve(self, connection: socket.socket) -> Coroutine:
         unpacker = msgpack.Unpacker()
         try:
             while True:
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -13,7 +13,7 @@
 from snowthread.lab.faults import ForwardingState, LinkFaults, compute_release_ms
 from snowthread.lab.relay import Relay
 from snowthread.net.clock import Clock
-from snowthread.net.loop import READABLE, EventLoop, TaskSteps, Wait
+from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
 
 class Echo:
@@ -25,7 +25,7 @@
         self.address = Address(*self.sock.getsockname()[:2])
         loop.spawn(accept_connections(loop, self.sock, self._echo))
 
-    def _echo(self, peer: socket.socket) -> TaskSteps:
+    def _echo(self, peer: socket.socket) -> Coroutine:
         try:
             while True:
                 yield Wait(peer.fileno(), READABLE)
--- a/tests/tenants/test_replication.py
+++ b/tests/tenants/test_replication.py
@@ -257,7 +257,7 @@
     buffered_bytes = 0
     for _ in range(60):
         harness.run(500.0, 100.0)
-        assert harness.replicator._task.steps is not None
+        assert harness.replicator._task.coroutine is not None
         session = harness.replicator._session
         if session is not None:
             buffered_bytes = max(buffered_bytes, session._connection._session.buffered_bytes)
