--- a/snowthread/frontends/__init__.py
+++ b/snowthread/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Servers for the node's callers; each translates one protocol into the events of the core."""
+"""Servers for the node's clients; each one translates a network protocol into events of the core."""
--- a/snowthread/frontends/admin/__init__.py
+++ b/snowthread/frontends/admin/__init__.py
@@ -1,4 +1,5 @@
-"""The administration interface: HTTP/1.1 on an address of its own, one request per connection.
+"""The administration interface: HTTP/1.1 on its own address, one request per connection.
 
-:mod:`.server` has the sockets, :mod:`.codec` the bytes and :mod:`.routes` what handlers return.
+:mod:`.server` handles the sockets, :mod:`.codec` parses requests and encodes responses, and :mod:`.routes`
+defines the route table and what the handlers return.
 """
--- a/snowthread/frontends/admin/codec.py
+++ b/snowthread/frontends/admin/codec.py
@@ -1,6 +1,6 @@
-"""The administration interface's codec: HTTP/1.1 (RFC 9112), bytes in, one request or an error out.
+"""HTTP/1.1 codec (RFC 9112) of the administration interface.
 
-Sans-I/O.
+Sans-I/O: it parses the bytes of one request, and encodes one response.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from snowthread.frontends.admin.routes import AdminResponse
 
 MAX_HEAD_BYTES = 8 * 1024
-MAX_BODY_BYTES = 64 * 1024  # a body has no meaning here; it is read so that the response arrives
+MAX_BODY_BYTES = 64 * 1024  # bodies are ignored, but read: a close with unread bytes loses the response
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 NO_HEADERS: Mapping[str, str] = MappingProxyType({})
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """A complete request: its method and its path, without a query."""
+    """A complete request: the method, and the path without the query."""
 
     method: str
     path: str
@@ -31,83 +31,83 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestError:
-    """Why the bytes are no valid request, as the status and the text of its response."""
+    """An invalid request: the HTTP status and the text to answer it with."""
 
     status: HTTPStatus
     reason: str
 
 
 class RequestReader:
-    """Reads one request.
+    """Parses one request incrementally.
 
-    ``result`` is None until the request is complete or cannot become so. What follows it is not read.
+    ``result`` is None until the request is complete or found invalid. Bytes after the request are ignored.
     """
 
     def __init__(self) -> None:
         self.result: AdminRequest | RequestError | None = None
-        self.expects_continue = False  # the client sends the body only after a 100 (Continue)
+        self.expects_continue = False  # set if the client waits for a 100 (Continue) before it sends the body
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
         self._head_bytes = 0
         self._body_bytes = 0
-        self._has_head = False
+        self._head_complete = False
 
     def feed(self, data: bytes) -> None:
-        """Read bytes; afterwards ``result`` may be set."""
+        """Parse the next bytes, and set ``result`` if they complete the request or make it invalid."""
         if self.result is not None:
             return
-        if not self._has_head:
+        if not self._head_complete:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # the request is valid as it is; no other protocol is offered
+            pass  # the request is valid; its Upgrade field is ignored, as no other protocol is supported
         except httptools.HttpParserError as error:
             self._fail(HTTPStatus.BAD_REQUEST, str(error))
-        if not self._has_head and self._head_bytes > MAX_HEAD_BYTES:
-            self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "a head without end")
+        if not self._head_complete and self._head_bytes > MAX_HEAD_BYTES:
+            self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the request head is too long")
 
     def _fail(self, status: HTTPStatus, reason: str) -> None:
         if self.result is None:
             self.result = RequestError(status, reason)
 
-    # Called by the parser.
+    # Callbacks of httptools.HttpRequestParser.
 
     def on_url(self, url: bytes) -> None:
-        """Collect the request target, which may come in parts."""
+        """Append a part of the request target, which the parser may deliver in several parts."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Read the fields that matter here: Expect and Content-Length."""
+        """Read a header field; only Expect and Content-Length are used."""
         if name.lower() == b"expect" and value.lower() == b"100-continue":
             self.expects_continue = True
         elif name.lower() == b"content-length" and int(value) > MAX_BODY_BYTES:
             self._fail(HTTPStatus.BAD_REQUEST, "the body is too long")
 
     def on_headers_complete(self) -> None:
-        """Note that the head is complete."""
-        self._has_head = True
+        """Record that the request head is complete."""
+        self._head_complete = True
 
     def on_body(self, body: bytes) -> None:
-        """Count the body's bytes."""
+        """Count the bytes of the body, and reject one that is longer than ``MAX_BODY_BYTES``."""
         self._body_bytes += len(body)
         if self._body_bytes > MAX_BODY_BYTES:
             self._fail(HTTPStatus.BAD_REQUEST, "the body is too long")
 
     def on_message_complete(self) -> None:
-        """Set the result."""
+        """Set ``result`` to the complete request, unless it is invalid."""
         if self.result is not None:
             return
         try:
             path = (httptools.parse_url(self._target).path or b"/").decode("ascii")
         except (httptools.HttpParserError, UnicodeDecodeError):
-            self._fail(HTTPStatus.BAD_REQUEST, "not a target")
+            self._fail(HTTPStatus.BAD_REQUEST, "the request target is not valid")
         else:
             self.result = AdminRequest(self._parser.get_method().decode("ascii"), path)
 
 
 def encode(response: AdminResponse, headers: Mapping[str, str] = NO_HEADERS) -> bytes:
-    """Return the bytes of a complete response; the connection closes after it."""
+    """Return the bytes of a response; its headers announce that the connection closes after it."""
     body = (response.text + "\n").encode()
     lines = [
         f"HTTP/1.1 {response.status.value} {response.status.phrase}",
--- a/snowthread/frontends/admin/routes.py
+++ b/snowthread/frontends/admin/routes.py
@@ -1,4 +1,4 @@
-"""What the administration interface offers: routes and what their handlers return."""
+"""Route table of the administration interface, and the responses that its handlers return."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class AdminResponse(NamedTuple):
-    """The response to a request: a status and one line of text."""
+    """The response to a request: an HTTP status and one line of text."""
 
     status: HTTPStatus
     text: str
 
 
 Handler = Callable[[], AdminResponse]
-"""Carries out a request and returns its response."""
+"""A function that carries out a request and returns its response."""
 
 
 class Route(NamedTuple):
-    """The method that a path accepts, and its handler."""
+    """The HTTP method that a path accepts, and the handler to call."""
 
     method: str
     handler: Handler
--- a/snowthread/frontends/admin/server.py
+++ b/snowthread/frontends/admin/server.py
@@ -1,4 +1,4 @@
-"""The administration server: accepts clients, answers one request each and closes."""
+"""The administration server: accepts connections, answers one request on each and closes it."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from snowthread.net.listening import open_listener
 from snowthread.net.loop import READABLE, WRITABLE, Coroutine, EventLoop, Task, Wait
 
-MAX_CLIENTS = 12  # at once, within the descriptors set aside; beyond it the oldest client is disconnected
-REQUEST_TIMEOUT_MS = 10_000.0  # for the complete request: some clients stop for seconds and go on
-RESPONSE_TIMEOUT_MS = 1_000.0  # for a client to take its response and close
+MAX_CLIENTS = 12  # open connections, from the reserved descriptors; beyond it the oldest one is closed
+REQUEST_TIMEOUT_MS = 10_000.0  # to receive a complete request; some clients pause for seconds within one
+RESPONSE_TIMEOUT_MS = 1_000.0  # to send a response and wait until the client closes
 READ_BYTES = 4 * 1024
 LISTEN_BACKLOG = 64
-ACCEPT_PAUSE_MS = 10.0  # pause in accepting where a connection cannot be accepted
+ACCEPT_PAUSE_MS = 10.0  # delay before the next accept() after one that failed
 
 
 class _Client:
@@ -33,18 +33,18 @@
 
 
 class AdminServer:
-    """Answers requests by path and method."""
+    """Answers each request with the handler that is registered for its path and method."""
 
     def __init__(self, loop: EventLoop, address: Address, routes: RouteTable) -> None:
         self._loop = loop
         self._routes = dict(routes)
         self._listener = open_listener(address, LISTEN_BACKLOG)
-        self._clients: dict[_Client, None] = {}  # the oldest first
+        self._clients: dict[_Client, None] = {}  # in order of connection, the oldest first
         loop.spawn(self._accept())
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where the server listens."""
+        """The host and port on which the server listens."""
         host, port = self._listener.getsockname()[:2]
         return host, port
 
@@ -53,8 +53,8 @@
             yield Wait(self._listener.fileno(), READABLE)
             try:
                 sock, _address = self._listener.accept()
-            except OSError as error:  # the client has gone already, or no descriptor is free for now
-                logger.debug("admin: accept: {}", error)
+            except OSError as error:  # the client has disconnected already, or no descriptor is free
+                logger.debug("admin: accept() failed, retrying shortly: {}", error)
                 yield Wait(until_ms=self._loop.clock.now() + ACCEPT_PAUSE_MS)
                 continue
             sock.setblocking(False)
@@ -65,7 +65,10 @@
             client.task = self._loop.spawn(self._run(client))
 
     def _disconnect(self, client: _Client) -> None:
-        """Close a client's connection now; a task that never ran does not do so when it is ended."""
+        """Close a client's connection and end its task.
+
+        The task itself closes the connection only if it has run at least once.
+        """
         if client in self._clients:
             self._remove(client)
             if client.task is not None:
@@ -81,13 +84,13 @@
             if request is not None:
                 yield from self._send_response(client.sock, self._respond(request))
         except OSError as error:
-            logger.debug("admin: {}", error)
+            logger.debug("admin: connection closed: {}", error)
         finally:
             if client in self._clients:
                 self._remove(client)
 
     def _read_request(self, sock: socket.socket) -> Generator[Wait, int, AdminRequest | RequestError | None]:
-        """Read one request; return None where the client closes or its time is up."""
+        """Read one request; return None if the client closes or ``REQUEST_TIMEOUT_MS`` passes."""
         reader = RequestReader()
         deadline_ms = self._loop.clock.now() + REQUEST_TIMEOUT_MS
         has_sent_continue = False
@@ -107,9 +110,9 @@
         return reader.result
 
     def _send_response(self, sock: socket.socket, response: bytes) -> Coroutine:
-        """Send a response, then read until the client closes.
+        """Send a response, then discard input until the client closes or ``RESPONSE_TIMEOUT_MS`` passes.
 
-        Bytes left unread at a close would reset the connection, and the response would be lost.
+        Closing a socket with unread input resets the connection, and the client can lose the response.
         """
         deadline_ms = self._loop.clock.now() + RESPONSE_TIMEOUT_MS
         while response:
@@ -123,7 +126,7 @@
             pass
 
     def _respond(self, request: AdminRequest | RequestError) -> bytes:
-        """Carry out a request and return the bytes of its response."""
+        """Call the handler of a request and return the encoded response, an error if there is no handler."""
         if isinstance(request, RequestError):
             return encode(AdminResponse(request.status, request.reason))
         route = self._routes.get(request.path)
