--- a/snowthread/frontends/balancers/codec.py
+++ b/snowthread/frontends/balancers/codec.py
@@ -88,7 +88,7 @@
     return InvalidMessage(None, Violation.INVALID_CANCEL)
 
 
-def number_of_unreadable(start: bytes) -> int | None:
+def request_number_from_prefix(start: bytes) -> int | None:
     """Return the number of a request whose rest cannot be read, from its first bytes."""
     unpacker = unpacker_for_read()
     unpacker.feed(start[:NUMBER_PREFIX_BYTES])
--- a/snowthread/frontends/balancers/connection.py
+++ b/snowthread/frontends/balancers/connection.py
@@ -51,12 +51,12 @@
         "_owner",
         "abuse_budget",
         "clock",
-        "closing_at_once",
         "closing_gracefully",
+        "closing_immediately",
         "farewell_at_ms",
-        "messages",
+        "message_stream",
         "number",
-        "open_numbers",
+        "open_request_numbers",
         "post",
         "sock",
         "task",
@@ -69,24 +69,24 @@
         self.number = number
         self.clock = owner.loop.clock
         self.post = owner.post
-        self.open_numbers: set[int] = set()  # messages that are still to be answered
+        self.open_request_numbers: set[int] = set()  # messages that are still to be answered
         self.farewell_at_ms = math.inf
-        self.closing_at_once = False  # failed, evicted or closed: nothing more is read or sent
+        self.closing_immediately = False  # failed, evicted or closed: nothing more is read or sent
         self.closing_gracefully = False  # nothing more is read; what is unsent is sent first
         self.abuse_budget = AbuseBudget(self.clock.now())
         self.writer = BufferedSocketWriter(sock, self.clock)
-        self.messages = MessageStream(self.clock)
+        self.message_stream = MessageStream(self.clock)
         self.task = owner.loop.spawn(self._run())
 
     @property
     def idle(self) -> bool:
         """Whether no request is open and no answer unsent."""
-        return not self.open_numbers and not self.writer.unsent
+        return not self.open_request_numbers and not self.writer.unsent
 
     @property
     def has_partial_message(self) -> bool:
         """Whether the beginning of a message was read but not its end."""
-        return bool(self.messages.partial_message)
+        return bool(self.message_stream.partial_message)
 
     @property
     def unsent_bytes(self) -> int:
@@ -101,7 +101,7 @@
 
     def write(self, data: bytes) -> None:
         """Send what the socket takes and buffer the rest; a connection that takes too little is aborted."""
-        if self.closing_at_once:
+        if self.closing_immediately:
             return
         try:
             self.writer.write(data)
@@ -119,7 +119,7 @@
 
     def abort(self) -> None:
         """Close at once, in the loop's next round."""
-        self.closing_at_once = True
+        self.closing_immediately = True
         self._owner.loop.wake(self.task)
 
     def close_gracefully(self) -> None:
@@ -136,11 +136,11 @@
         was written, and a close would lose it.
         """
         try:
-            if not self.closing_at_once and not self.closing_gracefully and not self._read():
+            if not self.closing_immediately and not self.closing_gracefully and not self._read():
                 self.closing_gracefully = True
         except OSError:
-            self.closing_at_once = True
-        if self.closing_at_once or self.closing_gracefully:
+            self.closing_immediately = True
+        if self.closing_immediately or self.closing_gracefully:
             self._owner.loop.wake(self.task)
 
     def _read(self) -> bool:
@@ -151,11 +151,11 @@
             return True
         if not data:
             return False
-        invalid = self.messages.feed(data, self._handle)
+        invalid = self.message_stream.feed(data, self._handle)
         if invalid is not None:
             reject_invalid(self, invalid)
             self.closing_gracefully = True
-        elif self.messages.partial_message and not self.open_numbers:
+        elif self.message_stream.partial_message and not self.open_request_numbers:
             # A request is arriving in pieces: silent connections are evicted before this one.
             self.mark_active()
         return True
@@ -163,13 +163,13 @@
     def _handle(self, message: DecodedMessage) -> bool:
         """Handle a message; return whether the next one is to be read."""
         handle_message(self, message)
-        return not self.closing_at_once and not self.closing_gracefully
+        return not self.closing_immediately and not self.closing_gracefully
 
     # The connection's task.
 
     def _run(self) -> Coroutine:
         try:
-            while not self.closing_at_once and not self.closing_gracefully:
+            while not self.closing_immediately and not self.closing_gracefully:
                 reads = len(self.writer.unsent) < UNSENT_PAUSE_BYTES
                 mask = (READABLE if reads else 0) | (WRITABLE if self.writer.unsent else 0)
                 ready = yield Wait(self.sock.fileno(), mask)
@@ -179,24 +179,26 @@
                         self.mark_active()
                 if (
                     ready & (READABLE | HANGUP)
-                    and not self.closing_at_once
+                    and not self.closing_immediately
                     and not self.closing_gracefully
                     and not self._read()
                 ):
                     self.closing_gracefully = True
             logger.debug(
-                "balancer connection {}: closes, {} requests open", self.number, len(self.open_numbers)
+                "balancer connection {}: closes, {} requests open",
+                self.number,
+                len(self.open_request_numbers),
             )
             self._fail_open_requests()
             yield from lingering_close(self, self.clock)
         except OSError as error:
             logger.debug("balancer connection {}: {}", self.number, error)
         finally:
-            self.closing_at_once = True
+            self.closing_immediately = True
             self._owner.connection_closed(self)
 
     def _fail_open_requests(self) -> None:
         """Answer the open requests as failed, for the connection's end must not leave them unanswered."""
-        for number in sorted(self.open_numbers):
+        for number in sorted(self.open_request_numbers):
             self.write(encode(number, effects.Failed(), None))
         self._owner.cancel_open_requests(self)
--- a/snowthread/frontends/balancers/eviction.py
+++ b/snowthread/frontends/balancers/eviction.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator, Mapping
 
 from snowthread.frontends.balancers.connection import BalancerConnection
-from snowthread.net.limits import FRESH_IDLE_MS
+from snowthread.net.limits import MIN_IDLE_BEFORE_EVICTION_MS
 
 
 def eviction_candidates(
@@ -25,7 +25,7 @@
     """
     with_partial_message: list[BalancerConnection] = []
     for number, since_ms in list(idle_since_ms.items()):
-        if now_ms - since_ms < FRESH_IDLE_MS:
+        if now_ms - since_ms < MIN_IDLE_BEFORE_EVICTION_MS:
             break
         connection = connections.get(number)
         if connection is None:
@@ -40,7 +40,7 @@
         if connection.idle and not connection.has_partial_message and connection.farewell_at_ms < math.inf
     ]
     for connection in after_farewell:
-        if connection.farewell_at_ms + FRESH_IDLE_MS <= now_ms:
+        if connection.farewell_at_ms + MIN_IDLE_BEFORE_EVICTION_MS <= now_ms:
             yield connection
     if not after_farewell:
         yield from with_partial_message
--- a/snowthread/frontends/balancers/lingering_close.py
+++ b/snowthread/frontends/balancers/lingering_close.py
@@ -22,7 +22,7 @@
 
     sock: socket.socket
     writer: BufferedSocketWriter
-    closing_at_once: bool  # or closed already
+    closing_immediately: bool  # or closed already
 
 
 def lingering_close(connection: ClosingConnection, clock: Clock) -> Coroutine:
@@ -31,7 +31,7 @@
     deadline_ms = clock.now() + LINGERING_CLOSE_TIMEOUT_MS
     discard_bytes_left = DISCARD_MAX_BYTES
     is_shut_down = False
-    while not connection.closing_at_once and (writer.unsent or discard_bytes_left > 0):
+    while not connection.closing_immediately and (writer.unsent or discard_bytes_left > 0):
         if not writer.unsent and not is_shut_down:
             is_shut_down = True
             connection.sock.shutdown(socket.SHUT_WR)
--- a/snowthread/frontends/balancers/message_handler.py
+++ b/snowthread/frontends/balancers/message_handler.py
@@ -32,7 +32,7 @@
 
     number: int
     clock: Clock
-    open_numbers: set[int]  # messages that are still to be answered
+    open_request_numbers: set[int]  # messages that are still to be answered
     abuse_budget: AbuseBudget
     closing_gracefully: bool  # nothing more is read
 
@@ -53,21 +53,21 @@
     elif isinstance(message, CancelMessage):
         _cancel(connection, message.number)
     elif isinstance(message, HealthCheckMessage):
-        if message.number in connection.open_numbers:
+        if message.number in connection.open_request_numbers:
             _reject_reused_number(connection, message.number)
         else:
-            connection.open_numbers.add(message.number)
+            connection.open_request_numbers.add(message.number)
             connection.post(events.HealthCheckReceived((connection.number, message.number)))
     else:
         reject_invalid(connection, message)
 
 
 def _handle_request(connection: MessageConnection, message: RequestMessage) -> None:
-    open_numbers = connection.open_numbers
-    if message.number in open_numbers:
+    open_request_numbers = connection.open_request_numbers
+    if message.number in open_request_numbers:
         _reject_reused_number(connection, message.number)
         return
-    if len(open_numbers) >= MAX_OPEN_REQUESTS:
+    if len(open_request_numbers) >= MAX_OPEN_REQUESTS:
         reject_invalid(connection, InvalidMessage(message.number, Violation.TOO_MANY_OPEN_REQUESTS))
         connection.closing_gracefully = True
         return
@@ -75,14 +75,14 @@
     if isinstance(request, InvalidMessage):
         reject_invalid(connection, request)
         return
-    open_numbers.add(message.number)
+    open_request_numbers.add(message.number)
     connection.mark_active()
     connection.post(request)
 
 
 def _reject_reused_number(connection: MessageConnection, number: int) -> None:
     """Cancel the open request and close: an answer would be taken for either, so none is given."""
-    connection.open_numbers.discard(number)
+    connection.open_request_numbers.discard(number)
     connection.post(events.RequestCancelled((connection.number, number)))
     reject_invalid(connection, InvalidMessage(None, Violation.NUMBER_IN_USE))
 
@@ -93,8 +93,8 @@
     Without an answer a client that cancels all its requests would never receive anything. Cancellations are
     charged to the abuse budget, so a client that does nothing else is disconnected.
     """
-    if number in connection.open_numbers:
-        connection.open_numbers.discard(number)
+    if number in connection.open_request_numbers:
+        connection.open_request_numbers.discard(number)
         connection.write(encode(number, effects.Failed(), None))
         connection.post(events.RequestCancelled((connection.number, number)))
         connection.mark_active()
--- a/snowthread/frontends/balancers/message_stream.py
+++ b/snowthread/frontends/balancers/message_stream.py
@@ -10,7 +10,7 @@
 
 import msgpack
 
-from snowthread.frontends.balancers.codec import decode, number_of_unreadable
+from snowthread.frontends.balancers.codec import decode, request_number_from_prefix
 from snowthread.frontends.balancers.framing import (
     MAX_MESSAGE_BYTES,
     announces_oversized_value,
@@ -70,4 +70,4 @@
 
 
 def _unreadable(rest: bytes, reason: str) -> InvalidMessage:
-    return InvalidMessage(number_of_unreadable(rest), Violation.UNREADABLE, reason)
+    return InvalidMessage(request_number_from_prefix(rest), Violation.UNREADABLE, reason)
--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -18,15 +18,15 @@
 from snowthread.frontends.balancers.connection import BalancerConnection
 from snowthread.frontends.balancers.eviction import eviction_candidates
 from snowthread.frontends.balancers.sweeper import FAREWELL_TIMEOUT_MS, ConnectionSweeper
-from snowthread.net.limits import IDLE_CONNECTIONS_RATIO, SWEEP_INTERVAL_MS
+from snowthread.net.limits import MAX_IDLE_CONNECTIONS_RATIO, SWEEP_INTERVAL_MS
 from snowthread.net.listening import adopt_listener, open_listener
 from snowthread.net.loop import Coroutine, EventLoop, Wait
 
 MIN_CONNECTION_LIMIT = 8  # connections that are allowed however low the limit is set
 
 # Types of responses, in tuples: a union written where it is used is made anew for each response.
-_REFUNDING = (effects.Served, effects.Rejected)
-_WITHOUT_RESULT = (effects.Rejected, effects.Failed)
+_RESPONSES_THAT_REFUND = (effects.Served, effects.Rejected)
+_RESPONSES_WITHOUT_RESULT = (effects.Rejected, effects.Failed)
 
 
 class BalancerServer:
@@ -93,7 +93,7 @@
     def set_max_connections(self, max_connections: int) -> None:
         """Limit the connections from now on; what is above the limit is evicted as new ones come."""
         self._max_connections = max(MIN_CONNECTION_LIMIT, max_connections)
-        self._sweeper.max_idle_connections = int(self._max_connections * IDLE_CONNECTIONS_RATIO)
+        self._sweeper.max_idle_connections = int(self._max_connections * MAX_IDLE_CONNECTIONS_RATIO)
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
         """Send a farewell to connections that are idle for this long, from now on."""
@@ -128,7 +128,7 @@
 
     def _close_now(self, connection: BalancerConnection) -> None:
         """Close within this round of the loop, because the descriptor is needed."""
-        connection.closing_at_once = True
+        connection.closing_immediately = True
         self.loop.end_task(connection.task)
         if connection.number in self._connections:  # a task that never ran does not call connection_closed
             self.connection_closed(connection)
@@ -138,7 +138,7 @@
     def mark_active(self, connection: BalancerConnection) -> None:
         """Restart the connection's idle time, or note that it is busy."""
         self._idle_since_ms.pop(connection.number, None)
-        if connection.idle and not connection.closing_at_once:
+        if connection.idle and not connection.closing_immediately:
             self._idle_since_ms[connection.number] = self.loop.clock.now()
 
     def connection_closed(self, connection: BalancerConnection) -> None:
@@ -150,9 +150,9 @@
 
     def cancel_open_requests(self, connection: BalancerConnection) -> None:
         """Post that nobody waits for the connection's open requests any more."""
-        for number in sorted(connection.open_numbers):
+        for number in sorted(connection.open_request_numbers):
             self.post(events.RequestCancelled((connection.number, number)))
-        connection.open_numbers.clear()
+        connection.open_request_numbers.clear()
 
     # Answers.
 
@@ -160,15 +160,15 @@
         """Send an answer, if its connection is open and the request unanswered."""
         connection_number, number = effect.response_address
         connection = self._connections.get(connection_number)
-        if connection is None or number not in connection.open_numbers:
+        if connection is None or number not in connection.open_request_numbers:
             return
-        connection.open_numbers.discard(number)
-        if isinstance(effect.response, _REFUNDING):
+        connection.open_request_numbers.discard(number)
+        if isinstance(effect.response, _RESPONSES_THAT_REFUND):
             connection.abuse_budget.refund()
-        if isinstance(effect.response, _WITHOUT_RESULT):
-            _log_without_result(effect.response)
+        if isinstance(effect.response, _RESPONSES_WITHOUT_RESULT):
+            _log_response_without_result(effect.response)
         connection.write(encode(number, effect.response, effect.load_report))
-        if self._releasing and not connection.open_numbers:
+        if self._releasing and not connection.open_request_numbers:
             connection.send_farewell()
         self.mark_active(connection)
 
@@ -227,7 +227,7 @@
             connection.read_pending()
 
 
-def _log_without_result(response: effects.Rejected | effects.Failed) -> None:
+def _log_response_without_result(response: effects.Rejected | effects.Failed) -> None:
     """Log, as a detail, which request gets no result, and why."""
     request = response.attempt_id or "without an id"
     if isinstance(response, effects.Failed):
--- a/snowthread/frontends/balancers/sweeper.py
+++ b/snowthread/frontends/balancers/sweeper.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping, MutableMapping
 
 from snowthread.frontends.balancers.connection import BalancerConnection
-from snowthread.net.limits import FRESH_IDLE_MS, SINGLE_USE_IDLE_MS, is_timed_out
+from snowthread.net.limits import MIN_IDLE_BEFORE_EVICTION_MS, SINGLE_MESSAGE_IDLE_TIMEOUT_MS, is_timed_out
 
 FAREWELL_TIMEOUT_MS = 1000.0  # a connection still idle this long after its farewell is closed
 
@@ -51,7 +51,7 @@
         """Return whether the peer made the node wait too long, or stayed idle after its farewell."""
         if is_timed_out(
             now_ms,
-            connection.messages.incomplete_since_ms(),
+            connection.message_stream.incomplete_since_ms(),
             connection.writer.stalled_since_ms,
             connection.has_partial_message,
         ):
@@ -88,18 +88,20 @@
                 continue  # a request is arriving in pieces
             if (
                 idle_ms >= self.idle_timeout_ms
-                or (connection.messages.messages_read == 1 and idle_ms >= SINGLE_USE_IDLE_MS)
-                or (excess > 0 and idle_ms >= FRESH_IDLE_MS)
+                or (
+                    connection.message_stream.messages_read == 1 and idle_ms >= SINGLE_MESSAGE_IDLE_TIMEOUT_MS
+                )
+                or (excess > 0 and idle_ms >= MIN_IDLE_BEFORE_EVICTION_MS)
             ):
                 excess -= 1
                 del self._idle_since_ms[number]
                 connection.send_farewell()
-            elif idle_ms < FRESH_IDLE_MS:
+            elif idle_ms < MIN_IDLE_BEFORE_EVICTION_MS:
                 break
 
 
 def _close_expired(connection: BalancerConnection) -> None:
-    if connection.open_numbers and not connection.unsent_bytes:
+    if connection.open_request_numbers and not connection.unsent_bytes:
         connection.close_gracefully()
     else:
         connection.abort()
--- a/snowthread/net/limits.py
+++ b/snowthread/net/limits.py
@@ -13,26 +13,28 @@
 FIRST_BYTE_TIMEOUT_MS = 1800.0  # the longest wait for the first byte of a message
 PARTIAL_MESSAGE_TIMEOUT_MS = 3000.0  # and for the rest of one that has begun: slow peers write one over 2 s
 WRITE_STALL_TIMEOUT_MS = 3000.0  # the longest time in which a peer may read nothing of what it is sent
-SINGLE_USE_IDLE_MS = 3000.0  # a connection that carried one message is closed after idling this long
-FRESH_IDLE_MS = 250.0  # one idle for less may have a request on its way: it is not evicted
-IDLE_CONNECTIONS_RATIO = 0.5  # of the connection limit: of more idle ones the longest idle are closed
+SINGLE_MESSAGE_IDLE_TIMEOUT_MS = (
+    3000.0  # a connection that carried one message is closed after idling this long
+)
+MIN_IDLE_BEFORE_EVICTION_MS = 250.0  # one idle for less may have a request on its way: it is not evicted
+MAX_IDLE_CONNECTIONS_RATIO = 0.5  # of the connection limit: of more idle ones the longest idle are closed
 
 ABUSE_TOKENS_MAX = 48.0  # messages without use that a peer may send at once
 ABUSE_TOKENS_PER_S = 24.0  # and those that it may send in the long run
 
 BYTES_PER_MB = 2**20
-RESULTS_DIVISOR = 8  # one part in this many of the memory is for cached results
-UNSENT_DIVISOR = 16  # and one in this many for answers that peers have not read yet
+RESULT_CACHE_MEMORY_DIVISOR = 8  # one part in this many of the memory is for cached results
+UNSENT_MEMORY_DIVISOR = 16  # and one in this many for answers that peers have not read yet
 
 
 def max_result_bytes(memory_mb: float) -> int:
     """Return how many bytes of results may be cached for retries."""
-    return int(memory_mb * BYTES_PER_MB) // RESULTS_DIVISOR
+    return int(memory_mb * BYTES_PER_MB) // RESULT_CACHE_MEMORY_DIVISOR
 
 
 def max_unsent_bytes(memory_mb: float) -> int:
     """Return how many bytes of answers may wait for all peers together."""
-    return int(memory_mb * BYTES_PER_MB) // UNSENT_DIVISOR
+    return int(memory_mb * BYTES_PER_MB) // UNSENT_MEMORY_DIVISOR
 
 
 def is_timed_out(
--- a/snowthread/node/descriptors.py
+++ b/snowthread/node/descriptors.py
@@ -33,7 +33,7 @@
         remaining = total - database_calls - RESERVED_DESCRIPTORS
         return cls(database_calls, max(BALANCER_CONNECTIONS_MIN, remaining))
 
-    def balancer_connections_beside(self, peer_descriptors: int) -> int:
+    def balancer_connections_with_peer(self, peer_descriptors: int) -> int:
         """Return the most balancer connections while a peer process has so many descriptors open.
 
         Both processes of a node share its limit. Descriptors that the reserve covers are not subtracted.
--- a/snowthread/node/hot_restart_effects.py
+++ b/snowthread/node/hot_restart_effects.py
@@ -57,4 +57,4 @@
             self._balancers.send_farewell_to_all()
 
     def _reserve_descriptors(self, effect: effects.ReserveDescriptors) -> None:
-        self._balancers.set_max_connections(self._descriptors.balancer_connections_beside(effect.count))
+        self._balancers.set_max_connections(self._descriptors.balancer_connections_with_peer(effect.count))
--- a/snowthread/node/signals.py
+++ b/snowthread/node/signals.py
@@ -48,7 +48,7 @@
         signal.set_wakeup_fd(writer.fileno())
         signal.signal(signal.SIGHUP, _ignore)
         for number in SHUTDOWN_SIGNALS:
-            signal.signal(number, self._note_shutdown_signal)
+            signal.signal(number, self._record_shutdown_signal)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
         self._loop.spawn(self._run(reader))
 
@@ -64,7 +64,7 @@
         for number in BLOCKED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
-    def _note_shutdown_signal(self, *_: object) -> None:
+    def _record_shutdown_signal(self, *_: object) -> None:
         """Note when a signal to shut down came.
 
         The loop may be late to read of it, and the termination grace period counts from the signal.
--- a/tests/frontends/test_balancer_codec.py
+++ b/tests/frontends/test_balancer_codec.py
@@ -16,7 +16,7 @@
     RESPONSE_KIND,
     decode,
     encode,
-    number_of_unreadable,
+    request_number_from_prefix,
 )
 from snowthread.frontends.balancers.framing import (
     MAX_CONTAINER_ITEMS,
@@ -172,14 +172,14 @@
 @settings(max_examples=300, deadline=None)
 def test_no_bytes_raise_an_error(data: bytes) -> None:
     announces_oversized_value(data)
-    number = number_of_unreadable(data)
+    number = request_number_from_prefix(data)
     assert number is None or 0 <= number < 2**32
 
 
 def test_number_of_an_unreadable_request_is_found() -> None:
     message = msgpack.packb([REQUEST_KIND, 4_000_000_000, "match", [{}, b"x"]])
-    assert number_of_unreadable(message[:8]) == 4_000_000_000
-    assert number_of_unreadable(message[:5]) is None
+    assert request_number_from_prefix(message[:8]) == 4_000_000_000
+    assert request_number_from_prefix(message[:5]) is None
 
 
 @pytest.mark.parametrize(
--- a/tests/node/test_idle_connections.py
+++ b/tests/node/test_idle_connections.py
@@ -11,7 +11,7 @@
 
 from snowthread.frontends.balancers.server import MIN_CONNECTION_LIMIT
 from snowthread.frontends.balancers.sweeper import FAREWELL_TIMEOUT_MS
-from snowthread.net.limits import FIRST_BYTE_TIMEOUT_MS, FRESH_IDLE_MS, SWEEP_INTERVAL_MS
+from snowthread.net.limits import FIRST_BYTE_TIMEOUT_MS, MIN_IDLE_BEFORE_EVICTION_MS, SWEEP_INTERVAL_MS
 
 
 def test_request_unread_at_the_end_of_the_farewell_period_is_served(harness: NodeHarness) -> None:
@@ -34,7 +34,7 @@
 def test_request_unread_on_the_connection_that_would_be_evicted_is_served(harness: NodeHarness) -> None:
     harness.node.balancers.set_max_connections(MIN_CONNECTION_LIMIT)
     harness.connect(*(str(n) for n in range(MIN_CONNECTION_LIMIT)))
-    harness.clock.now_ms += FRESH_IDLE_MS
+    harness.clock.now_ms += MIN_IDLE_BEFORE_EVICTION_MS
     new = socket.create_connection(harness.node.balancers.address)  # before the request is sent
     harness.send("0", request(1, "match"))
     serve_request(harness, "0", 1, 1)
@@ -90,7 +90,7 @@
     harness.settle()
     first, second = (socket.create_connection(balancers.address) for _ in range(2))
     assert balancers.acceptor.accept_pending(1)
-    harness.clock.now_ms += FRESH_IDLE_MS
+    harness.clock.now_ms += MIN_IDLE_BEFORE_EVICTION_MS
     assert balancers.acceptor.accept_pending(1)
     assert balancers.count() == MIN_CONNECTION_LIMIT
     unpacker = msgpack.Unpacker()
--- a/tests/node/test_response_log.py
+++ b/tests/node/test_response_log.py
@@ -30,7 +30,7 @@
     harness.send("1", request(1, "dispense", once="k1"))
     harness.settle()
     (connection,) = harness.node.balancers._connections.values()
-    assert connection.open_numbers == {1}
+    assert connection.open_request_numbers == {1}
     logged: list[str] = []
     sink = logger.add(lambda message: logged.append(message.record["message"]), level="DEBUG")
     try:
