--- a/snowthread/frontends/balancers/acceptor.py
+++ b/snowthread/frontends/balancers/acceptor.py
@@ -1,6 +1,6 @@
-"""Accepting balancers' connections from the listening socket.
+"""Accepts balancers' connections from the listening socket.
 
-It knows the open connections only as :class:`ConnectionTable`; the server implements that.
+The acceptor knows the open connections only through :class:`ConnectionTable`, which the server implements.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from snowthread.net.listening import has_pending_connection
 from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
-LISTEN_BACKLOG = 1024  # connections that the kernel queues until they are accepted
-ACCEPTS_PER_ROUND = 64  # connections accepted in one round of the loop
-ACCEPT_PAUSE_MS = 50.0  # pause in accepting where no connection can be accepted
+LISTEN_BACKLOG = 1024  # connections that the kernel queues until the node accepts them
+ACCEPTS_PER_ROUND = 64  # most connections accepted in one round of the event loop
+ACCEPT_PAUSE_MS = 50.0  # delay before accepting again when the table is full or resources ran out
 
 _OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class ConnectionTable(Protocol):
-    """What the acceptor needs of the open connections."""
+    """The table of open connections, as the acceptor uses it."""
 
     def is_full(self) -> bool:
-        """Return whether a new connection is above the limit."""
+        """Return whether the connection limit is reached."""
 
     def evict_idle_connection(self) -> bool:
-        """Close an idle connection; return False where there is none that may be closed."""
+        """Close one idle connection; return False if none may be closed."""
 
     def add_connection(self, sock: socket.socket) -> None:
-        """Take over an accepted connection."""
+        """Add an accepted connection to the table."""
 
 
 class ConnectionAcceptor:
-    """Owns the listening socket."""
+    """Owns the listening socket and accepts connections from it."""
 
     def __init__(self, loop: EventLoop, listener: socket.socket, table: ConnectionTable) -> None:
         self._loop = loop
@@ -46,10 +46,10 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where connections are accepted.
+        """The host and port on which the server listens.
 
         Raises:
-            ValueError: it has stopped.
+            ValueError: the listening socket is closed.
         """
         if self._listener is None:
             raise ValueError("the server no longer listens")
@@ -58,12 +58,12 @@
 
     @property
     def paused(self) -> bool:
-        """Whether new connections are left to another process."""
+        """Whether accepting is paused, so that another process accepts new connections."""
         return self._paused
 
     @property
     def stopped(self) -> bool:
-        """Whether the listening socket was closed."""
+        """Whether the listening socket is closed."""
         return self._listener is None
 
     def _run(self) -> Coroutine:
@@ -73,10 +73,10 @@
                 yield Wait(until_ms=self._loop.clock.now() + ACCEPT_PAUSE_MS)
 
     def accept_pending(self, max_accepts: int) -> bool:
-        """Accept pending connections; return False where none can be accepted for now.
+        """Accept up to ``max_accepts`` pending connections; return False if accepting must wait.
 
-        Where the table is full, an idle connection is evicted for each new one: connections that send nothing
-        must not keep out those that have a request.
+        When the table is full, one idle connection is evicted for each new one, so that connections that send
+        nothing do not block those that have a request.
         """
         for _ in range(max_accepts):
             if self._listener is None:
@@ -92,14 +92,14 @@
                 return True
             except OSError as error:
                 if error.errno in _OUT_OF_RESOURCES:
-                    logger.warning("balancers: accept: {}", error)
+                    logger.warning("balancers: accept() failed, retrying shortly: {}", error)
                     return False
-                continue  # the peer has closed this connection already
+                continue  # the peer has closed this connection before it was accepted
             self._table.add_connection(sock)
         return True
 
     def pause(self) -> None:
-        """Accept nothing for now: pending connections belong to another process."""
+        """Stop accepting until :meth:`resume`: another process accepts the pending connections."""
         self._paused = True
         self._loop.wake(self._task)
 
@@ -109,7 +109,7 @@
         self._loop.wake(self._task)
 
     def stop(self) -> None:
-        """Close the listening socket: connections are refused from now on."""
+        """Close the listening socket; later connection attempts are refused."""
         if self._listener is not None:
             self._loop.close(self._listener)
             self._listener = None
--- a/snowthread/frontends/balancers/codec.py
+++ b/snowthread/frontends/balancers/codec.py
@@ -1,6 +1,7 @@
-"""The balancers' protocol, MessagePack-RPC: decodes unpacked messages and encodes answers.
+"""MessagePack-RPC codec for load balancers: decodes unpacked messages and encodes answers.
 
-Sans-I/O. :mod:`.framing` limits what is unpacked, :mod:`.messages` has the types that :func:`decode` returns.
+Sans-I/O. :mod:`.framing` limits what is unpacked; :mod:`.messages` defines the types that :func:`decode`
+returns.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
     Violation,
 )
 
-# Message kinds of MessagePack-RPC: the first element of each message.
+# Message types of MessagePack-RPC, which are the first element of each message.
 REQUEST_KIND = 0  # [kind, number, method, arguments]
 RESPONSE_KIND = 1  # [kind, number, error, result]
 NOTIFICATION_KIND = 2  # [kind, method, arguments]
 REQUEST_ELEMENTS = 4
 NOTIFICATION_ELEMENTS = 3
-MIN_ELEMENTS = 2  # a kind and a number or a method
-REQUEST_ARGUMENTS = 2  # the fields and the body
+MIN_ELEMENTS = 2  # the kind, then a number or a method
+REQUEST_ARGUMENTS = 2  # the map of fields and the body
 
 CANCEL_METHOD = "cancel"
 FAREWELL_METHOD = "farewell"
@@ -38,14 +39,14 @@
 FAILED_ERROR = "Failed"
 
 MAX_BODY_BYTES = 2 * 1024
-NUMBER_PREFIX_BYTES = 16  # enough for the head, the kind and the number of a message
+NUMBER_PREFIX_BYTES = 16  # enough for a message's array header, kind and number
 
 FAREWELL: bytes = msgpack.packb([NOTIFICATION_KIND, FAREWELL_METHOD, []])
-"""Asks the peer to send nothing new on this connection and to close it."""
+"""The farewell notification: asks the peer to send no new request on this connection and to close it."""
 
 
 def decode(message: object) -> DecodedMessage:
-    """Return what an unpacked message says."""
+    """Return an unpacked message as a typed value: an :class:`InvalidMessage` if it breaks the protocol."""
     if not isinstance(message, (list, tuple)) or len(message) < MIN_ELEMENTS:
         return InvalidMessage(None, Violation.NOT_A_MESSAGE)
     if (
@@ -89,7 +90,10 @@
 
 
 def request_number_from_prefix(start: bytes) -> int | None:
-    """Return the number of a request whose rest cannot be read, from its first bytes."""
+    """Return the number of a request from its first bytes, or None if they are not the start of a request.
+
+    The rest of the request may be unreadable: with its number the request can still be answered.
+    """
     unpacker = unpacker_for_read()
     unpacker.feed(start[:NUMBER_PREFIX_BYTES])
     try:
@@ -106,7 +110,7 @@
     response: effects.Served | effects.Rejected | effects.Failed | effects.HealthStatus,
     load_report: float | None,
 ) -> bytes:
-    """Return the bytes of the answer to message ``number``.
+    """Return the bytes of the answer to the request ``number``.
 
     ============  ===========================  =====================
     response      error                        result
@@ -117,8 +121,8 @@
     Failed        Failed, fields               nil
     ============  ===========================  =====================
 
-    The fields are ``say`` (the load report), and of a rejected request ``after`` (milliseconds until a retry
-    makes sense) and ``last`` (another node would reject it too).
+    The fields are ``say`` (the load report) and, for a rejected request, ``after`` (milliseconds to wait
+    before a retry) and ``last`` (another node would reject the request too).
     """
     fields: dict[str, str] = {} if load_report is None else {"say": f"{load_report:.6g}"}
     error: list[Any] | None = None
--- a/snowthread/frontends/balancers/connection.py
+++ b/snowthread/frontends/balancers/connection.py
@@ -1,8 +1,8 @@
-"""One balancer's connection: its socket, its task and the state that the server asks for.
+"""One balancer's connection: its socket, its task and the state that the server reads.
 
-Its parts have modules of their own: :mod:`.message_stream` (bytes to messages), :mod:`.message_handler`
-(messages to events), :mod:`.socket_writer` (answers to the socket) and :mod:`.lingering_close`. It knows its
-owner only as :class:`ConnectionOwner`; the server implements that.
+It delegates to :mod:`.message_stream` (bytes to messages), :mod:`.message_handler` (messages to events),
+:mod:`.socket_writer` (answers to the socket) and :mod:`.lingering_close`. It knows its owner only through
+:class:`ConnectionOwner`, which the server implements.
 """
 
 from __future__ import annotations
@@ -25,27 +25,27 @@
 from snowthread.net.limits import AbuseBudget
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, EventLoop, Wait
 
-UNSENT_PAUSE_BYTES = 32 * 1024  # nothing is read while the peer has left this much of its answers
+UNSENT_PAUSE_BYTES = 32 * 1024  # reading pauses while this many bytes of answers are unsent
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the server that accepted it."""
+    """The server that accepted a connection, as the connection uses it."""
 
     loop: EventLoop
     post: Callable[[events.Event], None]
 
     def mark_active(self, connection: BalancerConnection) -> None:
-        """Restart the connection's idle time, or note that it is busy."""
+        """Restart the connection's idle time if it is idle, else record that it is busy."""
 
     def connection_closed(self, connection: BalancerConnection) -> None:
-        """Close the socket and forget the connection."""
+        """Close the socket, remove the connection and cancel its open requests."""
 
     def cancel_open_requests(self, connection: BalancerConnection) -> None:
-        """Post that nobody waits for the connection's open requests."""
+        """Post a cancellation of each open request: its client no longer waits for the answer."""
 
 
 class BalancerConnection:
-    """One balancer's connection: its open requests and the answers that the peer has not taken yet."""
+    """One balancer's connection: its open requests and the answers that are not sent yet."""
 
     __slots__ = (
         "_owner",
@@ -69,10 +69,10 @@
         self.number = number
         self.clock = owner.loop.clock
         self.post = owner.post
-        self.open_request_numbers: set[int] = set()  # messages that are still to be answered
+        self.open_request_numbers: set[int] = set()  # numbers of the requests that are not answered yet
         self.farewell_at_ms = math.inf
         self.closing_immediately = False  # failed, evicted or closed: nothing more is read or sent
-        self.closing_gracefully = False  # nothing more is read; what is unsent is sent first
+        self.closing_gracefully = False  # no more messages are read; unsent answers are sent first
         self.abuse_budget = AbuseBudget(self.clock.now())
         self.writer = BufferedSocketWriter(sock, self.clock)
         self.message_stream = MessageStream(self.clock)
@@ -80,27 +80,30 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no request is open and no answer unsent."""
+        """Whether no request is open and no answer is unsent."""
         return not self.open_request_numbers and not self.writer.unsent
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether the beginning of a message was read but not its end."""
+        """Whether a message has been read only in part."""
         return bool(self.message_stream.partial_message)
 
     @property
     def unsent_bytes(self) -> int:
-        """How many bytes of answers the peer has not taken."""
+        """The number of bytes of answers that are buffered because the peer has not read them."""
         return len(self.writer.unsent)
 
     def mark_active(self) -> None:
-        """Restart the idle time, or note that the connection is busy."""
+        """Restart the idle time if the connection is idle, else record that it is busy."""
         self._owner.mark_active(self)
 
     # Writing and closing.
 
     def write(self, data: bytes) -> None:
-        """Send what the socket takes and buffer the rest; a connection that takes too little is aborted."""
+        """Send what the socket accepts and buffer the rest.
+
+        The connection is aborted if more than the limit is buffered or the socket fails.
+        """
         if self.closing_immediately:
             return
         try:
@@ -112,28 +115,28 @@
             self._owner.loop.wake(self.task)
 
     def send_farewell(self) -> None:
-        """Ask the peer, once, to send nothing new here and to close."""
+        """Ask the peer, at most once, to send no new request on this connection and to close it."""
         if self.farewell_at_ms == math.inf and not self.closing_gracefully:
             self.farewell_at_ms = self.clock.now()
             self.write(FAREWELL)
 
     def abort(self) -> None:
-        """Close at once, in the loop's next round."""
+        """Close without sending what is unsent, in the next round of the event loop."""
         self.closing_immediately = True
         self._owner.loop.wake(self.task)
 
     def close_gracefully(self) -> None:
-        """Read nothing more; fail the open requests, send what is unsent and close."""
+        """Stop reading, answer the open requests as failed, send what is unsent, and close."""
         self.closing_gracefully = True
         self._owner.loop.wake(self.task)
 
     # Reading.
 
     def read_pending(self) -> None:
-        """Read what has arrived, before it is decided whether to close the connection.
+        """Read the bytes that have arrived, before a decision whether to close the connection.
 
-        Where the loop was late a complete request may lie unread. It belongs to the node since its last byte
-        was written, and a close would lose it.
+        If the event loop was late, a complete request may be unread in the socket. The node owes an answer to
+        it since its last byte was written, and a close would lose it.
         """
         try:
             if not self.closing_immediately and not self.closing_gracefully and not self._read():
@@ -144,7 +147,7 @@
             self._owner.loop.wake(self.task)
 
     def _read(self) -> bool:
-        """Read once; return False at the end of the stream."""
+        """Read once and handle the complete messages; return False at the end of the stream."""
         try:
             data = self.sock.recv(READ_BYTES)
         except BlockingIOError:
@@ -156,12 +159,12 @@
             reject_invalid(self, invalid)
             self.closing_gracefully = True
         elif self.message_stream.partial_message and not self.open_request_numbers:
-            # A request is arriving in pieces: silent connections are evicted before this one.
+            # A request is arriving in parts: restart its idle time, so that silent ones are evicted first.
             self.mark_active()
         return True
 
     def _handle(self, message: DecodedMessage) -> bool:
-        """Handle a message; return whether the next one is to be read."""
+        """Handle a message; return whether the messages after it are to be handled too."""
         handle_message(self, message)
         return not self.closing_immediately and not self.closing_gracefully
 
@@ -185,20 +188,20 @@
                 ):
                     self.closing_gracefully = True
             logger.debug(
-                "balancer connection {}: closes, {} requests open",
+                "balancer connection {}: closing with {} open requests",
                 self.number,
                 len(self.open_request_numbers),
             )
             self._fail_open_requests()
             yield from lingering_close(self, self.clock)
         except OSError as error:
-            logger.debug("balancer connection {}: {}", self.number, error)
+            logger.debug("balancer connection {}: socket error, closing: {}", self.number, error)
         finally:
             self.closing_immediately = True
             self._owner.connection_closed(self)
 
     def _fail_open_requests(self) -> None:
-        """Answer the open requests as failed, for the connection's end must not leave them unanswered."""
+        """Answer the open requests as failed: every request must be answered before its connection closes."""
         for number in sorted(self.open_request_numbers):
             self.write(encode(number, effects.Failed(), None))
         self._owner.cancel_open_requests(self)
--- a/snowthread/frontends/balancers/eviction.py
+++ b/snowthread/frontends/balancers/eviction.py
@@ -1,6 +1,6 @@
-"""The order in which idle connections are closed where the connection table is full.
+"""The order in which idle connections are closed when the connection table is full.
 
-Pure: the connections and the time are arguments.
+There is no state: the connections and the time are arguments.
 """
 
 from __future__ import annotations
@@ -17,11 +17,13 @@
 ) -> Iterator[BalancerConnection]:
     """Yield the idle connections that may be closed, the best candidate first.
 
-    1. Idle connections, the longest idle first, but none so recent that its request may be on the way.
-    2. Connections that were sent a farewell long enough ago.
-    3. Connections with a partial message, only where no idle connection had a farewell at all.
+    1. Idle connections, the longest idle first, but only after ``MIN_IDLE_BEFORE_EVICTION_MS``: a request may
+       be on its way on one that became idle more recently.
+    2. Idle connections that were sent a farewell at least ``MIN_IDLE_BEFORE_EVICTION_MS`` ago.
+    3. Idle connections with a partial message, only if no idle connection was sent a farewell.
 
-    ``idle_since_ms`` is ordered by time and may change while this is iterated.
+    ``idle_since_ms`` maps connection numbers to the time since which they are idle, the longest idle first;
+    it may change during the iteration.
     """
     with_partial_message: list[BalancerConnection] = []
     for number, since_ms in list(idle_since_ms.items()):
--- a/snowthread/frontends/balancers/framing.py
+++ b/snowthread/frontends/balancers/framing.py
@@ -1,25 +1,25 @@
-"""MessagePack framing: unpackers with limits, and checks of messages that have not arrived completely.
+"""MessagePack framing: unpackers with limits, and size checks of messages that are not complete yet.
 
-Sans-I/O. Nothing here knows what a message means; :mod:`.codec` does.
+Sans-I/O. The meaning of a message is decoded in :mod:`.codec`.
 """
 
 from __future__ import annotations
 
 import msgpack
 
-READ_BYTES = 8 * 1024  # read from one connection per turn of the loop, so that a flood delays no other peer
-MAX_MESSAGE_BYTES = 16 * 1024  # one message: a body and its fields take less
-MAX_CONTAINER_ITEMS = 64  # elements of one list or map
+READ_BYTES = 8 * 1024  # read per connection and round of the loop, so that a flood delays no other peer
+MAX_MESSAGE_BYTES = 16 * 1024  # of one message; a valid request with its body and fields is smaller
+MAX_CONTAINER_ITEMS = 64  # entries of one list or map
 MAX_MESSAGE_NUMBER = 2**32 - 1
 
-# Heads of the MessagePack specification that stand alone in the ranges below.
-FIXSTR_FIRST = 0xA0  # the string's length is the head's distance from this one
+# Format bytes of the MessagePack specification that the checks below compare with.
+FIXSTR_FIRST = 0xA0  # a fixstr's length is its format byte minus this one
 FIXSTR_LAST = 0xBF
-EXT8 = 0xC7  # from here to EXT32 a type byte stands between the length and the data
+EXT8 = 0xC7  # ext 8 to ext 32 have a type byte between the length and the data
 EXT32 = 0xC9
-ARRAY16 = 0xDC  # this head and those above announce items, the lower ones bytes
+ARRAY16 = 0xDC  # from array 16 upwards the length counts items, below it bytes
 
-# Bytes of the big-endian length that follows a head.
+# Size in bytes of the big-endian length field that follows a format byte.
 _LENGTH_FIELD_BYTES = {
     0xC4: 1,  # bin 8
     0xC5: 2,  # bin 16
@@ -36,7 +36,7 @@
     0xDF: 4,  # map 32
 }
 
-# Bytes of the value that follows a head of fixed size.
+# Size in bytes of the value that follows a format byte without a length field.
 _FIXED_VALUE_BYTES = {
     0xCA: 4,  # float 32
     0xCB: 8,  # float 64
@@ -59,9 +59,10 @@
 def unpacker_for_read() -> msgpack.Unpacker:
     """Return an unpacker for the bytes of one read.
 
-    Each read has its own: a partial message is buffered as plain bytes, so hundreds of idle connections have
-    no unpackers. Lengths are checked on the head, before their content is buffered. Strings that are not
-    UTF-8, and map keys of other types, must not end the stream: they only invalidate their own message.
+    Each read uses a new unpacker, and a partial message is buffered as plain bytes, so that hundreds of idle
+    connections hold no unpackers. :func:`announces_oversized_value` checks announced lengths before the
+    content is buffered. Strings that are not UTF-8, and map keys of any type, are accepted here: they must
+    invalidate only their own message, not end the stream.
     """
     return msgpack.Unpacker(
         max_buffer_size=MAX_MESSAGE_BYTES + READ_BYTES,
@@ -79,7 +80,7 @@
 def announces_oversized_value(partial_message: bytes) -> bool:
     """Return whether a partial message announces a value above the limits.
 
-    The heads are read here because msgpack checks a length only when all of it has arrived.
+    This reads the format bytes itself, because msgpack checks a length only once the content has arrived.
     """
     position = 0
     while position < len(partial_message):
@@ -96,18 +97,18 @@
         if length_end <= len(partial_message) and announced > limit:
             return True
         position = length_end
-        if not is_container:  # the items of a container have heads of their own
+        if not is_container:  # the items of a container start with format bytes of their own
             position += announced + (EXT8 <= head <= EXT32)
     return False
 
 
 def _inline_value_bytes(head: int) -> int:
-    """Return the size of the value that follows a head without a length field."""
+    """Return the size in bytes of the value that follows a format byte without a length field."""
     if FIXSTR_FIRST <= head <= FIXSTR_LAST:
         return head - FIXSTR_FIRST
     return _FIXED_VALUE_BYTES.get(head, 0)
 
 
 def is_message_number(value: object) -> bool:
-    """Return whether a value can number a message: an unsigned 32-bit integer."""
+    """Return whether a value is a valid message number, which is an unsigned 32-bit integer."""
     return isinstance(value, int) and not isinstance(value, bool) and 0 <= value <= MAX_MESSAGE_NUMBER
