--- a/snowthread/frontends/balancers/lingering_close.py
+++ b/snowthread/frontends/balancers/lingering_close.py
@@ -1,6 +1,6 @@
-"""The lingering close of a connection: its last answers arrive before it ends.
+"""Lingering close: sends the last answers of a connection, then reads until the peer closes.
 
-Bytes left unread at a close would reset the connection, and the peer would lose the answers with it.
+Closing a socket with unread input resets the connection, and the peer would lose the last answers.
 """
 
 from __future__ import annotations
@@ -13,20 +13,24 @@
 from snowthread.net.clock import Clock
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, Wait
 
-LINGERING_CLOSE_TIMEOUT_MS = 500.0
-DISCARD_MAX_BYTES = 128 * 1024  # read and discarded at most during a lingering close
+LINGERING_CLOSE_TIMEOUT_MS = 500.0  # after this the connection is closed, whatever is unsent or unread
+DISCARD_MAX_BYTES = 128 * 1024  # most input that is discarded during one lingering close
 
 
 class ClosingConnection(Protocol):
-    """What the lingering close needs of a connection."""
+    """A connection, as the lingering close uses it."""
 
     sock: socket.socket
     writer: BufferedSocketWriter
-    closing_immediately: bool  # or closed already
+    closing_immediately: bool  # failed, evicted or closed: the lingering close ends
 
 
 def lingering_close(connection: ClosingConnection, clock: Clock) -> Coroutine:
-    """Send what is unsent, shut down, then read until the peer closes, within limits."""
+    """Send what is unsent, shut down the writing side, and discard input until the peer closes.
+
+    It ends after ``LINGERING_CLOSE_TIMEOUT_MS`` or ``DISCARD_MAX_BYTES`` of input at the latest; the caller
+    closes the socket.
+    """
     writer = connection.writer
     deadline_ms = clock.now() + LINGERING_CLOSE_TIMEOUT_MS
     discard_bytes_left = DISCARD_MAX_BYTES
@@ -46,7 +50,7 @@
 
 
 def _discard_unread(sock: socket.socket, bytes_left: int) -> int:
-    """Read once and return how many bytes may still be discarded: 0 when the peer has closed."""
+    """Read once, discard the input, and return how many more bytes may be discarded: 0 if the peer closed."""
     try:
         size = len(sock.recv(READ_BYTES))
     except BlockingIOError:
--- a/snowthread/frontends/balancers/message_handler.py
+++ b/snowthread/frontends/balancers/message_handler.py
@@ -1,7 +1,8 @@
-"""What a message on a balancer's connection leads to: an event of the core, or an answer at once.
+"""Handles the messages on a balancer's connection: posts an event to the core or answers immediately.
 
-Invalid messages and cancellations are charged to the connection's abuse budget. Functions and not a class, as
-a connection and an object that refers to it would have to be found by the garbage collector.
+Invalid messages and cancellations are charged to the connection's abuse budget. These are functions, not
+methods of a handler object: a connection and a handler that refer to each other would form a reference cycle,
+which only the garbage collector can free.
 """
 
 from __future__ import annotations
@@ -24,26 +25,26 @@
 from snowthread.net.clock import Clock
 from snowthread.net.limits import AbuseBudget
 
-MAX_OPEN_REQUESTS = 32  # on one connection
+MAX_OPEN_REQUESTS = 32  # unanswered requests on one connection; one more closes it
 
 
 class MessageConnection(Protocol):
-    """What handling a message needs of its connection."""
+    """A connection, as the message handlers use it."""
 
     number: int
     clock: Clock
-    open_request_numbers: set[int]  # messages that are still to be answered
+    open_request_numbers: set[int]  # numbers of the requests that are not answered yet
     abuse_budget: AbuseBudget
-    closing_gracefully: bool  # nothing more is read
+    closing_gracefully: bool  # if set, no more messages are read; unsent answers are sent first
 
     def write(self, data: bytes) -> None:
-        """Send an answer."""
+        """Send an encoded answer."""
 
     def post(self, event: events.Event) -> None:
-        """Hand an event to the core."""
+        """Pass an event to the core."""
 
     def mark_active(self) -> None:
-        """Restart the connection's idle time, or note that it is busy."""
+        """Restart the connection's idle time if it is idle, else record that it is busy."""
 
 
 def handle_message(connection: MessageConnection, message: DecodedMessage) -> None:
@@ -81,7 +82,10 @@
 
 
 def _reject_reused_number(connection: MessageConnection, number: int) -> None:
-    """Cancel the open request and close: an answer would be taken for either, so none is given."""
+    """Cancel the open request with this number and close the connection.
+
+    Neither request is answered: the client could not tell to which of the two an answer belongs.
+    """
     connection.open_request_numbers.discard(number)
     connection.post(events.RequestCancelled((connection.number, number)))
     reject_invalid(connection, InvalidMessage(None, Violation.NUMBER_IN_USE))
@@ -90,8 +94,8 @@
 def _cancel(connection: MessageConnection, number: int) -> None:
     """Cancel an open request and answer it as failed.
 
-    Without an answer a client that cancels all its requests would never receive anything. Cancellations are
-    charged to the abuse budget, so a client that does nothing else is disconnected.
+    The answer is sent because a client that cancels all its requests would otherwise never receive anything.
+    Cancellations are charged to the abuse budget, so that a client that only cancels is disconnected.
     """
     if number in connection.open_request_numbers:
         connection.open_request_numbers.discard(number)
@@ -102,11 +106,17 @@
 
 
 def reject_invalid(connection: MessageConnection, message: InvalidMessage) -> None:
-    """Answer an invalid message as failed where its number is known, else close.
+    """Answer an invalid message as failed if its number is known, else close the connection.
 
-    Without a number the stream's requests can't be matched to answers, and what is open on it is failed too.
+    Without the number, answers on this connection can no longer be matched to requests. The close answers the
+    open requests as failed, too.
     """
-    logger.debug("balancer connection {}: {} {}", connection.number, message.violation.value, message.detail)
+    logger.debug(
+        "balancer connection {}: invalid message: {} {}",
+        connection.number,
+        message.violation.value,
+        message.detail,
+    )
     if message.number is None:
         connection.closing_gracefully = True
     else:
--- a/snowthread/frontends/balancers/message_stream.py
+++ b/snowthread/frontends/balancers/message_stream.py
@@ -1,6 +1,6 @@
-"""The stream of messages on one connection: bytes in, decoded messages out. Sans-I/O.
+"""Splits the bytes that arrive on one connection into decoded messages. Sans-I/O.
 
-:mod:`.framing` limits what is buffered and :mod:`.codec` says what a message means.
+:mod:`.framing` limits how much is buffered, and :mod:`.codec` decodes each message.
 """
 
 from __future__ import annotations
@@ -20,30 +20,32 @@
 from snowthread.net.clock import Clock
 
 MessageHandler = Callable[[DecodedMessage], bool]
-"""Handles a message; returns whether the messages after it are to be read, too."""
+"""A function that handles a message and returns whether the messages after it are to be handled, too."""
 
 
 class MessageStream:
-    """Splits what is read into messages, in order, and buffers a partial one."""
+    """Splits the bytes of one connection into messages, in order, and buffers a partial message."""
 
     __slots__ = ("_awaiting_since_ms", "_clock", "messages_read", "partial_message")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._awaiting_since_ms = clock.now()  # the first message, or the rest of a partial one
+        self._awaiting_since_ms = (
+            clock.now()
+        )  # since when the peer owes the first message or the rest of a partial one
         self.messages_read = 0
         self.partial_message = b""
 
     def incomplete_since_ms(self) -> float:
-        """Return since when the rest of a message, or the first message, is missing; infinity: neither is."""
+        """Return the time since which the first message or the rest of one is awaited, else infinity."""
         return self._awaiting_since_ms if self.partial_message or not self.messages_read else math.inf
 
     def feed(self, data: bytes, handle: MessageHandler) -> InvalidMessage | None:
-        """Hand each complete message on and buffer the rest.
+        """Pass each complete message to ``handle`` and buffer the rest.
 
         Returns:
-            Why the stream is unreadable from here on, else None. It is unknown then where the next message
-            starts: a peer that sends this is no balancer.
+            None, or why the stream cannot be decoded any further. The start of the next message is then
+            unknown, and no balancer sends such bytes.
         """
         if self.partial_message:
             data = self.partial_message + data
@@ -62,7 +64,7 @@
         if len(data) - parsed_bytes > MAX_MESSAGE_BYTES or (
             parsed_bytes < len(data) and announces_oversized_value(data[parsed_bytes:])
         ):
-            return _unreadable(data[parsed_bytes:], "a message above the limits")
+            return _unreadable(data[parsed_bytes:], "the message exceeds the size limits")
         if parsed_bytes or not self.partial_message:
             self._awaiting_since_ms = self._clock.now()
         self.partial_message = data[parsed_bytes:] if parsed_bytes else data
--- a/snowthread/frontends/balancers/request_fields.py
+++ b/snowthread/frontends/balancers/request_fields.py
@@ -1,4 +1,4 @@
-"""The fields of a balancer's request: their ranges, and their translation into an event of the core."""
+"""Checks the fields of a balancer's request and converts them into an event of the core."""
 
 from __future__ import annotations
 
@@ -7,20 +7,23 @@
 from snowthread.core import events
 from snowthread.frontends.balancers.messages import InvalidMessage, RequestMessage, Violation
 
-MAX_KEY_CHARACTERS = 256  # idempotency and partition keys: each is remembered for its window
-MAX_TIMEOUT_MS = 600_000.0  # a longer wait is a mistake
-MAX_REQUEST_AGE_MS = 600_000.0  # an older request is a mistake; ages are learned from
-MAX_CLOCK_LEAD_MS = 60_000.0  # how far the peer's clock may be ahead of this node's
-MAX_MEMORY_KB = 2000.0  # exclusive
-MAX_RANK = 1.0  # exclusive
+MAX_KEY_CHARACTERS = 256  # of an idempotency or partition key: the node stores keys for their window
+MAX_TIMEOUT_MS = 600_000.0  # of the field "wait"; a longer timeout is treated as a client's error
+MAX_REQUEST_AGE_MS = (
+    600_000.0  # an older "at" is an error; the node learns from ages, so they must be plausible
+)
+MAX_CLOCK_LEAD_MS = 60_000.0  # how far a request's "at" may be ahead of this node's clock
+MAX_MEMORY_KB = 2000.0  # exclusive upper bound of the field "kb"
+MAX_RANK = 1.0  # exclusive upper bound of the field "rank"
 
 _ATTEMPT_ID = re.compile(r"[0-9a-f]{16}")
-# at, wait, kb, rank and from in plain digits: float() also takes "nan", "1_0" and other scripts' digits.
+# The fields at, wait, kb, rank and from, joined by commas, in plain ASCII digits: float() would also accept
+# "nan", "1_0" and the digits of other scripts.
 _NUMERIC_FIELDS = re.compile(r"(?:[0-9]{1,18}(?:\.[0-9]{1,18})?,){4}[0-9]{1,18}")
 
 
 class FieldError(ValueError):
-    """A field of a request that cannot be used."""
+    """A field of a request is malformed or out of range; ``field`` is its name, ``reason`` says why."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field} {reason}")
@@ -31,7 +34,10 @@
 def parse_request(
     request: RequestMessage, response_address: events.ResponseAddress, now_ms: float
 ) -> events.RequestReceived | InvalidMessage:
-    """Check the fields of a request and return its event, or why it is invalid."""
+    """Return the event of a request whose fields are valid, else an :class:`InvalidMessage`.
+
+    ``now_ms`` is the node's time in Unix milliseconds, with which the field "at" is compared.
+    """
     try:
         return _read_fields(request, response_address, now_ms)
     except (KeyError, ValueError, TypeError, AttributeError) as error:
@@ -41,7 +47,7 @@
 def _read_fields(
     request: RequestMessage, response_address: events.ResponseAddress, now_ms: float
 ) -> events.RequestReceived:
-    """Return the event of a request; an absent field, or one of another type, raises what Python raises.
+    """Return the event of a request; fields that are missing or of a wrong type raise built-in exceptions.
 
     Raises:
         FieldError: a field is malformed or out of range.
@@ -51,19 +57,19 @@
     idempotency_key = fields.get("once")
     partition_key = fields.get("key", "")
     _check_identifiers(attempt_id, idempotency_key, partition_key)
-    wait = fields.get("wait")  # absent where the settings say that deadlines are not passed on
+    wait = fields.get("wait")  # absent if the site's settings say that deadlines are not passed on
     digits = ",".join(
         (fields["at"], "0" if wait is None else wait, fields["kb"], fields["rank"], fields["from"])
     )
     if not _NUMERIC_FIELDS.fullmatch(digits):
-        raise FieldError("at, wait, kb, rank or from", "is not a number")
+        raise FieldError("at, wait, kb, rank or from", "is not a plain decimal number")
     arrived_at_ms, timeout_ms, memory_kb, rank, caller_id = map(float, digits.split(","))
     if not (
         0.0 <= timeout_ms <= MAX_TIMEOUT_MS and 0.0 < memory_kb < MAX_MEMORY_KB and 0.0 <= rank < MAX_RANK
     ):
         raise FieldError("wait, kb or rank", "is out of range")
     if not now_ms - MAX_REQUEST_AGE_MS <= arrived_at_ms <= now_ms + MAX_CLOCK_LEAD_MS:
-        raise FieldError("at", "is too far from the present")
+        raise FieldError("at", "is too old or too far ahead of this node's clock")
     return events.RequestReceived(
         response_address=response_address,
         attempt_id=attempt_id,
@@ -80,13 +86,15 @@
 
 
 def _check_identifiers(attempt_id: str, idempotency_key: str | None, partition_key: str) -> None:
-    """Check the identifiers; the peer may have sent any type, for which the check may raise TypeError, too.
+    """Check the attempt id and the keys.
+
+    The peer may have sent values of any type; an attempt id of another type raises TypeError.
 
     Raises:
         FieldError: an identifier is malformed.
     """
     if not _ATTEMPT_ID.fullmatch(attempt_id):
-        raise FieldError("id", "is not an attempt's id")
+        raise FieldError("id", "is not 16 lower-case hexadecimal digits")
     if type(partition_key) is not str or len(partition_key) > MAX_KEY_CHARACTERS:
         raise FieldError("key", "is not a string or too long")
     if idempotency_key is not None and (
--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -1,4 +1,4 @@
-"""The balancers' server: owns the connections, sends answers on them and closes them in good order.
+"""The server for load balancers: owns the connections, sends answers on them and closes them gracefully.
 
 :mod:`.acceptor` accepts the connections and :mod:`.sweeper` checks their timeouts.
 """
@@ -22,15 +22,15 @@
 from snowthread.net.listening import adopt_listener, open_listener
 from snowthread.net.loop import Coroutine, EventLoop, Wait
 
-MIN_CONNECTION_LIMIT = 8  # connections that are allowed however low the limit is set
+MIN_CONNECTION_LIMIT = 8  # lower bound of the connection limit, whatever limit is set
 
-# Types of responses, in tuples: a union written where it is used is made anew for each response.
+# Tuples, because a union of types in an isinstance() call would be built anew for each response.
 _RESPONSES_THAT_REFUND = (effects.Served, effects.Rejected)
 _RESPONSES_WITHOUT_RESULT = (effects.Rejected, effects.Failed)
 
 
 class BalancerServer:
-    """Owns all balancers' connections."""
+    """Owns all connections of load balancers."""
 
     def __init__(
         self,
@@ -43,16 +43,19 @@
     ) -> None:
         """Listen at ``address``, or on an inherited descriptor that listens there already.
 
-        ``max_unsent_bytes`` limits the unsent answers of all connections together.
+        ``max_unsent_bytes`` limits the unsent answers of all connections together. ``post`` passes an event
+        to the core.
         """
         self.loop = loop
         self.post = post
         self._connections: dict[int, BalancerConnection] = {}
-        self._idle_since_ms: OrderedDict[int, float] = OrderedDict()  # the longest idle first
+        self._idle_since_ms: OrderedDict[int, float] = (
+            OrderedDict()
+        )  # by connection number, the longest idle first
         self._sweeper = ConnectionSweeper(self._connections, self._idle_since_ms, max_unsent_bytes)
         self.set_max_connections(max_connections)
         self._last_connection_number = 0
-        self._releasing = False  # each connection is sent a farewell, new ones once they were served
+        self._releasing = False  # whether a new connection is sent a farewell once it is served
         listener = (
             open_listener(address, LISTEN_BACKLOG)
             if listen_descriptor is None
@@ -63,12 +66,12 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where the server listens; ValueError after it stopped."""
+        """The host and port on which the server listens; ValueError once it has stopped."""
         return self.acceptor.address
 
     @property
     def accepting(self) -> bool:
-        """Whether new connections are accepted and stay open."""
+        """Whether new connections are accepted and may stay open."""
         return not self.acceptor.stopped and not self._releasing and not self.acceptor.paused
 
     @property
@@ -83,7 +86,7 @@
         return len(self._connections)
 
     def peer_address(self, connection_number: int) -> str:
-        """Return the peer's host, or an empty string where the connection is closed."""
+        """Return the IP address of a connection's peer, or an empty string if the connection is closed."""
         connection = self._connections.get(connection_number)
         try:
             return "" if connection is None else str(connection.sock.getpeername()[0])
@@ -91,22 +94,22 @@
             return ""
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Limit the connections from now on; what is above the limit is evicted as new ones come."""
+        """Set the connection limit; excess connections are evicted only as new ones arrive."""
         self._max_connections = max(MIN_CONNECTION_LIMIT, max_connections)
         self._sweeper.max_idle_connections = int(self._max_connections * MAX_IDLE_CONNECTIONS_RATIO)
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
-        """Send a farewell to connections that are idle for this long, from now on."""
+        """Set the idle time after which a connection is sent a farewell."""
         self._sweeper.idle_timeout_ms = timeout_ms
 
-    # What the acceptor calls (ConnectionTable).
+    # Implementation of acceptor.ConnectionTable.
 
     def is_full(self) -> bool:
-        """Return whether a new connection is above the limit."""
+        """Return whether the connection limit is reached."""
         return len(self._connections) >= self._max_connections
 
     def add_connection(self, sock: socket.socket) -> None:
-        """Take over an accepted connection."""
+        """Add an accepted connection to the table and start to serve it."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._last_connection_number += 1
@@ -115,7 +118,7 @@
         self.mark_active(connection)
 
     def evict_idle_connection(self) -> bool:
-        """Close the best candidate on which no request lies unread; return False where there is none."""
+        """Close the first eviction candidate that has no unread request; return False if there is none."""
         now_ms = self.loop.clock.now()
         for connection in eviction_candidates(self._connections, self._idle_since_ms, now_ms):
             had_partial_message = connection.has_partial_message
@@ -127,37 +130,39 @@
         return False
 
     def _close_now(self, connection: BalancerConnection) -> None:
-        """Close within this round of the loop, because the descriptor is needed."""
+        """Close a connection before this method returns, because its descriptor is needed."""
         connection.closing_immediately = True
         self.loop.end_task(connection.task)
-        if connection.number in self._connections:  # a task that never ran does not call connection_closed
+        if (
+            connection.number in self._connections
+        ):  # a task that was ended before its first step has not called connection_closed
             self.connection_closed(connection)
 
-    # What connections call (ConnectionOwner).
+    # Implementation of connection.ConnectionOwner.
 
     def mark_active(self, connection: BalancerConnection) -> None:
-        """Restart the connection's idle time, or note that it is busy."""
+        """Restart the connection's idle time if it is idle, else record that it is busy."""
         self._idle_since_ms.pop(connection.number, None)
         if connection.idle and not connection.closing_immediately:
             self._idle_since_ms[connection.number] = self.loop.clock.now()
 
     def connection_closed(self, connection: BalancerConnection) -> None:
-        """Close the socket, forget the connection and cancel its open requests."""
+        """Close the socket, remove the connection and cancel its open requests."""
         self._connections.pop(connection.number, None)
         self._idle_since_ms.pop(connection.number, None)
         self.loop.close(connection.sock)
         self.cancel_open_requests(connection)
 
     def cancel_open_requests(self, connection: BalancerConnection) -> None:
-        """Post that nobody waits for the connection's open requests any more."""
+        """Post a cancellation of each open request: its client no longer waits for the answer."""
         for number in sorted(connection.open_request_numbers):
             self.post(events.RequestCancelled((connection.number, number)))
         connection.open_request_numbers.clear()
 
-    # Answers.
+    # Sending answers.
 
     def send_response(self, effect: effects.SendResponse) -> None:
-        """Send an answer, if its connection is open and the request unanswered."""
+        """Send an answer, if its connection is still open and the request not answered yet."""
         connection_number, number = effect.response_address
         connection = self._connections.get(connection_number)
         if connection is None or number not in connection.open_request_numbers:
@@ -184,24 +189,27 @@
     # Releasing clients and stopping.
 
     def send_farewell_to_all(self) -> None:
-        """Release the clients: send a farewell on all connections, and on new ones once they were served."""
+        """Release the clients: send a farewell on every connection.
+
+        From then on a new connection is sent one as soon as its requests are answered.
+        """
         self._releasing = True
         for connection in list(self._connections.values()):
             connection.send_farewell()
 
     def pause_accepting(self) -> None:
-        """Accept nothing for now: pending connections belong to another process."""
+        """Stop accepting until :meth:`resume_accepting`: another process accepts the pending connections."""
         self.acceptor.pause()
 
     def resume_accepting(self) -> None:
-        """Accept connections again, and retain them."""
+        """Accept connections again, and no longer release the clients."""
         self._releasing = False
         self.acceptor.resume()
 
     def stop_accepting(self) -> None:
-        """Accept what is pending and stop listening.
+        """Accept the pending connections, close the listening socket and release the clients.
 
-        Connections are refused from then on, which proves to their peers that nothing ran.
+        Later connection attempts are refused, which proves to the peers that no request of theirs ran.
         """
         self._max_connections = max(self._max_connections, len(self._connections) + LISTEN_BACKLOG)
         self.acceptor.accept_pending(LISTEN_BACKLOG)
@@ -209,9 +217,9 @@
         self.send_farewell_to_all()
 
     def has_pending_work(self) -> bool:
-        """Return whether a request may still arrive or be unanswered on any connection.
+        """Return whether any connection has an unanswered request, or one that may still arrive.
 
-        A connection that stays idle for a while after its farewell carries nothing more.
+        On a connection that is idle ``FAREWELL_TIMEOUT_MS`` after its farewell, no request arrives any more.
         """
         now_ms = self.loop.clock.now()
         return any(
@@ -222,13 +230,13 @@
         )
 
     def read_pending(self) -> None:
-        """Read what has arrived on any connection: before the exit, where the loop may have been late."""
+        """Read what has arrived on all connections: before the exit, as the event loop may have been late."""
         for connection in list(self._connections.values()):
             connection.read_pending()
 
 
 def _log_response_without_result(response: effects.Rejected | effects.Failed) -> None:
-    """Log, as a detail, which request gets no result, and why."""
+    """Log at debug level which request was answered without a result, and why."""
     request = response.attempt_id or "without an id"
     if isinstance(response, effects.Failed):
         logger.debug("request {}: failed{}", request, f": {response.reason}" if response.reason else "")
--- a/snowthread/frontends/balancers/socket_writer.py
+++ b/snowthread/frontends/balancers/socket_writer.py
@@ -1,4 +1,4 @@
-"""Writing to a socket that may not take everything at once: the rest is buffered, up to a limit."""
+"""Writes to a non-blocking socket, and buffers what the socket does not accept yet, up to a limit."""
 
 from __future__ import annotations
 
@@ -7,21 +7,22 @@
 
 from snowthread.net.clock import Clock
 
-UNSENT_MAX_BYTES = 256 * 1024  # a peer that leaves more than this unread is disconnected
+UNSENT_MAX_BYTES = 256 * 1024  # buffered for one peer; a peer that leaves more unread is disconnected
 
 
 class UnsentLimitError(ConnectionError):
-    """The peer has left more bytes unread than may be buffered for it."""
+    """More bytes are buffered for a peer that does not read than ``UNSENT_MAX_BYTES``."""
 
     def __init__(self, unsent_bytes: int) -> None:
-        super().__init__(f"{unsent_bytes} bytes are unsent, at most {UNSENT_MAX_BYTES} may be")
+        super().__init__(f"{unsent_bytes} bytes are unsent, the limit is {UNSENT_MAX_BYTES}")
         self.unsent_bytes = unsent_bytes
 
 
 class BufferedSocketWriter:
     """Writes to a non-blocking socket in order.
 
-    ``stalled_since_ms``: since when the peer has taken nothing of what is unsent; infinity if nothing is.
+    ``unsent`` holds the buffered bytes. ``stalled_since_ms`` is the time since which the socket has accepted
+    none of them, or infinity if there are none.
     """
 
     __slots__ = ("_clock", "_sock", "stalled_since_ms", "unsent")
@@ -33,10 +34,10 @@
         self.stalled_since_ms = math.inf
 
     def write(self, data: bytes) -> None:
-        """Send what the socket takes and buffer the rest; another OSError comes from a broken socket.
+        """Send what the socket accepts and buffer the rest; a broken socket raises another OSError.
 
         Raises:
-            UnsentLimitError: too much is buffered; the connection is of no more use.
+            UnsentLimitError: more than ``UNSENT_MAX_BYTES`` are buffered; the connection must be closed.
         """
         if not self.unsent:
             try:
@@ -52,7 +53,7 @@
             raise UnsentLimitError(len(self.unsent))
 
     def flush(self) -> None:
-        """Send what the socket takes of the buffered bytes; OSError where it is broken."""
+        """Send what the socket accepts of the buffered bytes; a broken socket raises OSError."""
         try:
             del self.unsent[: self._sock.send(self.unsent)]
             self.stalled_since_ms = self._clock.now() if self.unsent else math.inf
--- a/snowthread/frontends/balancers/sweeper.py
+++ b/snowthread/frontends/balancers/sweeper.py
@@ -1,6 +1,6 @@
-"""The periodic check of all connections: timeouts, unsent answers and idle connections.
+"""Periodic check of all connections for timeouts, unsent answers and idle connections.
 
-One sweep over all connections costs less than a timer for each.
+One periodic sweep over all connections costs less than a timer for each connection.
 """
 
 from __future__ import annotations
@@ -11,13 +11,15 @@
 from snowthread.frontends.balancers.connection import BalancerConnection
 from snowthread.net.limits import MIN_IDLE_BEFORE_EVICTION_MS, SINGLE_MESSAGE_IDLE_TIMEOUT_MS, is_timed_out
 
-FAREWELL_TIMEOUT_MS = 1000.0  # a connection still idle this long after its farewell is closed
+FAREWELL_TIMEOUT_MS = 1000.0  # a connection that is idle this long after its farewell is closed
 
 
 class ConnectionSweeper:
-    """Closes connections whose peers stall, are idle too long or leave too much unread.
+    """Closes connections whose peers stall, stay idle too long or leave too many answers unread.
 
-    ``connections`` and ``idle_since_ms`` (the longest idle first) are the server's own tables, by number.
+    ``connections`` and ``idle_since_ms`` (the longest idle first) are the server's tables by connection
+    number; the sweeper removes entries from ``idle_since_ms``. ``max_unsent_bytes`` limits the unsent answers
+    of all connections together.
     """
 
     def __init__(
@@ -35,7 +37,7 @@
     def sweep(self, now_ms: float, closes_after_farewell: bool) -> None:
         """Check all connections once.
 
-        ``closes_after_farewell``: whether connections that stay idle after their farewell are closed.
+        ``closes_after_farewell`` says whether to close connections that stay idle after their farewell.
         """
         for connection in list(self._connections.values()):
             if self._has_expired(connection, now_ms, closes_after_farewell):
@@ -48,7 +50,7 @@
     def _has_expired(
         self, connection: BalancerConnection, now_ms: float, closes_after_farewell: bool
     ) -> bool:
-        """Return whether the peer made the node wait too long, or stayed idle after its farewell."""
+        """Return whether the peer has stalled too long, or stayed idle after its farewell."""
         if is_timed_out(
             now_ms,
             connection.message_stream.incomplete_since_ms(),
@@ -64,9 +66,9 @@
         )
 
     def _abort_largest_unsent(self) -> None:
-        """Abort the connections with the most unsent bytes until all together are within the limit.
+        """Abort the connections with the most unsent bytes until the total is within the limit.
 
-        Many peers that read nothing would fill the memory, though none of them has much unsent.
+        Many peers that read nothing would otherwise fill the memory, even if each has few bytes unsent.
         """
         with_unsent = sorted(
             (connection for connection in self._connections.values() if connection.writer.unsent),
@@ -79,13 +81,13 @@
             connection.abort()
 
     def _send_farewell_to_idle(self, now_ms: float) -> None:
-        """Send a farewell to connections that are idle too long, or too many."""
+        """Send a farewell on connections that are idle too long, and on the longest idle of too many."""
         excess = len(self._idle_since_ms) - self.max_idle_connections
         for number, since_ms in list(self._idle_since_ms.items()):
             connection = self._connections[number]
             idle_ms = now_ms - since_ms
             if connection.has_partial_message:
-                continue  # a request is arriving in pieces
+                continue  # a request is arriving in parts
             if (
                 idle_ms >= self.idle_timeout_ms
                 or (
@@ -101,6 +103,7 @@
 
 
 def _close_expired(connection: BalancerConnection) -> None:
+    """Close gracefully if there are open requests to answer and the peer reads its answers, else abort."""
     if connection.open_request_numbers and not connection.unsent_bytes:
         connection.close_gracefully()
     else:
