--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -49,9 +49,8 @@
         self.loop = loop
         self.post = post
         self._connections: dict[int, BalancerConnection] = {}
-        self._idle_since_ms: OrderedDict[int, float] = (
-            OrderedDict()
-        )  # by connection number, the longest idle first
+        # By connection number, the longest idle first.
+        self._idle_since_ms: OrderedDict[int, float] = OrderedDict()
         self._sweeper = ConnectionSweeper(self._connections, self._idle_since_ms, max_unsent_bytes)
         self.set_max_connections(max_connections)
         self._last_connection_number = 0
@@ -133,9 +132,8 @@
         """Close a connection before this method returns, because its descriptor is needed."""
         connection.closing_immediately = True
         self.loop.end_task(connection.task)
-        if (
-            connection.number in self._connections
-        ):  # a task that was ended before its first step has not called connection_closed
+        # A task that was ended before its first step has not called connection_closed.
+        if connection.number in self._connections:
             self.connection_closed(connection)
 
     # Implementation of connection.ConnectionOwner.
--- a/snowthread/node/descriptors.py
+++ b/snowthread/node/descriptors.py
@@ -1,4 +1,4 @@
-"""How the file descriptors of the process are divided among the parts of a node."""
+"""Divides the file descriptors of the process among the parts of a node."""
 
 from __future__ import annotations
 
@@ -6,37 +6,38 @@
 from dataclasses import dataclass
 
 PROCESS_DESCRIPTORS = 16
-"""Descriptors that any process of a node has open: standard streams, epoll, listeners, files."""
+"""Descriptors that every process of a node has open: standard streams, epoll, listeners, files."""
 
 RESERVED_DESCRIPTORS = 32
-"""Descriptors reserved for everything that is neither a balancer's connection nor a database call."""
+"""Descriptors reserved for everything except balancers' connections and database calls."""
 
 DATABASE_CALLS_DIVISOR = 8
-"""One descriptor in this many is for calls to the database."""
+"""The share of the descriptors that database calls may use is 1 divided by this."""
 
-DATABASE_CALLS_MIN = 4
-BALANCER_CONNECTIONS_MIN = 8
+DATABASE_CALLS_MIN = 4  # lower bound, however few descriptors there are
+BALANCER_CONNECTIONS_MIN = 8  # lower bound, however few descriptors there are
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """The most connections that each part may have open at once."""
+    """The maximum number of connections that each part may have open."""
 
     database_calls: int
     balancer_connections: int
 
     @classmethod
     def for_process(cls, max_sockets: int) -> DescriptorBudget:
-        """Divide ``max_sockets``, or what the process may open where that is less."""
+        """Divide ``max_sockets`` descriptors, or the process limit (RLIMIT_NOFILE) if that is lower."""
         total = min(max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         database_calls = max(DATABASE_CALLS_MIN, total // DATABASE_CALLS_DIVISOR)
         remaining = total - database_calls - RESERVED_DESCRIPTORS
         return cls(database_calls, max(BALANCER_CONNECTIONS_MIN, remaining))
 
     def balancer_connections_with_peer(self, peer_descriptors: int) -> int:
-        """Return the most balancer connections while a peer process has so many descriptors open.
+        """Return the limit of balancer connections while a peer process has ``peer_descriptors`` open.
 
-        Both processes of a node share its limit. Descriptors that the reserve covers are not subtracted.
+        The two processes of a hot restart share the node's limit. Descriptors that the reserve covers are not
+        subtracted.
         """
         covered = RESERVED_DESCRIPTORS - PROCESS_DESCRIPTORS
         return self.balancer_connections - max(0, peer_descriptors - covered)
--- a/snowthread/node/effect_handlers.py
+++ b/snowthread/node/effect_handlers.py
@@ -1,4 +1,4 @@
-"""The table of effects: which part of a node carries out each type of effect."""
+"""The table of effect handlers: which part of a node carries out each type of effect."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 from snowthread.net.loop import EventLoop
 
 EffectHandler = Callable[[Any], None]
-"""Carries out an effect of the one type that it is registered for."""
+"""A function that carries out effects of one type."""
 
 EffectHandlers = dict[type[effects.Effect], EffectHandler]
-"""Handlers by type: a chain of cases for thousands of effects a second would cost more than most effects."""
+"""Handlers by type of effect.
+
+A dictionary, as a chain of type checks would cost more than most of the thousands of effects per second.
+"""
 
 
 class ClientEffects:
-    """Effects on the balancers, the runtime, the database, the registry, the timers and the log."""
+    """Carries out effects on the balancers, the runtime, the database, the registry, timers and the log."""
 
     def __init__(
         self,
@@ -41,7 +44,7 @@
         self._registry = registry
 
     def handlers(self) -> EffectHandlers:
-        """Return the handler of each type of effect."""
+        """Return the handlers by type of effect."""
         return {
             effects.StartRun: self._runtime.send,
             effects.StopRun: self._runtime.send,
--- a/snowthread/node/hot_restart_effects.py
+++ b/snowthread/node/hot_restart_effects.py
@@ -1,6 +1,6 @@
-"""Effects of a node that two processes serve for a while, one replacing the other.
+"""Effects during a hot restart, when a successor process replaces the predecessor of the same node.
 
-Clients come in by a listening socket that both have, and both count against one limit of descriptors.
+Both processes have the same listening socket, and share the node's limit of descriptors.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class HotRestartEffects:
-    """Carries out what the reducer asks for between the two processes."""
+    """Carries out the effects that concern the two processes of a hot restart."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._resume_accepting = resume_accepting
 
     def handlers(self) -> EffectHandlers:
-        """Return the handler of each type of effect."""
+        """Return the handlers by type of effect."""
         return {
             effects.SendToPeerProcess: self._send_to_peer_process,
             effects.SendHandoverComplete: self._channel.send_handover_complete,
--- a/snowthread/node/node.py
+++ b/snowthread/node/node.py
@@ -1,4 +1,4 @@
-"""The composition of a node: its clients and servers, and the reducer between them."""
+"""Composes a node: its network clients and servers, and the reducer between them."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 
 class Node:
-    """One formula node."""
+    """One formula node: owns the event loop, the state and all parts of the process."""
 
     def __init__(self, config: Config, clock: Clock, features: Features | None = None) -> None:
-        """Open the node's sockets; OSError where one can't be opened.
+        """Open the node's sockets; OSError if one cannot be opened.
 
-        The order of the parts matters: sockets open and tasks take their first steps in it.
+        The order in which the parts are constructed matters: sockets are opened and tasks started in it.
         """
         self.config = config
         self.features = features
@@ -89,9 +89,9 @@
         return server
 
     def _open_hot_restart_channel(self) -> HotRestartChannel | None:
-        """Open the channel to another process of this node that serves already, or comes to replace this one.
+        """Open the channel to the predecessor, if one is serving, or to a later successor of this process.
 
-        Clients are accepted once the channel knows whose they are.
+        Accepting is paused until the channel has found out which process accepts clients.
         """
         if self.config.listen_descriptor is None or self.config.handover_directory is None:
             return None
@@ -99,7 +99,7 @@
         return HotRestartChannel(self.loop, self.config.handover_directory, self.post, self._resume_accepting)
 
     def _join_fleet(self) -> None:
-        """Connect recovery, where it is on, to the registry."""
+        """Connect the recovery feature, if it is enabled, to the registry."""
         if self.recovery is not None:
             self.registry.join_fleet(self.recovery.report_suffix, self.recovery.handle_registry_answer)
             self.recovery.start(self.registry.report_now, self._carry_out)
@@ -126,14 +126,14 @@
             self.recorder.set_connection_counter(self.balancers.count)
 
     def _resume_accepting(self) -> None:
-        """Accept clients, unless this process shuts down or a successor accepts them."""
+        """Accept clients, unless this process is shutting down or its successor accepts them."""
         if not self.state.shutting_down and not self.state.superseded:
             self.balancers.resume_accepting()
 
     def post(self, event: events.Event) -> None:
-        """Hand an event to the reducer and carry out the effects that it returns.
+        """Pass an event to the reducer and carry out the effects that it returns.
 
-        An event that an effect causes at once waits until the effects before it are carried out.
+        An event that is posted while effects are carried out is queued until they all are.
         """
         if self._stopped:
             return
@@ -147,36 +147,39 @@
                 try:
                     for effect in self._reduce(self.state, event, self._clock.now()):
                         self._effect_handlers[type(effect)](effect)
-                except Exception:  # noqa: BLE001  # must not end the connection or timer that posted it
-                    logger.exception("{} failed", type(event).__name__)
+                except Exception:  # noqa: BLE001  # an error must not end the connection or timer that posted the event
+                    logger.exception("error while handling {}, the node goes on", type(event).__name__)
         finally:
             self._dispatching = False
 
     def _carry_out(self, effect: effects.Effect) -> None:
-        """Carry out an effect that recovery delayed."""
+        """Carry out an effect that the recovery feature has delayed."""
         if not self._stopped:
             self._effect_handlers[type(effect)](effect)
 
     def apply_configuration(self, config: Config, features: Features | None = None) -> None:
-        """Go on with a new configuration; OSError where no socket can be opened, and nothing has changed."""
+        """Apply a new configuration.
+
+        An OSError means that a socket could not be opened; nothing has changed then.
+        """
         apply_configuration(self, config, features)
 
     def _reload(self) -> None:
         reload(self)
 
     def serve(self) -> None:
-        """Serve until a signal to shut down, and return once all is answered. SIGHUP reloads all files."""
+        """Serve until SIGTERM or SIGINT, and return after the graceful shutdown. SIGHUP reloads the files."""
         self.listen_for_signals()
         logger.info("{} pid {} listens on {}:{}", self.config.name, os.getpid(), *self.config.listen)
         self.loop.run()
         self._signals.stop()
 
     def listen_for_signals(self) -> None:
-        """Listen for signals from now on."""
+        """Start to handle signals on the event loop."""
         self._signals.start()
 
     def stop(self) -> None:
-        """End the event loop; events that are posted from now on are dropped with the process."""
+        """Stop the event loop; events that are posted from now on are dropped."""
         logger.bind(event="node.stopped").info("stopped")
         self._stopped = True
         if self.recorder is not None:
@@ -185,7 +188,7 @@
 
 
 def _initial_state(config: Config, clock: Clock) -> NodeState:
-    """Return the state of a node that has read nothing yet."""
+    """Return the state of a node that has processed no event yet."""
     return NodeState(
         config.settings,
         config.seed,
--- a/snowthread/node/operator_calls.py
+++ b/snowthread/node/operator_calls.py
@@ -1,4 +1,4 @@
-"""What operators call at the admin address: readiness, drain and resume."""
+"""Handlers of the administration interface: readiness, drain and resume."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OperatorCalls:
-    """Answers the calls of operators, each with a status and a line of text."""
+    """Answers operators' HTTP requests, each with a status and one line of text."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._post = post
 
     def routes(self) -> RouteTable:
-        """Return the HTTP method and the answering function of each path."""
+        """Return the HTTP method and the handler of each path."""
         return {
             "/-/ready": Route("GET", self.ready),
             "/-/drain": Route("POST", self.drain),
@@ -38,25 +38,25 @@
         }
 
     def ready(self) -> AdminResponse:
-        """Say whether this process accepts clients."""
+        """Report whether this process accepts clients."""
         if self._balancers.accepting and (self._hot_restart is None or self._hot_restart.takeover_complete):
             return AdminResponse(HTTPStatus.OK, "ready")
-        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "takes no clients")
+        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "not accepting clients")
 
     def drain(self) -> AdminResponse:
-        """Deregister the node; it serves what still comes."""
+        """Withdraw the node's registration; requests that still arrive are served."""
         self._set_drained(True)
         return AdminResponse(HTTPStatus.OK, "draining")
 
     def resume(self) -> AdminResponse:
-        """Register the node again, unless this process is shutting down."""
+        """Register the node again; answer 409 (Conflict) if this process is shutting down."""
         if self._state.shutting_down:
-            text = "this process has been told to leave: it can't go back to work"
+            text = "this process is shutting down and cannot resume"
             return AdminResponse(HTTPStatus.CONFLICT, text)
         self._set_drained(False)
         return AdminResponse(HTTPStatus.OK, "back to work")
 
     def _set_drained(self, drained: bool) -> None:
         if drained != self._state.drained:
-            logger.bind(event="node.drain").info("operators asked to {}", "drain" if drained else "resume")
+            logger.bind(event="node.drain").info("operator requested {}", "drain" if drained else "resume")
         self._post(events.DrainRequested(drained))
--- a/snowthread/node/optional_features.py
+++ b/snowthread/node/optional_features.py
@@ -1,6 +1,6 @@
-"""Features that an operator's file turns on.
+"""Builds the optional features that an operator's file enables.
 
-Each is imported only where it is on: a bare start loads none of them.
+A feature is imported only if it is enabled; a start without an operator's file imports none of them.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
     from snowthread.tenants.identification import TenantIdentification
 
 Reduce = Callable[[NodeState, events.Event, float], list[effects.Effect]]
-"""A reducer's step, or a feature that wraps one: (state, event, now in milliseconds) to effects."""
+"""The reducer, or a feature that wraps it: (state, event, time in Unix milliseconds) -> effects."""
 
 Post = Callable[[events.Event], None]
-"""Takes an event for the reducer."""
+"""A function that passes an event to the reducer."""
 
 
 @dataclass(frozen=True, slots=True)
 class FeatureParts:
-    """The parts of a node that optional features add; None: the feature is off."""
+    """The parts of a node that optional features add; None if the feature is disabled."""
 
-    reduce: Reduce  # the reducer, wrapped by each feature that sees its events and effects
+    reduce: Reduce  # the reducer, wrapped by the features that process its events and effects
     recorder: Recorder | None
     recovery: RecoveryManager | None
     tenant_identification: TenantIdentification | None
@@ -42,7 +42,7 @@
 def build_feature_parts(
     features: Features | None, loop: EventLoop, config: Config, state: NodeState, post: Post
 ) -> FeatureParts:
-    """Make what the features need, the innermost wrapper of the reducer first."""
+    """Build the parts of the enabled features; the reducer's wrappers are built from the inside out."""
     if features is None:
         return FeatureParts(reduce, None, None, None)
     step: Reduce = reduce
@@ -53,10 +53,10 @@
     if recovery is not None:
         step = recovery.reduce
     client_filter = _build_client_filter(features, loop, step)
-    if client_filter is not None:  # decides on other sites' requests before anything else sees them
+    if client_filter is not None:  # outermost: it decides on requests of other sites before all others
         step = client_filter.reduce
     tenant_identification = _build_tenant_identification(features, loop, config, post)
-    if tenant_identification is not None:  # the directory says which tenants there are, not the file
+    if tenant_identification is not None:  # the tenants come from the directory, not from the file
         state.settings = replace(config.settings, tenants=())
     return FeatureParts(step, recorder, recovery, tenant_identification)
 
--- a/snowthread/node/reconfiguration.py
+++ b/snowthread/node/reconfiguration.py
@@ -1,4 +1,4 @@
-"""Applying a new configuration while serving: addresses, idle timeout, admission settings, tenants."""
+"""Applies a new configuration while the node serves: addresses, idle timeout, settings and tenants."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from snowthread.tenants.identification import TenantIdentification
 
 IDLE_TIMEOUT_RATIO = 2.0
-"""Of the balancers' own idle timeout: after this a connection that they forgot is closed."""
+"""The node's idle timeout as a multiple of the balancers': it closes connections that they abandoned."""
 
 
 class ReconfigurableNode(Protocol):
@@ -38,18 +38,21 @@
     tenant_identification: TenantIdentification | None
 
     def post(self, event: events.Event) -> None:
-        """Hand an event to the reducer and carry out its effects."""
+        """Pass an event to the reducer and carry out its effects."""
 
 
 def idle_timeout_ms(settings: Settings) -> float:
-    """Return how long a balancer's connection may be idle; infinity where balancers state no idle timeout."""
+    """Return how long a balancer's connection may be idle; infinity if the settings have no idle timeout."""
     if not settings.idle_timeout_s:
         return math.inf
     return IDLE_TIMEOUT_RATIO * AdmissionClock.duration_ms(settings.idle_timeout_s)
 
 
 def apply_configuration(node: ReconfigurableNode, config: Config, features: Features | None) -> None:
-    """Go on with a new configuration; OSError where no socket can be opened, and nothing has changed then."""
+    """Apply a new configuration to a node.
+
+    An OSError means that a socket could not be opened; nothing has changed then.
+    """
     _apply_addresses(node, config)
     _apply_idle_timeout(node, config)
     _apply_settings(node, config)
@@ -59,13 +62,13 @@
 
 
 def _apply_addresses(node: ReconfigurableNode, config: Config) -> None:
-    node.registry.set_address(config.registry)  # first, as only it opens a socket, which can fail
+    node.registry.set_address(config.registry)  # first, as it alone opens a socket and can fail
     node.runtime.set_address(config.runtime)
     node.database.set_address(config.database)
 
 
 def _apply_idle_timeout(node: ReconfigurableNode, config: Config) -> None:
-    """Close idle connections by the new timeout; the admission controller may shorten it later."""
+    """Set the new idle timeout, if it differs; the admission controller may shorten it later."""
     if config.settings.idle_timeout_s != node.config.settings.idle_timeout_s:
         node.balancers.set_idle_timeout(idle_timeout_ms(config.settings))
 
@@ -75,7 +78,7 @@
     if (new, config.gauge_names) == (node.config.settings, node.config.gauge_names):
         return
     settings = new
-    if node.tenant_identification is not None:  # the directory says which tenants there are, not the file
+    if node.tenant_identification is not None:  # the tenants come from the directory, not from the file
         settings = replace(new, tenants=(), over_quota_weight=node.state.settings.over_quota_weight)
     node.post(events.SettingsReloaded(settings, config.gauge_names))
     if node.recorder is not None:
--- a/snowthread/node/signals.py
+++ b/snowthread/node/signals.py
@@ -1,7 +1,8 @@
-"""Signals of the process, received on the event loop.
+"""Receives the process's signals on the event loop.
 
-SIGHUP reloads the configuration; SIGTERM and SIGINT begin the graceful shutdown. A signal writes its number
-into a socket that a task of the loop reads, so no handler runs in the middle of the node's work.
+SIGHUP reloads the configuration; SIGTERM and SIGINT begin the graceful shutdown. The interpreter writes the
+number of each signal to a wakeup socket, which a task of the event loop reads, so that signals are processed
+between other events and never in the middle of one.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 
 SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 BLOCKED_SIGNALS = {signal.SIGHUP, *SHUTDOWN_SIGNALS}
-"""Signals that ``serve`` blocks from the program's start until the node listens for them."""
+"""Signals that :func:`snowthread.serve.serve` blocks from its start until the node handles them."""
 
-READ_BYTES = 64  # one byte a signal
-NO_WAKEUP_DESCRIPTOR = -1  # as ``signal.set_wakeup_fd`` has it
+READ_BYTES = 64  # read from the wakeup socket at a time; each signal is one byte
+NO_WAKEUP_DESCRIPTOR = -1  # the value by which ``signal.set_wakeup_fd`` unsets the descriptor
 
 
 class SignalListener:
-    """Calls what the signals of the process ask for, on the event loop.
+    """Calls a function for each kind of signal, on the event loop.
 
-    ``begin_shutdown`` is called once, with the time of the first signal to shut down in Unix milliseconds;
-    ``reload`` at each SIGHUP.
+    ``begin_shutdown`` is called once, with the time of the first SIGTERM or SIGINT in Unix milliseconds;
+    ``reload`` is called at each SIGHUP.
     """
 
     def __init__(
@@ -36,11 +37,11 @@
         self._loop = loop
         self._begin_shutdown = begin_shutdown
         self._reload = reload
-        self._sockets: tuple[socket.socket, socket.socket] | None = None  # open as long as the process
+        self._sockets: tuple[socket.socket, socket.socket] | None = None  # stay open until the process exits
         self._shutdown_signal_at_ms = math.inf
 
     def start(self) -> None:
-        """Listen from now on; signals that were blocked so far arrive at once."""
+        """Install the handlers and unblock the signals; those that were pending arrive immediately."""
         reader, writer = socket.socketpair()
         self._sockets = (reader, writer)
         reader.setblocking(False)
@@ -53,10 +54,10 @@
         self._loop.spawn(self._run(reader))
 
     def stop(self) -> None:
-        """Ignore these signals from now on; the process is about to end.
+        """Ignore the signals, as the process is about to exit.
 
-        The interpreter restores their defaults as it ends: a signal then would end the process with a
-        failure, though all was answered.
+        The interpreter restores the default handlers when it exits: a signal would then terminate the process
+        with a failure status, although all requests were answered.
         """
         if self._sockets is None:
             return
@@ -65,9 +66,9 @@
             signal.signal(number, signal.SIG_IGN)
 
     def _record_shutdown_signal(self, *_: object) -> None:
-        """Note when a signal to shut down came.
+        """Record the time of the first shutdown signal.
 
-        The loop may be late to read of it, and the termination grace period counts from the signal.
+        The event loop may process the signal late, but the termination grace period counts from the signal.
         """
         self._shutdown_signal_at_ms = min(self._shutdown_signal_at_ms, self._loop.clock.now())
 
@@ -76,7 +77,7 @@
         while True:
             yield Wait(reader.fileno(), READABLE)
             received = reader.recv(READ_BYTES)
-            if signal.SIGHUP in received:  # also while shutting down: runs go on, and the runtime may migrate
+            if signal.SIGHUP in received:  # during a shutdown too: runs continue and the runtime may migrate
                 self._try_reload()
             if not shutdown_begun and any(number in received for number in SHUTDOWN_SIGNALS):
                 shutdown_begun = True
@@ -85,9 +86,9 @@
     def _try_reload(self) -> None:
         try:
             self._reload()
-        except Exception:  # noqa: BLE001  # whatever is wrong with a file, this task must go on listening
-            logger.exception("configuration not taken up")
+        except Exception:  # noqa: BLE001  # a failed reload must not end the task that handles signals
+            logger.exception("reload failed, keeping the current configuration")
 
 
 def _ignore(*_: object) -> None:
-    """Handle a signal that only its number in the wakeup socket matters of."""
+    """Do nothing: the signal is processed when its number is read from the wakeup socket."""
