--- a/snowthread/net/__init__.py
+++ b/snowthread/net/__init__.py
@@ -1,6 +1,6 @@
-"""Sockets and time, for clients and servers alike.
+"""The event loop, sockets and time, used by the network clients and servers.
 
-- :mod:`.loop`: one epoll loop with coroutines and timers; :mod:`.clock`: the time by which it runs.
-- :mod:`.connect` and :mod:`.listening`: opening sockets; :mod:`.tls_stream`: a stream, in TLS where wanted.
-- :mod:`.attempt`: failures as values; :mod:`.limits`: timeouts, buffers and abuse that peers are allowed.
+- :mod:`.loop`: an epoll event loop with coroutines and timers; :mod:`.clock`: its source of time.
+- :mod:`.connect` and :mod:`.listening`: open sockets; :mod:`.tls_stream`: a byte stream, optionally in TLS.
+- :mod:`.attempt`: network failures as values; :mod:`.limits`: timeouts, buffer sizes and abuse limits.
 """
--- a/snowthread/net/clock.py
+++ b/snowthread/net/clock.py
@@ -1,4 +1,4 @@
-"""The one source of time: Unix milliseconds as a float."""
+"""The source of time for the whole program: Unix milliseconds as a float."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class Clock:
-    """The system's Unix clock, by which peers state their times, too."""
+    """The system's Unix clock; times in peers' messages are on this clock too."""
 
     def now(self) -> float:
-        """Return the milliseconds since the epoch."""
+        """Return the current time in milliseconds since the Unix epoch."""
         return time.time() * MS_PER_S
 
 
 class ManualClock(Clock):
-    """A clock for tests, which stands still until ``now_ms`` is set."""
+    """A clock for tests, whose time changes only when ``now_ms`` is set."""
 
     def __init__(self, now: float) -> None:
         self.now_ms = now
 
     def now(self) -> float:
-        """Return the time that was set."""
+        """Return ``now_ms``, in milliseconds since the Unix epoch."""
         return self.now_ms
--- a/snowthread/net/connect.py
+++ b/snowthread/net/connect.py
@@ -1,4 +1,4 @@
-"""Connecting as a coroutine: one attempt, whose failure is a value."""
+"""Connects by TCP in a coroutine; a failure is returned as a value, not raised."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ConnectAttempt:
-    """One attempt to connect by TCP until a time in Unix milliseconds.
+    """One attempt to connect by TCP before ``deadline_ms`` (Unix milliseconds).
 
     After ``run`` has ended, ``sock`` is the connected socket, or it is None and ``failure`` says why. Waking
-    the task that runs the steps gives the attempt up, as a timeout.
+    the task during the attempt makes it fail as timed out.
     """
 
     def __init__(self, address: Address, loop: EventLoop, deadline_ms: float) -> None:
@@ -26,10 +26,10 @@
         self.failure = Failure(Progress.NOT_CONNECTED, "not attempted")
 
     def run(self) -> Coroutine:
-        """Connect, or set ``failure``."""
+        """Connect and set ``sock``, or set ``failure``."""
         try:
             sock = self.address.open(socket.SOCK_STREAM)
-        except OSError as error:  # mostly no descriptor left
+        except OSError as error:  # usually because no descriptor is free
             self.failure = Failure(Progress.NOT_CONNECTED, str(error))
             return
         code = sock.connect_ex(self.address)
--- a/snowthread/net/limits.py
+++ b/snowthread/net/limits.py
@@ -1,6 +1,6 @@
-"""Limits on connections: how long a peer may make the node wait and how much abuse is tolerated.
+"""Limits on connections: timeouts for slow peers, buffer sizes, and a budget for abuse.
 
-Nothing here decides about requests; that is the admission controller's work.
+These limits protect the node from its peers. Which requests are served is up to the admission controller.
 """
 
 from __future__ import annotations
@@ -9,31 +9,29 @@
 
 from snowthread.net.clock import MS_PER_S
 
-SWEEP_INTERVAL_MS = 250.0  # between two checks of all connections
-FIRST_BYTE_TIMEOUT_MS = 1800.0  # the longest wait for the first byte of a message
-PARTIAL_MESSAGE_TIMEOUT_MS = 3000.0  # and for the rest of one that has begun: slow peers write one over 2 s
-WRITE_STALL_TIMEOUT_MS = 3000.0  # the longest time in which a peer may read nothing of what it is sent
-SINGLE_MESSAGE_IDLE_TIMEOUT_MS = (
-    3000.0  # a connection that carried one message is closed after idling this long
-)
-MIN_IDLE_BEFORE_EVICTION_MS = 250.0  # one idle for less may have a request on its way: it is not evicted
-MAX_IDLE_CONNECTIONS_RATIO = 0.5  # of the connection limit: of more idle ones the longest idle are closed
+SWEEP_INTERVAL_MS = 250.0  # between two sweeps over all connections, which check their timeouts
+FIRST_BYTE_TIMEOUT_MS = 1800.0  # for a new connection to send its first byte
+PARTIAL_MESSAGE_TIMEOUT_MS = 3000.0  # for the rest of a message; slow peers take 2 s to write one
+WRITE_STALL_TIMEOUT_MS = 3000.0  # for a peer to read some of the bytes that the node sends
+SINGLE_MESSAGE_IDLE_TIMEOUT_MS = 3000.0  # idle timeout of a connection that carried one message
+MIN_IDLE_BEFORE_EVICTION_MS = 250.0  # a connection idle for less may have a request on its way
+MAX_IDLE_CONNECTIONS_RATIO = 0.5  # of the connection limit; of more, the longest idle are closed
 
-ABUSE_TOKENS_MAX = 48.0  # messages without use that a peer may send at once
-ABUSE_TOKENS_PER_S = 24.0  # and those that it may send in the long run
+ABUSE_TOKENS_MAX = 48.0  # burst of invalid messages and cancellations that a peer may send
+ABUSE_TOKENS_PER_S = 24.0  # sustained rate of invalid messages and cancellations that a peer may send
 
 BYTES_PER_MB = 2**20
-RESULT_CACHE_MEMORY_DIVISOR = 8  # one part in this many of the memory is for cached results
-UNSENT_MEMORY_DIVISOR = 16  # and one in this many for answers that peers have not read yet
+RESULT_CACHE_MEMORY_DIVISOR = 8  # cached results may use the memory limit divided by this
+UNSENT_MEMORY_DIVISOR = 16  # answers that peers have not read may use the memory limit divided by this
 
 
 def max_result_bytes(memory_mb: float) -> int:
-    """Return how many bytes of results may be cached for retries."""
+    """Return the size limit in bytes of the results that are cached for retries."""
     return int(memory_mb * BYTES_PER_MB) // RESULT_CACHE_MEMORY_DIVISOR
 
 
 def max_unsent_bytes(memory_mb: float) -> int:
-    """Return how many bytes of answers may wait for all peers together."""
+    """Return the limit in bytes of the unsent answers to all peers together."""
     return int(memory_mb * BYTES_PER_MB) // UNSENT_MEMORY_DIVISOR
 
 
@@ -42,9 +40,10 @@
 ) -> bool:
     """Return whether a peer has made the node wait too long.
 
-    Silent connections and messages without an end would otherwise occupy their descriptors for good. The wait
-    for a message counts from ``waiting_since_ms``, and the wait for the peer to read what it is sent from
-    ``stalled_since_ms``.
+    Without these timeouts, silent connections and messages without end would occupy descriptors forever.
+    ``waiting_since_ms`` is the time since which a message, or the rest of one, is awaited;
+    ``stalled_since_ms`` is the time since which the peer has read none of the bytes sent to it. Each is
+    infinity if nothing is awaited.
     """
     read_timeout_ms = PARTIAL_MESSAGE_TIMEOUT_MS if has_partial_message else FIRST_BYTE_TIMEOUT_MS
     return now_ms - waiting_since_ms >= read_timeout_ms or now_ms - stalled_since_ms >= WRITE_STALL_TIMEOUT_MS
@@ -52,24 +51,25 @@
 
 @dataclass(slots=True)
 class AbuseBudget:
-    """A token bucket for one peer: each message that can't be served, or is cancelled, costs a token.
+    """A token bucket for one peer: each invalid message and each cancellation takes a token.
 
-    Without it a peer that sends the same again as soon as it is rejected would get as much of the node as all
-    others together.
+    Without it, a peer that resends an invalid message as soon as it is rejected could take as much of the
+    node's time as all other peers together.
     """
 
     refilled_at_ms: float
     tokens: float = ABUSE_TOKENS_MAX
 
     def refund(self) -> None:
-        """Give a token back for a request that was served or rejected.
+        """Return a token for a request that was served or rejected.
 
-        Balancers that send hedged requests, or wait briefly, rightly cancel more than a fixed rate allows.
+        Balancers that send hedged requests or have short timeouts legitimately cancel more requests than a
+        fixed rate would allow.
         """
         self.tokens = min(ABUSE_TOKENS_MAX, self.tokens + 1.0)
 
     def spend(self, now_ms: float) -> bool:
-        """Take a token; return False where none is left."""
+        """Take a token; return False if none was left."""
         refill = max(0.0, now_ms - self.refilled_at_ms) / MS_PER_S * ABUSE_TOKENS_PER_S
         self.tokens = min(ABUSE_TOKENS_MAX, self.tokens + refill) - 1.0
         self.refilled_at_ms = now_ms
--- a/snowthread/net/listening.py
+++ b/snowthread/net/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets: opened here, or passed on by another process."""
+"""Opens listening sockets, and adopts those that another process has passed on."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ListenError(OSError):
-    """An address at which no socket can listen; ``filename`` has it as text."""
+    """No socket can listen at an address; ``filename`` is the address as text."""
 
     def __init__(self, address: Address, cause: OSError) -> None:
         super().__init__(cause.errno, cause.strerror, f"{address.host}:{address.port}")
@@ -20,10 +20,10 @@
 def open_listener(address: Address, backlog: int) -> socket.socket:
     """Return a new socket that listens at an address.
 
-    The kernel queues ``backlog`` connections until they are accepted.
+    The kernel queues up to ``backlog`` connections until they are accepted.
 
     Raises:
-        ListenError: the address is not available, or no descriptor is left.
+        ListenError: the address is not available, or no descriptor is free.
     """
     try:
         listener = address.open(socket.SOCK_STREAM)
@@ -40,12 +40,12 @@
 
 
 def adopt_listener(descriptor: int) -> socket.socket:
-    """Return the listening socket behind an inherited descriptor.
+    """Return the listening socket of an inherited descriptor.
 
-    It may be closed but never shut down: other processes listen on it too.
+    The socket may be closed but not shut down, because other processes listen on it too.
 
     Raises:
-        OSError: the descriptor does not listen.
+        OSError: the descriptor is not a listening socket.
     """
     listener = socket.socket(fileno=descriptor)
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -55,7 +55,7 @@
 
 
 def has_pending_connection(listener: socket.socket) -> bool:
-    """Return whether a connection waits to be accepted."""
+    """Return whether a connection is waiting to be accepted."""
     poller = select.poll()
     poller.register(listener.fileno(), select.POLLIN)
     return bool(poller.poll(0))
--- a/snowthread/net/loop.py
+++ b/snowthread/net/loop.py
@@ -1,10 +1,10 @@
-"""An event loop on epoll: generators as coroutines, and timers in a heap.
+"""An event loop on epoll, with generators as coroutines and a heap of timers.
 
-A coroutine yields a :class:`Wait` and is resumed with the epoll mask of what happened, or with 0 when its
-time is up or its task was woken. An exception ends the coroutine that it came from and nothing else.
+A coroutine yields a :class:`Wait` and is resumed with the epoll mask of the events that occurred, or with 0
+if its timeout passed or its task was woken. An exception ends only the coroutine that raised it.
 
-One round of the loop resumes the tasks that were woken, then those whose sockets are ready, then runs the
-timers that are due. All times are Unix milliseconds by the loop's clock.
+One round of the loop resumes the tasks that were woken, then the tasks whose descriptors are ready, and then
+runs the timers that are due. All times are Unix milliseconds by the loop's clock.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 
 from snowthread.net.clock import MS_PER_S, Clock
 
-CANCELLED_TIMERS_MAX = 256  # cancelled timers that may lie in the heap, however small it is
-POLL_MAX_S = 3600.0  # the longest sleep: epoll takes no infinite timeout as a float
+CANCELLED_TIMERS_MAX = 256  # cancelled timers that may stay in the heap, however small it is
+POLL_MAX_S = 3600.0  # longest wait of one round; epoll accepts no infinite timeout
 NO_DESCRIPTOR = -1
 
 READABLE = select.EPOLLIN
@@ -32,7 +32,10 @@
 
 
 class Wait(NamedTuple):
-    """What a coroutine waits for: a file descriptor to be ready, a time in milliseconds, or to be woken."""
+    """What a coroutine waits for: a ready descriptor (``fd``, ``mask``), a time (``until_ms``), or a wakeup.
+
+    The coroutine is resumed by whichever comes first.
+    """
 
     fd: int = NO_DESCRIPTOR
     mask: int = 0
@@ -40,25 +43,25 @@
 
 
 Coroutine = Generator[Wait, int, None]
-"""A coroutine: yields what it waits for and is sent the epoll mask of what happened."""
+"""A coroutine: yields what it waits for, and is sent the epoll mask of the events that occurred."""
 
 Timer = list[Callable[[], None]]
-"""A scheduled call, to cancel it by; empty once it was called or cancelled.
+"""The handle of a scheduled call: a list with the callback, empty once it was called or cancelled.
 
-A list, and not a class of ours, as each wait with a timeout makes one.
+It is a list and not an instance of a class because each wait with a timeout creates one.
 """
 
 
 class Task:
-    """A running coroutine."""
+    """A coroutine that the event loop runs, and what it waits for."""
 
     __slots__ = ("coroutine", "fd", "mask", "started", "timer", "woken")
 
     def __init__(self, coroutine: Coroutine) -> None:
-        self.coroutine: Coroutine | None = coroutine  # None once it has ended
-        self.fd = NO_DESCRIPTOR  # what it waits for, and for which of its events
+        self.coroutine: Coroutine | None = coroutine  # None once the task has ended
+        self.fd = NO_DESCRIPTOR  # the descriptor that the task waits for; ``mask`` holds the epoll events
         self.mask = 0
-        self.timer: Timer | None = None  # of the wait's time
+        self.timer: Timer | None = None  # resumes the task at the timeout of its wait
         self.started = False
         self.woken = False
 
@@ -70,37 +73,39 @@
         self.clock = clock
         self._epoll = select.epoll()
         self._task_by_fd: dict[int, Task] = {}
-        self._tasks: dict[Task, None] = {}  # in the order in which they were spawned
+        self._tasks: dict[Task, None] = {}  # in the order of spawning
         self._woken_tasks: deque[Task] = deque()
-        self._timers: list[tuple[float, int, Timer]] = []  # a heap of time, sequence number, call
-        self._cancelled_timers = 0  # in the heap
-        self._timer_numbers = itertools.count()  # timers of one time run in the order they were made in
+        self._timers: list[tuple[float, int, Timer]] = []  # a heap of (time, sequence number, timer)
+        self._cancelled_timers = 0  # the number of cancelled timers that are still in the heap
+        self._timer_numbers = (
+            itertools.count()
+        )  # timers that are due at the same time run in order of creation
         self._stopped = False
 
     def spawn(self, coroutine: Coroutine) -> Task:
-        """Start a coroutine; its first step runs in the loop's next round."""
+        """Start a coroutine as a task; its first step runs in the next round of the loop."""
         task = Task(coroutine)
         self._tasks[task] = None
         self.wake(task)
         return task
 
     def wake(self, task: Task) -> None:
-        """Resume a task with 0 in the next round, whatever it waits for."""
+        """Resume a task with the mask 0 in the next round, whatever it waits for."""
         if not task.woken and task.coroutine is not None:
             task.woken = True
             self._woken_tasks.append(task)
 
     def call_at(self, at_ms: float, callback: Callable[[], None]) -> Timer:
-        """Call at a time in milliseconds; return the timer to cancel it by."""
+        """Schedule a call at a time in Unix milliseconds; return its timer, for :meth:`cancel`."""
         timer: Timer = [callback]
         heapq.heappush(self._timers, (at_ms, next(self._timer_numbers), timer))
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
-        """Cancel a timer; one that was called already is left as it is.
+        """Cancel a timer; None, or a timer that was called or cancelled already, is ignored.
 
-        Where most of the heap is cancelled it is rebuilt: calls that end early would otherwise leave their
-        timeouts behind by the thousand.
+        The heap is rebuilt when most of its timers are cancelled. Calls that end before their timeouts would
+        otherwise leave thousands of cancelled timers in it.
         """
         if timer:
             timer.clear()
@@ -111,39 +116,40 @@
                 self._cancelled_timers = 0
 
     def close(self, sock: socket.socket) -> None:
-        """Close a socket. Its number may be reused at once, so nothing may still be watched under it."""
+        """Stop watching a socket and close it; the kernel may reuse its descriptor number immediately."""
         self.unwatch(sock.fileno())
         sock.close()
 
     def unwatch(self, fd: int) -> None:
-        """Stop watching a descriptor; to be called before it is closed."""
+        """Stop watching a descriptor; call this before closing it."""
         task = self._task_by_fd.pop(fd, None)
         if task is not None:
             task.fd = NO_DESCRIPTOR
             self._epoll.unregister(fd)
 
     def stop(self) -> None:
-        """Return from :meth:`run` at the end of this round."""
+        """Make :meth:`run` return at the end of the current round."""
         self._stopped = True
 
     def run(self) -> None:
-        """Run until stopped."""
+        """Run rounds until :meth:`stop` is called, then end all tasks."""
         while not self._stopped:
             self.run_once(POLL_MAX_S)
         self.end_all_tasks()
 
     def end_all_tasks(self) -> None:
-        """End the tasks that still wait, while the loop can still unwatch their descriptors.
+        """End all tasks and close the epoll descriptor.
 
-        Left to the interpreter's exit, the coroutines would find the loop gone and fail one by one.
+        Coroutines that are still suspended at the interpreter's exit would fail one by one, because the loop
+        is gone by then and cannot unwatch their descriptors.
         """
         for task in list(self._tasks):
             self.end_task(task)
         self._epoll.close()
 
     def run_once(self, max_sleep_s: float) -> None:
-        """Run one round, which sleeps for at most so many seconds where nothing is ready."""
-        # In one function, for it runs thousands of times a second.
+        """Run one round; it waits at most ``max_sleep_s`` seconds if nothing is ready."""
+        # This is one long function because it runs thousands of times per second.
         for _ in range(len(self._woken_tasks)):
             task = self._woken_tasks.popleft()
             task.woken = False
@@ -168,8 +174,8 @@
                 continue
             try:
                 timer.pop()()
-            except Exception:  # noqa: BLE001  # one timer's failure is not another's
-                logger.exception("a timer failed")
+            except Exception:  # noqa: BLE001  # an error in one timer must not affect others
+                logger.exception("error in a timer callback, the event loop goes on")
 
     def _resume(self, task: Task, mask: int) -> None:
         if task.coroutine is None:
@@ -181,14 +187,14 @@
             task.started = True
         except StopIteration:
             self._end(task)
-        except Exception:  # noqa: BLE001  # exceptions stop here: one connection's failure is not another's
-            logger.exception("a coroutine failed")
+        except Exception:  # noqa: BLE001  # an error in one task must not affect others
+            logger.exception("error in a coroutine, its task ends")
             self._end(task)
         else:
             self._suspend(task, wait)
 
     def _suspend(self, task: Task, wait: Wait) -> None:
-        """Watch for what a task waits for; most wait for the same descriptor again."""
+        """Register what a task waits for; the descriptor is usually the same as before."""
         if wait.fd != task.fd:
             self._unwatch_task(task)
             if wait.fd >= 0:
--- a/snowthread/net/tls_stream.py
+++ b/snowthread/net/tls_stream.py
@@ -1,7 +1,7 @@
 """A byte stream on the event loop, in clear text or in TLS through memory buffers, without threads.
 
-One coroutine owns a stream and reads it. Failures are values; a certificate that can't be verified is one of
-them and never leads to clear text.
+One coroutine owns a stream and reads from it. Failures are returned as values; a certificate that cannot be
+verified is a failure, and never causes a fallback to clear text.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from snowthread.net.attempt import Failure, Progress
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, Wait
 
-READ_BYTES = 16 * 1024  # read in one round, so that a peer that floods gets no more than others
-UNSENT_MAX_BYTES = 256 * 1024  # beyond this the connection counts as broken
+READ_BYTES = 16 * 1024  # read per round of the loop, so that a peer that floods delays no others
+UNSENT_MAX_BYTES = 256 * 1024  # with more bytes unsent, the connection is treated as broken
 
 
 class Stream:
-    """One connected socket and what has not been sent on it yet."""
+    """A connected socket with a buffer of unsent bytes, and TLS once :meth:`secure` has succeeded."""
 
     def __init__(self, loop: EventLoop, sock: socket.socket) -> None:
         self._loop = loop
@@ -29,7 +29,7 @@
         self._tls_output = ssl.MemoryBIO()
 
     def write(self, data: bytes) -> None:
-        """Send what the socket takes and buffer the rest for ``read``, which reports an error, too."""
+        """Send what the socket accepts and buffer the rest; :meth:`read` sends it and reports any error."""
         if self._tls is not None:
             self._tls.write(data)
             self._flush_tls()
@@ -38,16 +38,17 @@
             self._flush()
 
     def read(self, deadline_ms: float) -> Generator[Wait, int, bytes | Failure]:
-        """Return bytes that came, or a Failure at the stream's end.
+        """Return received bytes, or a Failure at the end of the stream or on an error.
 
-        No bytes: the deadline has passed or the task was woken.
+        The result is empty if ``deadline_ms`` (Unix milliseconds) has passed, the task was woken, or only
+        unsent bytes could be sent.
         """
-        if self._tls is not None:  # what a handshake or an earlier read left over
+        if self._tls is not None:  # bytes left over from the handshake or an earlier read
             data = self._decrypt(b"")
             if data:
                 return data
         if len(self._unsent) > UNSENT_MAX_BYTES:
-            return Failure(Progress.SENT, "the peer reads nothing")
+            return Failure(Progress.SENT, "the peer does not read the bytes sent to it")
         ready = yield self._wait(deadline_ms)
         if ready & WRITABLE:
             self._flush()
@@ -61,7 +62,7 @@
     def secure(
         self, context: ssl.SSLContext, hostname: str, deadline_ms: float
     ) -> Generator[Wait, int, Failure | None]:
-        """Wrap the stream in TLS as a client; a peer that can't prove its ``hostname`` is a Failure."""
+        """Start TLS as a client; return a Failure if the handshake or the check of ``hostname`` fails."""
         tls = context.wrap_bio(self._tls_input, self._tls_output, server_hostname=hostname)
         while True:
             try:
@@ -69,17 +70,19 @@
             except ssl.SSLWantReadError:
                 pass
             except ssl.SSLCertVerificationError as error:
-                self._flush_tls()  # the alert that says why
-                return Failure(Progress.SENT, f"certificate: {error.verify_message}")
+                self._flush_tls()  # send the TLS alert, which tells the peer why
+                return Failure(Progress.SENT, f"TLS certificate not valid: {error.verify_message}")
             except (ssl.SSLError, ssl.CertificateError) as error:
-                return Failure(Progress.SENT, f"TLS: {getattr(error, 'reason', None) or error}")
+                return Failure(
+                    Progress.SENT, f"TLS handshake failed: {getattr(error, 'reason', None) or error}"
+                )
             else:
                 self._flush_tls()
                 self._tls = tls
                 return None
             self._flush_tls()
             if self._loop.clock.now() >= deadline_ms:
-                return Failure(Progress.SENT, "TLS: no time left", timed_out=True)
+                return Failure(Progress.SENT, "TLS handshake timed out", timed_out=True)
             ready = yield self._wait(deadline_ms)
             if ready & (READABLE | HANGUP):
                 raw = self._receive()
@@ -88,7 +91,7 @@
                 self._tls_input.write(raw)
 
     def close(self) -> None:
-        """Close now."""
+        """Close the socket immediately; unsent bytes are lost."""
         self._loop.close(self._sock)
 
     def _wait(self, deadline_ms: float) -> Wait:
@@ -107,11 +110,11 @@
         try:
             while self._unsent:
                 del self._unsent[: self._sock.send(self._unsent)]
-        except OSError:  # full, or broken: the next read finds out which
+        except OSError:  # the send buffer is full or the socket broken; the next read tells which
             pass
 
     def _flush_tls(self) -> None:
-        """Send what the TLS layer has written."""
+        """Send the encrypted bytes that the TLS layer has produced."""
         self._unsent += self._tls_output.read()
         self._flush()
 
@@ -124,9 +127,9 @@
         except ssl.SSLWantReadError:
             data = b""
         except ssl.SSLError as error:
-            return Failure(Progress.SENT, f"TLS: {error.reason or error}")
+            return Failure(Progress.SENT, f"TLS error: {error.reason or error}")
         else:
             if not data:
                 return Failure(Progress.SENT, "closed by the peer")
-        self._flush_tls()  # answers to key updates
+        self._flush_tls()  # the TLS layer may have produced a reply to a key update
         return data
