--- a/snowthread/hot_restart/channel.py
+++ b/snowthread/hot_restart/channel.py
@@ -1,24 +1,25 @@
 """The channel between the two processes of a node during a hot restart.
 
-The predecessor listens on a socket in a directory that both processes have. The successor connects, receives
-what the predecessor knows of idempotency keys, accepts clients and says so. A process that finds nobody is
-standalone and listens for its own successor.
+The predecessor listens on a socket in a directory that both processes share. The successor connects,
+receives the predecessor's records of idempotency keys, starts to accept clients and notifies the predecessor.
+A process that finds no predecessor is standalone and listens for its own successor.
 
 | state       | event                                          | next state and action                       |
 | ----------- | ---------------------------------------------- | ------------------------------------------- |
-| searching   | no socket file, or refused for ``JOIN_MS``     | standalone: accept clients, listen          |
+| searching   | no socket file, or connection refused for      | standalone: accept clients, listen          |
+|             | ``JOIN_TIMEOUT_MS``                            |                                             |
 | searching   | connected                                      | successor: send HELLO                       |
 | successor   | HANDOVER_COMPLETE received                     | the same: accept clients, send              |
 |             |                                                | TAKING_CLIENTS                              |
 | successor   | CLIENTS_RELEASED received                      | the same, takeover complete                 |
 | successor   | link broken, the predecessor still listens     | the same: reconnect, send HELLO             |
-| successor   | link broken, nobody listens                    | standalone: ``PeerProcessExited``, listen   |
+| successor   | link broken, no process listens                | standalone: ``PeerProcessExited``, listen   |
 | standalone  | a process connects                             | predecessor                                 |
 | predecessor | HELLO received                                 | the same: the reducer sends all keys, then  |
 |             |                                                | HANDOVER_COMPLETE                           |
 | predecessor | TAKING_CLIENTS received                        | the same: stop accepting, send              |
 |             |                                                | CLIENTS_RELEASED                            |
-| predecessor | link broken, the successor lives               | the same: only that process may reconnect   |
+| predecessor | link broken, the successor still runs          | the same: only that process may reconnect   |
 | predecessor | the successor has exited                       | standalone: ``PeerProcessExited``, accept   |
 |             |                                                | clients                                     |
 """
@@ -38,12 +39,12 @@
 from snowthread.hot_restart.socket_file import ConnectFailure, PeerProcess
 from snowthread.net.loop import READABLE, Coroutine, EventLoop, Task, Wait
 
-JOIN_MS = 300.0  # for this long a socket that refuses is tried: its owner may be replacing the file just now
-RETRY_MS = 20.0  # between two attempts to connect
+JOIN_TIMEOUT_MS = 300.0  # retries on a refusing socket; its owner may be replacing the file
+CONNECT_RETRY_INTERVAL_MS = 20.0  # between two attempts to connect to the predecessor
 
 
 class HotRestartChannel:
-    """Finds the peer process, maintains the link to it and posts what it sends as events."""
+    """Finds the peer process, maintains the link to it and posts its messages as events."""
 
     def __init__(
         self,
@@ -52,10 +53,10 @@
         post: Callable[[events.Event], None],
         accept_clients: Callable[[], None],
     ) -> None:
-        """Start to look for a predecessor.
+        """Start to search for a predecessor through the socket in ``directory``.
 
-        ``accept_clients`` is called as soon as this process may accept clients: no peer process is there, or
-        all keys that it knows are known here.
+        ``post`` passes an event to the reducer. ``accept_clients`` is called as soon as this process may
+        accept clients: there is no peer process, or it has sent all its keys.
         """
         self._loop = loop
         self._directory = directory
@@ -63,7 +64,7 @@
         self._accept_clients = accept_clients
         self._link: PeerLink | None = None
         self._latest_accepted_link: PeerLink | None = None
-        self._successor_pid: int | None = None  # None: there is no successor, or its pid is not known
+        self._successor_pid: int | None = None  # None if there is no successor or its pid is unknown
         self._listener: socket.socket | None = None
         self._closed = False
         self._takeover_complete = False
@@ -71,18 +72,18 @@
 
     @property
     def takeover_complete(self) -> bool:
-        """Whether the predecessor has released the clients to this process, or there is none.
+        """Whether the predecessor has released the clients to this process, or there is no predecessor.
 
-        Until then a notice of shutdown would make the predecessor withdraw the node's registration.
+        Before that, a shutdown notice to the predecessor would make it withdraw the node's registration.
         """
         return self._takeover_complete
 
     def send(self, effect: effects.SendToPeerProcess) -> None:
-        """Send a message to the peer process, if there is one."""
+        """Send a message to the peer process; without a link it is dropped."""
         self._send(effect.message)
 
     def send_handover_complete(self, _: effects.SendHandoverComplete) -> None:
-        """Notify the successor that all keys were sent."""
+        """Notify the successor that all keys have been sent."""
         self._send(HandoverSignal.HANDOVER_COMPLETE)
 
     def _send(self, message: OutgoingMessage) -> None:
@@ -90,7 +91,7 @@
             self._link.send(message)
 
     def close(self) -> None:
-        """Write the queued messages and post nothing more: this process exits."""
+        """Write the queued messages and post no more events, because this process exits."""
         self._closed = True
         if self._link is not None:
             self._link.flush()
@@ -98,39 +99,41 @@
     # The successor's side.
 
     def _join(self) -> Coroutine:
-        """Connect to the predecessor until none is left, then serve standalone.
+        """Connect to the predecessor, again after each broken link, and serve standalone once it has exited.
 
-        A broken link does not mean that the predecessor has exited: it still decides on claims of keys. This
-        process is standalone only once nobody listens.
+        A broken link does not mean that the predecessor has exited, and until it exits it decides on claims
+        of keys. This process is standalone only once no process listens on the socket.
         """
-        give_up_at_ms = self._loop.clock.now() + JOIN_MS
+        give_up_at_ms = self._loop.clock.now() + JOIN_TIMEOUT_MS
         joined = False
         while True:
             found = socket_file.connect(self._directory)
             if isinstance(found, socket.socket):
                 if not joined:
                     logger.bind(event="hot_restart.joined", peer="hot_restart").info(
-                        "another process of this node serves: taking over from it"
+                        "connected to the predecessor process of this node: taking over from it"
                     )
                 joined = True
                 yield from self._follow_predecessor(found)
                 if self._closed:
                     return
-                give_up_at_ms = self._loop.clock.now()  # it listened just now: refused means that it exited
-            elif self._is_nobody_there(found, give_up_at_ms):
+                give_up_at_ms = (
+                    self._loop.clock.now()
+                )  # it listened until now, so a refusal means that it has exited
+            elif self._is_predecessor_absent(found, give_up_at_ms):
                 break
-            yield Wait(until_ms=self._loop.clock.now() + RETRY_MS)
+            yield Wait(until_ms=self._loop.clock.now() + CONNECT_RETRY_INTERVAL_MS)
         if joined:
             self._report_exit()
         self._takeover_complete = True
         self._listen()
         self._accept_clients()
 
-    def _is_nobody_there(self, failure: ConnectFailure, give_up_at_ms: float) -> bool:
+    def _is_predecessor_absent(self, failure: ConnectFailure, give_up_at_ms: float) -> bool:
         return failure.is_absent or (failure.is_refused and self._loop.clock.now() >= give_up_at_ms)
 
     def _follow_predecessor(self, sock: socket.socket) -> Coroutine:
-        """Run one link to the predecessor until it breaks."""
+        """Serve one link to the predecessor until it breaks."""
         link = PeerLink(self._loop, sock, self._receive)
         link.task = self._joining
         self._link = link
@@ -141,12 +144,12 @@
     # The predecessor's side.
 
     def _listen(self) -> None:
-        """Let a successor find this process."""
+        """Listen on the socket in the shared directory, so that a successor finds this process."""
         try:
             self._listener = socket_file.listen(self._directory)
-        except OSError as error:  # this process serves all the same, but none can take over from it
+        except OSError as error:  # this process still serves, but no other process can take over from it
             logger.bind(event="hot_restart.failed", peer="hot_restart").error(
-                "no other process can take over from this one: {}", error
+                "cannot listen for a successor process, hot restart is not possible: {}", error
             )
             return
         self._loop.spawn(self._accept_successors(self._listener))
@@ -159,7 +162,9 @@
             except OSError:
                 continue
             process = socket_file.peer_process(sock)
-            if self._is_third_process(process):  # it retries until the other one is gone
+            if self._is_third_process(
+                process
+            ):  # a third process retries until the current successor has exited
                 sock.close()
                 if process is not None:
                     os.close(process.exit_descriptor)
@@ -177,10 +182,10 @@
         return process is not None and self._successor_pid not in (None, process.pid)
 
     def _serve_successor(self, link: PeerLink, process: PeerProcess | None) -> Coroutine:
-        """Run one link from the successor, then wait for the end of that process.
+        """Serve one link from the successor, then wait until that process exits.
 
-        A broken link does not mean that the successor has exited. It runs no key without a decision from
-        here, so nothing is lost by waiting until it connects again.
+        A broken link does not mean that the successor has exited. The successor starts no run with a key
+        without this process's decision, so it is safe to wait until it reconnects.
         """
         try:
             yield from self._run_link(link)
--- a/snowthread/hot_restart/link.py
+++ b/snowthread/hot_restart/link.py
@@ -1,4 +1,4 @@
-"""One connection to the peer process: a bounded queue of outgoing messages, and the messages that come in."""
+"""One connection to the peer process: sends from a bounded queue, and passes on received messages."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 from snowthread.hot_restart.messages import IncomingMessage, OutgoingMessage, decode, encode, unpacker
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, EventLoop, Task, Wait
 
-READ_BYTES = 64 * 1024  # at a time
-ENCODE_AHEAD_BYTES = 64 * 1024  # at least so much is encoded at a time; the other messages wait as objects
-QUEUE_MAX_MESSAGES = 20_000  # unsent; a peer that does not read must not fill the memory
+READ_BYTES = 64 * 1024  # most bytes per read
+ENCODE_BATCH_BYTES = 64 * 1024  # size at which a batch is sent; later messages stay objects until their turn
+QUEUE_MAX_MESSAGES = 20_000  # most unsent messages: a peer that does not read must not fill the memory
 
 
 class PeerLink:
-    """A connection to the peer process, from connect until it breaks.
+    """A connection to the peer process, until it breaks.
 
-    ``task`` is the coroutine that runs :meth:`run`; it is woken when a message could not be written at once.
+    ``receive`` is called with each received message. ``task`` is the task that runs :meth:`run`; it is woken
+    when a message could not be written completely.
     """
 
     def __init__(
@@ -38,16 +39,16 @@
         return bool(self._encoded or self._queue)
 
     def send(self, message: OutgoingMessage) -> None:
-        """Queue a message and write what the socket accepts; cut the link where too many are unsent.
+        """Queue a message and write what the socket accepts; disconnect if too many messages are unsent.
 
-        The peer process, if it still runs, connects again and is sent all keys again.
+        If the peer process still runs, it reconnects and is sent all keys again.
         """
         if len(self._queue) >= QUEUE_MAX_MESSAGES:
             logger.bind(event="hot_restart.stuck", peer="hot_restart").warning(
-                "the peer process does not read: link cut"
+                "the peer process does not read its messages: disconnecting from it"
             )
             self._queue.clear()
-            self.cut()
+            self.disconnect()
             return
         self._queue.append(message)
         if len(self._queue) == 1 and not self._encoded:
@@ -56,27 +57,27 @@
                 self._loop.wake(self.task)
 
     def flush(self) -> None:
-        """Write what the socket accepts. A message is encoded only when its turn comes."""
+        """Write what the socket accepts. A message is encoded only when the ones before it are written."""
         try:
             while self._has_unsent:
-                self._encode_ahead()
+                self._encode_batch()
                 self._encoded = self._encoded[self._sock.send(self._encoded) :]
         except BlockingIOError:
             pass
-        except OSError:  # the next read reports that the link is broken
+        except OSError:  # the socket is broken; the next read reports it
             self._encoded = b""
             self._queue.clear()
 
-    def _encode_ahead(self) -> None:
+    def _encode_batch(self) -> None:
         pieces = [self._encoded]
         size = len(self._encoded)
-        while self._queue and size < ENCODE_AHEAD_BYTES:
+        while self._queue and size < ENCODE_BATCH_BYTES:
             pieces.append(encode(self._queue.popleft()))
             size += len(pieces[-1])
         self._encoded = b"".join(pieces)
 
     def run(self) -> Coroutine:
-        """Send and receive until the link breaks, then close the socket."""
+        """Send and receive messages until the link breaks, then close the socket."""
         incoming = unpacker()
         try:
             while True:
@@ -87,13 +88,13 @@
                     return
         except (OSError, ValueError, msgpack.UnpackException) as error:
             logger.bind(event="hot_restart.protocol_error", peer="hot_restart").warning(
-                "link to the peer process: {}", error
+                "link to the peer process failed, closing it: {}", error
             )
         finally:
             self._loop.close(self._sock)
 
     def _read(self, incoming: msgpack.Unpacker) -> bool:
-        """Read once and pass the messages on; return False at the end of the stream."""
+        """Read once and pass on the complete messages; return False at the end of the stream."""
         try:
             data = self._sock.recv(READ_BYTES)
         except BlockingIOError:
@@ -105,6 +106,6 @@
             self._receive(decode(message))
         return True
 
-    def cut(self) -> None:
-        """Shut the connection down in both directions; :meth:`run` then ends."""
+    def disconnect(self) -> None:
+        """Shut down the connection in both directions, which makes :meth:`run` end."""
         self._sock.shutdown(socket.SHUT_RDWR)
--- a/snowthread/hot_restart/messages.py
+++ b/snowthread/hot_restart/messages.py
@@ -1,9 +1,9 @@
 """Codec of the messages between the two processes of a hot restart.
 
-Sans-I/O: values in, bytes out, and back. A message is a MessagePack array, its name first. Each kind of
-message has one :class:`MessageFormat` in :data:`MESSAGE_FORMATS`; a :class:`HandoverSignal` carries the
-version of the protocol and nothing else. Names and fields are fixed: a process has to understand the one of
-an earlier release that it replaces.
+Sans-I/O. A message is a MessagePack array whose first element is its name. Each kind of message has one
+:class:`MessageFormat` in :data:`MESSAGE_FORMATS`; the only field of a :class:`HandoverSignal` is the protocol
+version. Names and fields must not change: a process has to understand the process of an earlier release that
+it replaces.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from snowthread.core import events
 from snowthread.core.idempotency import IdempotencyRecord
 
-VERSION = 1
-MESSAGE_MAX_BYTES = 64 * 1024  # more than an idempotency record with its result takes
-UNPACKER_MAX_BYTES = 2 * MESSAGE_MAX_BYTES  # a message cut in two by a read, and the read
-ERROR_EXCERPT_CHARACTERS = 80  # of an unknown message, in the error's text
+VERSION = 1  # of the protocol between the two processes
+MESSAGE_MAX_BYTES = 64 * 1024  # larger than any idempotency record with its result
+UNPACKER_MAX_BYTES = 2 * MESSAGE_MAX_BYTES  # a partial message plus the bytes of one read
+ERROR_EXCERPT_CHARACTERS = 80  # length of an unknown message's excerpt in the error text
 
 
 class HandoverSignal(Enum):
-    """A step of the hot restart that one process signals to the other; the value is its name on the wire."""
+    """A step of the hot restart that one process signals to the other; the value is the name on the wire."""
 
-    HELLO = "hello"  # successor: connected, send all keys
-    HANDOVER_COMPLETE = "all"  # predecessor: all keys were sent
-    TAKING_CLIENTS = "takes"  # successor: accepts connections now
-    CLIENTS_RELEASED = "yours"  # predecessor: accepts no more connections
+    HELLO = "hello"  # from the successor: it has connected and asks for all keys
+    HANDOVER_COMPLETE = "all"  # from the predecessor: all keys have been sent
+    TAKING_CLIENTS = "takes"  # from the successor: it accepts connections now
+    CLIENTS_RELEASED = "yours"  # from the predecessor: it accepts no more connections
 
 
 SharedEvent = (
@@ -42,45 +42,45 @@
     | events.DrainRequested
     | events.PeerLoadReported
 )
-"""What either process may send, and receives as it was sent."""
+"""Events that either process may send; the peer receives the same event."""
 
 OutgoingMessage = HandoverSignal | IdempotencyRecord | SharedEvent
-"""What a process sends. A record is encoded as it stands when it is written, not when it is queued."""
+"""What a process sends. A record is encoded in its state when it is written, not when it is queued."""
 
 IncomingEvent = events.KeyReplicated | SharedEvent
-"""What a process receives for the reducer: the peer's records arrive as :class:`events.KeyReplicated`."""
+"""Events that a process receives; records of the peer arrive as :class:`events.KeyReplicated`."""
 
 IncomingMessage = HandoverSignal | IncomingEvent
-"""What a process receives."""
+"""Everything that a process can receive."""
 
 WireValue = str | int | float | bytes | bool | None
 
 
 class PeerProtocolError(ValueError):
-    """The peer process sent something that is no message of this protocol."""
+    """The peer process sent a message that is not valid in this protocol."""
 
 
 class UnknownMessageError(PeerProtocolError):
-    """It is no array with the name of a message first."""
+    """A message is not an array that starts with the name of a known message."""
 
     def __init__(self, message: object) -> None:
-        super().__init__(f"not a message: {str(message)[:ERROR_EXCERPT_CHARACTERS]}")
+        super().__init__(f"unknown message: {str(message)[:ERROR_EXCERPT_CHARACTERS]}")
         self.message = message
 
 
 class MessageFieldsError(PeerProtocolError):
-    """Its fields are not those of the message with this name."""
+    """The number or types of a message's fields do not match its name."""
 
     def __init__(self, name: str) -> None:
-        super().__init__(f"{name}: not its fields")
+        super().__init__(f"message {name}: wrong number or types of fields")
         self.name = name
 
 
 class VersionError(PeerProtocolError):
-    """A signal of another version of the protocol."""
+    """A signal has another protocol version than this process."""
 
     def __init__(self, signal: HandoverSignal, version: object) -> None:
-        super().__init__(f"{signal.value}: version {version}, not {VERSION}")
+        super().__init__(f"signal {signal.value}: protocol version {version}, expected {VERSION}")
         self.signal = signal
         self.version = version
 
@@ -88,8 +88,9 @@
 class MessageFormat:
     """The wire format of one kind of message.
 
-    ``fields`` maps each attribute of ``source`` to the type of its value on the wire, in wire order, which is
-    also the order of the arguments of ``event``.
+    ``name`` is the name on the wire, ``source`` the type that is encoded, and ``event`` the event that it is
+    decoded to. ``fields`` maps the attributes of ``source`` to the types of their values on the wire, in wire
+    order, which is also the order of the arguments of ``event``.
     """
 
     __slots__ = ("_read_fields", "event", "fields", "name", "source")
@@ -109,7 +110,7 @@
 
     def values_of(self, message: object) -> tuple[WireValue, ...]:
         """Return the values of a message's fields, in wire order."""
-        values: Any = self._read_fields(message)  # one attribute alone is not read as a tuple
+        values: Any = self._read_fields(message)  # attrgetter returns a single attribute without a tuple
         return values if len(self.fields) > 1 else (values,)
 
 
@@ -154,7 +155,7 @@
         {"runs": int, "memory_kb": float, "calls": int, "descriptors": int},
     ),
 )
-SIGNAL_FIELDS = (int,)  # the version of the protocol
+SIGNAL_FIELDS = (int,)  # the protocol version
 _FORMATS_BY_SOURCE = {message_format.source: message_format for message_format in MESSAGE_FORMATS}
 _FORMATS_BY_NAME = {message_format.name: message_format for message_format in MESSAGE_FORMATS}
 _SIGNALS_BY_NAME = {signal.value: signal for signal in HandoverSignal}
@@ -164,7 +165,7 @@
     """Return the bytes of one message.
 
     Raises:
-        TypeError: The value is no message of this protocol.
+        TypeError: the value is not a message of this protocol.
     """
     message_format = _FORMATS_BY_SOURCE.get(type(message))
     fields: tuple[WireValue, ...]
@@ -173,18 +174,18 @@
     elif isinstance(message, HandoverSignal):
         fields = (message.value, VERSION)
     else:
-        raise TypeError(type(message).__name__)
+        raise TypeError(f"not a hot restart message: {type(message).__name__}")
     packed: bytes = msgpack.packb(fields, unicode_errors="surrogateescape")
     return packed
 
 
 def decode(message: object) -> IncomingMessage:
-    """Return the signal or the event that an unpacked message stands for.
+    """Return the signal or the event of an unpacked message.
 
     Raises:
-        UnknownMessageError: It is no message of this protocol.
-        MessageFieldsError: It is one, but its fields are not the ones of its name.
-        VersionError: It is a signal of another version of the protocol.
+        UnknownMessageError: the name is not that of a message of this protocol.
+        MessageFieldsError: the number or types of the fields do not match the name.
+        VersionError: the message is a signal of another protocol version.
     """
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
         raise UnknownMessageError(message)
@@ -192,7 +193,7 @@
     fields = message[1:]
     signal = _SIGNALS_BY_NAME.get(name)
     if signal is not None:
-        if not _are_of_types(fields, SIGNAL_FIELDS):
+        if not _match_types(fields, SIGNAL_FIELDS):
             raise MessageFieldsError(name)
         if fields[0] != VERSION:
             raise VersionError(signal, fields[0])
@@ -200,18 +201,18 @@
     message_format = _FORMATS_BY_NAME.get(name)
     if message_format is None:
         raise UnknownMessageError(message)
-    if not _are_of_types(fields, message_format.fields.values()):
+    if not _match_types(fields, message_format.fields.values()):
         raise MessageFieldsError(name)
     return message_format.event(*fields)
 
 
-def _are_of_types(fields: list[object], types: Collection[type | UnionType]) -> bool:
+def _match_types(fields: list[object], types: Collection[type | UnionType]) -> bool:
     return len(fields) == len(types) and all(map(isinstance, fields, types))
 
 
 def unpacker() -> msgpack.Unpacker:
-    """Return an unpacker for the peer's bytes.
+    """Return an unpacker for the bytes that the peer process sends.
 
-    Bytes of a balancer that are no UTF-8 text (in an idempotency key) come out as they went in.
+    Bytes in an idempotency key that are not valid UTF-8 are preserved.
     """
     return msgpack.Unpacker(max_buffer_size=UNPACKER_MAX_BYTES, unicode_errors="surrogateescape")
--- a/snowthread/hot_restart/socket_file.py
+++ b/snowthread/hot_restart/socket_file.py
@@ -1,4 +1,4 @@
-"""The Unix socket by which the two processes of a node find each other in a shared directory."""
+"""The Unix socket in a shared directory through which the two processes of a node find each other."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-SOCKET_NAME = "beside"  # fixed: processes of earlier releases look for this name
-LISTEN_BACKLOG = 4  # connections
-_PEER_CREDENTIALS = struct.Struct("3i")  # Linux ``struct ucred``: pid, uid, gid
+SOCKET_NAME = "beside"  # must not change: processes of earlier releases look for this name
+LISTEN_BACKLOG = 4  # connections that the kernel queues until they are accepted
+_PEER_CREDENTIALS = struct.Struct("3i")  # ``struct ucred`` of Linux: pid, uid, gid
 
 
 @dataclass(frozen=True, slots=True)
 class PeerProcess:
     """The process at the other end of a Unix socket.
 
-    ``exit_descriptor`` is readable once that process has ended, whichever process has its pid by then. The
-    owner of this object closes the descriptor.
+    ``exit_descriptor`` is a pidfd: it becomes readable when that process exits, even if its pid is reused.
+    The owner of this object must close the descriptor.
     """
 
     pid: int
@@ -29,9 +29,9 @@
 
 
 def peer_process(sock: socket.socket) -> PeerProcess | None:
-    """Return the process at the other end, or None where the system does not know it.
+    """Return the process at the other end of a socket, or None if the system cannot tell.
 
-    Where it is None, the end of the connection counts as the end of the process.
+    In that case, the caller treats the end of the connection as the exit of the process.
     """
     try:
         credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER_CREDENTIALS.size)
@@ -43,7 +43,7 @@
 
 @contextmanager
 def _short_path(directory: str) -> Iterator[Path]:
-    """Provide a path to the socket that fits into 107 bytes however long the directory's own path is."""
+    """Provide a path to the socket that fits into the limit of 107 bytes, however long ``directory`` is."""
     descriptor = os.open(directory, os.O_PATH | os.O_DIRECTORY)
     try:
         yield Path(f"/proc/self/fd/{descriptor}/{SOCKET_NAME}")
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectFailure:
-    """Why no connection to the peer process was made."""
+    """A failed attempt to connect to the peer process, with its ``errno``."""
 
     error_number: int
 
@@ -64,12 +64,12 @@
 
     @property
     def is_refused(self) -> bool:
-        """Whether there is a socket file on which nobody listens."""
+        """Whether there is a socket file but no process listens on it."""
         return self.error_number == errno.ECONNREFUSED
 
 
 def connect(directory: str) -> socket.socket | ConnectFailure:
-    """Connect to the process that listens in the directory; return a non-blocking socket or the failure."""
+    """Connect to the process that listens in ``directory``; return a non-blocking socket or the failure."""
     try:
         with _short_path(directory) as path:
             return _connect_to(path)
@@ -88,13 +88,13 @@
 
 
 def listen(directory: str) -> socket.socket:
-    """Listen in the directory and return the non-blocking listener.
+    """Listen on the socket file in ``directory`` and return the non-blocking listening socket.
 
-    The socket is moved into place once it listens: a process that connects meanwhile must not find the file
-    without a listener.
+    The file is created under a temporary name and renamed once the socket listens, so that a process that
+    connects in between never finds a file without a listener.
 
     Raises:
-        OSError: The directory is missing or not writable, or no descriptor is free.
+        OSError: the directory is missing or not writable, or no descriptor is free.
     """
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
--- a/tests/hot_restart/test_hot_restart_faults.py
+++ b/tests/hot_restart/test_hot_restart_faults.py
@@ -29,7 +29,7 @@
         pair.predecessor.node.post(events.KeyClaimRequested(f"s{index}", f"{index:016x}", START, b"x" * 200))
         assert len(queue) <= 50
     for _ in range(3):
-        pair.advance(channel.RETRY_MS)
+        pair.advance(channel.CONNECT_RETRY_INTERVAL_MS)
     pair.settle(40)
     assert ready_status(pair.successor) == 200
     assert pair.successor.node.state.handover_role is HandoverRole.SUCCESSOR  # it reconnected
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("side", ["predecessor", "successor"])
-@pytest.mark.parametrize("fate", ["dropped", "killed", "cut"])
+@pytest.mark.parametrize("fate", ["dropped", "killed", "disconnected"])
 @pytest.mark.parametrize("step", range(8))
 def test_no_key_runs_twice_whichever_message_is_lost_or_process_dies(
     pair: ProcessPair, monkeypatch: pytest.MonkeyPatch, side: str, fate: str, step: int
@@ -82,8 +82,8 @@
         sent[sender] += 1
         if sender != side or sent[sender] != step + 1:
             send(hot_restart, message)
-        elif fate == "cut":
-            hot_restart._link.cut()
+        elif fate == "disconnected":
+            hot_restart._link.disconnect()
         elif fate == "killed":
             victim = predecessor if sender == "predecessor" else pair.successor
             pair.kill(victim)
@@ -96,7 +96,7 @@
     keys_run = [key_of(attempt_id) for player in pair.all for attempt_id in pair.started_runs(player)]
     assert "k1" in keys_run
     assert len(keys_run) == len(set(keys_run)), keys_run
-    pair.advance(channel.RETRY_MS)
+    pair.advance(channel.CONNECT_RETRY_INTERVAL_MS)
     pair.advance(TIMEOUT_MS + 50.0)  # past every deadline: nothing is left open
     for player in pair.running:
         assert not player.node.state.requests_by_response_address
@@ -112,8 +112,8 @@
     try:
         node = pair.predecessor.node
         assert not node.balancers.accepting  # its owner may just be replacing it
-        pair.advance(channel.JOIN_MS + channel.RETRY_MS)
-        pair.advance(channel.RETRY_MS)
+        pair.advance(channel.JOIN_TIMEOUT_MS + channel.CONNECT_RETRY_INTERVAL_MS)
+        pair.advance(channel.CONNECT_RETRY_INTERVAL_MS)
         assert node.balancers.accepting
         assert ready_status(pair.predecessor) == 200
         pair.connect_runtime(pair.predecessor)
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -244,13 +244,13 @@
         player.node.loop.end_all_tasks()
         self._forget(player)
         self.settle()
-        self.advance(channel.RETRY_MS)
+        self.advance(channel.CONNECT_RETRY_INTERVAL_MS)
 
     def kill(self, player: ExchangePlayer) -> None:
         """Kill a process in the middle of its step: what it was about to do is not done."""
         hot_restart = self._silence(player)
         assert hot_restart._link is not None
-        hot_restart._link.cut()
+        hot_restart._link.disconnect()
         self._forget(player)
 
     def _silence(self, player: ExchangePlayer) -> HotRestartChannel:
