--- a/snowthread/__main__.py
+++ b/snowthread/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m snowthread``: without arguments it serves, and does not import the command line for that."""
+"""Entry point of ``python -m snowthread``: without arguments it serves, and imports no command line."""
 
 import sys
 
--- a/snowthread/address.py
+++ b/snowthread/address.py
@@ -1,4 +1,4 @@
-"""Network addresses as the configuration gives them."""
+"""Network addresses, in the form in which the configuration has them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AddressError(ValueError):
-    """A text that is no address; ``text`` is the text as given."""
+    """A text is not a valid address; ``text`` is that text."""
 
     def __init__(self, text: str, message: str) -> None:
         super().__init__(message)
@@ -17,7 +17,7 @@
 
 
 class Address(NamedTuple):
-    """A numeric IPv4 or IPv6 host (nothing here resolves names) and a port."""
+    """A numeric IPv4 or IPv6 host and a port; host names are not resolved."""
 
     host: str
     port: int
@@ -27,7 +27,7 @@
         """Parse ``host:port``, an IPv6 host with or without brackets.
 
         Raises:
-            AddressError: says what is wrong.
+            AddressError: the form, the port or the host is not valid.
         """
         host, _, port = text.rpartition(":")
         host = host.strip("[]")
@@ -46,7 +46,7 @@
         return socket.AF_INET6 if ":" in self.host else socket.AF_INET
 
     def open(self, kind: socket.SocketKind) -> socket.socket:
-        """Return a new non-blocking socket of this address's family; OSError where none is left."""
+        """Return a new non-blocking socket of this address's family; OSError if no descriptor is free."""
         sock = socket.socket(self.family, kind)
         sock.setblocking(False)
         return sock
--- a/snowthread/cli.py
+++ b/snowthread/cli.py
@@ -1,4 +1,4 @@
-"""The command line. A bare ``python -m snowthread`` serves without it (see ``serve.py``)."""
+"""The command line. ``python -m snowthread`` without arguments serves without it (see ``serve.py``)."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from snowthread.tenants.cli import tenants
 
 INTERRUPTED_STATUS = 130
-"""Exit status after an interrupt from the keyboard, as shells have it."""
+"""Exit status after a keyboard interrupt, by the convention of shells."""
 
 operator_file_option = click.option(
     "--with",
     "operator_file",
     metavar="FILE",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="The operator's own file (HCL), one block a feature; see deploy/tenants.hcl.",
+    help="The operator's file (HCL), with one block per feature; see deploy/tenants.hcl.",
 )
 
 
@@ -34,15 +34,15 @@
     invoke_without_command=True,
     context_settings={"help_option_names": ["-h", "--help"]},
     epilog="NODE_CONFIG names the node's configuration (JSON, see examples/node.json); NODE_LOG is "
-    "the least level logged; NODE_LOG_FORMAT=json logs one JSON object a line.",
+    "the lowest level logged; NODE_LOG_FORMAT=json logs one JSON object per line.",
 )
 @click.version_option(__version__, prog_name="snowthread")
 @click.pass_context
 def cli(context: click.Context) -> None:
     """snowthread: a formula node.
 
-    It reads requests from balancers, runs, queues or rejects each, and answers it exactly once. Without a
-    command it serves.
+    It reads requests from balancers, runs, queues or rejects each one, and answers it exactly once. Without a
+    command, it serves.
     """
     if context.invoked_subcommand is None:
         context.invoke(serve)
@@ -51,7 +51,7 @@
 @cli.command()
 @operator_file_option
 def serve(operator_file: Path | None) -> None:
-    """Serve until SIGTERM, answer what was read, and exit. SIGHUP reloads all files."""
+    """Serve until SIGTERM, answer the requests that were read, and exit. SIGHUP reloads the files."""
     from snowthread.serve import serve as serve_node
 
     serve_node(operator_file)
@@ -60,7 +60,7 @@
 @cli.command()
 @operator_file_option
 def check(operator_file: Path | None) -> None:
-    """Check the configuration, and exit with status 2 where it can't be used."""
+    """Check the configuration, and exit with status 2 if it is not valid."""
     settings = config.load(os.environ)
     if operator_file is not None:
         from snowthread.operator.features import Features
@@ -89,7 +89,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run a command and return the exit status; an error that is the user's ends with one line."""
+    """Run a command and return its exit status; a usage or configuration error prints one line."""
     try:
         status = cli.main(
             args=None if arguments is None else list(arguments), prog_name="snowthread", standalone_mode=False
--- a/snowthread/config.py
+++ b/snowthread/config.py
@@ -1,8 +1,8 @@
-"""The configuration of a node: a JSON file and environment variables, read and checked.
+"""Reads and checks the configuration of a node: a JSON file and environment variables.
 
-NODE_CONFIG names the file; NODE_NAME, NODE_LISTEN and NODE_ADMIN_ADDR replace single fields of it, and
-NODE_FD is a listening socket that another process of this node passed on. Anything that can't be used is a
-:class:`ConfigError` that names the file and the key.
+NODE_CONFIG names the file; NODE_NAME, NODE_LISTEN and NODE_ADMIN_ADDR each override one field of it, and
+NODE_FD is the descriptor of a listening socket that another process of this node has passed on. An invalid
+value raises a :class:`ConfigError` that names the file and the key.
 """
 
 from __future__ import annotations
@@ -22,22 +22,26 @@
 from snowthread.config_shape import Shape, missing_key, shape_of
 
 CONFIG_ERROR_STATUS = 2
-"""Exit status for a configuration that can't be used, as click has it for a wrong command line."""
+"""Exit status for an invalid configuration; click uses the same for a wrong command line."""
 
-DEFAULT_MAX_SOCKETS = 1024  # where the file sets no limit
-DEFAULT_MEMORY_MB = 192.0  # where the file sets no limit
-DEFAULT_TERMINATION_GRACE_PERIOD_MS = 3000.0  # where the file states none
-MAX_SOCKETS_MIN = 64  # with fewer a node has none left for balancers
-SEED_BASE = 16
-FIELD_BY_VARIABLE = {"NODE_NAME": "name", "NODE_LISTEN": "listen", "NODE_ADMIN_ADDR": "admin_addr"}
-"""The fields of the file that an environment variable replaces."""
+DEFAULT_MAX_SOCKETS = 1024  # if the file has no "limits: sockets"
+DEFAULT_MEMORY_MB = 192.0  # if the file has no "limits: memory_mb"
+DEFAULT_TERMINATION_GRACE_PERIOD_MS = 3000.0  # if the file has no "stop_ms"
+MAX_SOCKETS_MIN = 64  # with fewer, no descriptors are left for balancers' connections
+SEED_BASE = 16  # the seed is written in hexadecimal digits
+FIELD_BY_ENVIRONMENT_VARIABLE = {
+    "NODE_NAME": "name",
+    "NODE_LISTEN": "listen",
+    "NODE_ADMIN_ADDR": "admin_addr",
+}
+"""Environment variables that override a field of the file, each with the key of that field."""
 
 
 class ConfigError(Exception):
-    """A configuration that can't be used.
+    """A configuration is not valid.
 
-    ``reason`` says why in one line; ``key`` is the key at fault, with the keys of the objects round it before
-    it, and ``path`` the file, where they are known. The text is ``path: key: reason``.
+    ``reason`` says why in one line. ``key`` is the invalid key, after the keys of the enclosing objects, and
+    ``path`` is the file; each is None if unknown. The text is ``path: key: reason``.
     """
 
     def __init__(self, reason: str, *, key: str | None = None, path: str | None = None) -> None:
@@ -47,7 +51,7 @@
         self.path = path
 
     def in_file(self, path: str) -> ConfigError:
-        """Return the same error with the file that it was found in."""
+        """Return the same error with the path of the file in which it was found."""
         return ConfigError(self.reason, key=self.key, path=path)
 
 
@@ -59,36 +63,36 @@
     listen: Address
     runtime: Address
     registry: Address
-    database: Address | None  # None where the settings say that runs call no database
+    database: Address | None  # None if the settings say that runs call no database
     seed: int
     termination_grace_period_ms: float  # from SIGTERM to the kill
-    sockets: int  # the most that may be open
+    sockets: int  # the maximum number of open sockets
     memory_mb: float
     settings: Settings
     gauge_names: tuple[str, ...]
-    admin: Address | None = None  # where operators call
+    admin: Address | None = None  # of the administration interface; None: there is none
     listen_descriptor: int | None = None  # of a listening socket that another process passed on
-    handover_directory: str | None = None  # where processes that share that socket find each other
-    key_shape: Shape = field(default_factory=dict, compare=False)  # the keys of the file
+    handover_directory: str | None = None  # shared directory in which the processes of a hot restart connect
+    key_shape: Shape = field(default_factory=dict, compare=False)  # the nested keys of the file
 
 
 def load(environment: Mapping[str, str], previous: Config | None = None) -> Config:
-    """Return the configuration that the environment names.
+    """Read the configuration from the file and variables in ``environment``.
 
-    It may lack no key that the ``previous`` one had: a truncated file would be taken for one that omits them.
+    A file that lacks a key of the ``previous`` configuration is rejected, because it may be truncated.
 
     Raises:
-        ConfigError: the file, a field or a variable can't be used.
+        ConfigError: the file, a field or an environment variable is not valid.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
-        raise ConfigError("NODE_CONFIG is not set: it names the configuration file")
+        raise ConfigError("NODE_CONFIG is not set; it must name the configuration file")
     fields = _read_file(path)
     shape = shape_of(fields)
     missing = missing_key(fields, previous.key_shape) if previous is not None else None
     if missing is not None:
-        raise ConfigError("is missing, the configuration in force has it", key=missing, path=path)
-    for variable, key in FIELD_BY_VARIABLE.items():
+        raise ConfigError("is missing, but the current configuration has it", key=missing, path=path)
+    for variable, key in FIELD_BY_ENVIRONMENT_VARIABLE.items():
         if environment.get(variable):
             fields[key] = environment[variable]
     descriptor = _listen_descriptor(environment)
@@ -109,29 +113,29 @@
     except ValueError as error:
         raise ConfigError(f"not JSON: {error}", path=path) from None
     if not isinstance(fields, dict):
-        raise ConfigError("not a JSON object", path=path)
+        raise ConfigError("must be a JSON object", path=path)
     return fields
 
 
 def _listen_descriptor(environment: Mapping[str, str]) -> int | None:
-    """Return the descriptor of a listening socket that was passed on, if any.
+    """Return the descriptor in NODE_FD of a listening socket that was passed on, or None.
 
     Raises:
-        ConfigError: the variable is no number.
+        ConfigError: NODE_FD is not a number.
     """
     number = environment.get("NODE_FD")
     if not number:
         return None
     if not (number.isascii() and number.isdigit()):
-        raise ConfigError(f"{number!r} is not a descriptor's number", key="NODE_FD")
+        raise ConfigError(f"{number!r} is not a descriptor number", key="NODE_FD")
     return int(number)
 
 
 def parse(fields: Mapping[str, Any]) -> Config:
-    """Check the fields of a file one by one and return them as a configuration.
+    """Check the fields of a configuration file and return the configuration.
 
     Raises:
-        ConfigError: names the first field that can't be used.
+        ConfigError: names the first field that is not valid.
     """
     name = _parse_name(fields)
     listen = _parse_address(fields, "listen")
@@ -144,7 +148,9 @@
     seed = _parse_seed(fields)
     settings, gauge_names = _parse_settings(fields, seed)
     if database is None and settings.dependency is not Dependency.NONE:
-        raise ConfigError("an address is wanted, the settings say that calls are made below", key="index")
+        raise ConfigError(
+            "must be an address, because the settings say that runs call a database", key="index"
+        )
     return Config(
         name=name,
         listen=listen,
@@ -164,7 +170,7 @@
 def _parse_name(fields: Mapping[str, Any]) -> str:
     name = fields.get("name")
     if not isinstance(name, str) or not name or any(character.isspace() for character in name):
-        raise ConfigError("a word is wanted", key="name")
+        raise ConfigError("must be a non-empty string without spaces", key="name")
     return name
 
 
@@ -178,23 +184,23 @@
 def _parse_termination_grace_period_ms(fields: Mapping[str, Any]) -> float:
     termination_grace_period_ms = fields.get("stop_ms", DEFAULT_TERMINATION_GRACE_PERIOD_MS)
     if not _is_positive_number(termination_grace_period_ms):
-        raise ConfigError("a number of milliseconds above 0 is wanted", key="stop_ms")
+        raise ConfigError("must be a number of milliseconds above 0", key="stop_ms")
     return float(termination_grace_period_ms)
 
 
 def _parse_limits(fields: Mapping[str, Any]) -> tuple[int, float]:
-    """Return the most sockets and the memory in MB.
+    """Return the maximum number of sockets, and the memory limit in MB.
 
     Raises:
-        ConfigError: one of them can't be used.
+        ConfigError: one of the limits is not valid.
     """
     limits = fields.get("limits") or {}
     sockets = limits.get("sockets", DEFAULT_MAX_SOCKETS) if isinstance(limits, dict) else None
     if isinstance(sockets, bool) or not isinstance(sockets, int) or sockets < MAX_SOCKETS_MIN:
-        raise ConfigError(f"a whole number of at least {MAX_SOCKETS_MIN} is wanted", key="limits: sockets")
+        raise ConfigError(f"must be a whole number of at least {MAX_SOCKETS_MIN}", key="limits: sockets")
     memory_mb = limits.get("memory_mb", DEFAULT_MEMORY_MB)
     if not _is_positive_number(memory_mb):
-        raise ConfigError("a number above 0 is wanted", key="limits: memory_mb")
+        raise ConfigError("must be a number above 0", key="limits: memory_mb")
     return sockets, float(memory_mb)
 
 
@@ -202,41 +208,43 @@
     try:
         return int(str(fields.get("seed", "0")), SEED_BASE)
     except ValueError:
-        raise ConfigError("hex digits are wanted", key="seed") from None
+        raise ConfigError("must be hexadecimal digits", key="seed") from None
 
 
 def _parse_settings(fields: Mapping[str, Any], seed: int) -> tuple[Settings, tuple[str, ...]]:
-    """Return the admission settings, tried on a controller, and the names of the runtime's gauges.
+    """Return the admission settings and the names of the runtime's gauges.
+
+    The settings are checked by constructing an admission controller with them.
 
     Raises:
-        ConfigError: they can't be used.
+        ConfigError: the settings are not valid.
     """
-    facts = fields.get("settings")
-    if not isinstance(facts, dict):
-        raise ConfigError("an object is wanted", key="settings")
+    settings_fields = fields.get("settings")
+    if not isinstance(settings_fields, dict):
+        raise ConfigError("must be an object", key="settings")
     try:
-        _check_class_times(facts)
-        settings = parse_settings(facts)
+        _check_class_times(settings_fields)
+        settings = parse_settings(settings_fields)
         _check_class_names(settings)
         Controller(settings, seed)
-        gauge_names = tuple(str(name) for name in (facts.get("domain") or {}).get("meters") or ())
+        gauge_names = tuple(str(name) for name in (settings_fields.get("domain") or {}).get("meters") or ())
     except (ValueError, TypeError, KeyError, AttributeError, ArithmeticError) as error:
-        raise ConfigError(f"settings can't be used: {type(error).__name__}: {error}") from None
+        raise ConfigError(f"invalid settings: {type(error).__name__}: {error}") from None
     return settings, gauge_names
 
 
-def _check_class_times(facts: Mapping[str, Any]) -> None:
-    for index, request_class in enumerate(facts.get("classes") or ()):
+def _check_class_times(settings_fields: Mapping[str, Any]) -> None:
+    for index, request_class in enumerate(settings_fields.get("classes") or ()):
         for key in ("goal_time_s", "deadline_s"):
             seconds = request_class[key]
             if type(seconds) not in (int, float) or not 0.0 < seconds < math.inf:
-                raise ValueError(f"classes: {index}: {key}: a number of seconds above 0 is wanted")
+                raise ValueError(f"classes: {index}: {key}: must be a number of seconds above 0")
 
 
 def _check_class_names(settings: Settings) -> None:
     names = [request_class.name for request_class in settings.classes]
     if not all(isinstance(name, str) and name for name in names) or len(set(names)) < len(names):
-        raise ValueError("classes: each wants a name of its own")
+        raise ValueError("classes: each class must have a unique, non-empty name")
 
 
 def _is_positive_number(value: object) -> bool:
--- a/snowthread/config_shape.py
+++ b/snowthread/config_shape.py
@@ -1,15 +1,18 @@
-"""Which keys a configuration file has: one that lacks a key it had before may be truncated."""
+"""Compares the keys of a configuration file with earlier ones: a file that lost a key may be truncated."""
 
 from __future__ import annotations
 
 from typing import Any
 
 Shape = dict[str, Any]
-"""The keys of an object, each with the shape of its value; of a list of objects, the keys that all have."""
+"""The nested keys of a JSON value.
+
+Of an object, each key with the shape of its value; of a list of objects, the keys that all of them have.
+"""
 
 
 def shape_of(value: object) -> Shape:
-    """Return the keys in a value, however deep."""
+    """Return the nested keys of a JSON value."""
     if isinstance(value, dict):
         return {key: shape_of(inner) for key, inner in value.items()}
     if isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
@@ -19,9 +22,10 @@
 
 
 def missing_key(value: object, shape: Shape, prefix: str = "") -> str | None:
-    """Return the first key of the shape that the value lacks, with the keys round it, or None.
+    """Return the first key of ``shape`` that ``value`` lacks, after its enclosing keys, or None.
 
-    A key with an empty value is not missing: what it may contain is checked elsewhere.
+    A key with an empty value counts as present; values are checked elsewhere. ``prefix`` is the text with the
+    enclosing keys of ``value``.
     """
     if isinstance(value, list):
         return next(filter(None, (missing_key(item, shape, prefix) for item in value)), None)
--- a/snowthread/log.py
+++ b/snowthread/log.py
@@ -1,7 +1,7 @@
-"""Logging: plain lines, or one JSON object a line where NODE_LOG_FORMAT asks for it.
+"""Logging as plain lines, or as one JSON object per line if NODE_LOG_FORMAT is ``json``.
 
-Field names are stable: ``time``, ``level``, ``event``, ``message`` and whatever the line binds (``peer``,
-``tenant``, ``ms``...). A line that binds no event has the event ``note``.
+Field names are stable: ``time``, ``level``, ``event``, ``message`` and the fields that a line binds
+(``peer``, ``tenant``, ``ms``...). A line that binds no event has the event ``note``.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def encode_json_line(message: Message) -> bytes:
-    """Return a log record as one JSON object; a value that JSON has no form for becomes text."""
+    """Return a log record as one JSON object; values without a JSON representation are written as text."""
     import orjson
 
     record = message.record
--- a/snowthread/reload.py
+++ b/snowthread/reload.py
@@ -1,4 +1,4 @@
-"""Reloading the configuration while serving."""
+"""Reloads the configuration while the node serves."""
 
 from __future__ import annotations
 
@@ -14,23 +14,26 @@
     from snowthread.operator.features import Features
 
 RESTART_ONLY_FIELDS = ("name", "listen", "admin", "sockets", "memory_mb")
-"""Fields of the configuration that only a new start applies."""
+"""Fields of the configuration that take effect only at the next start."""
 
 
 class Reconfigurable(Protocol):
-    """What a new configuration can be applied to."""
+    """An object to which a new configuration can be applied."""
 
     config: Config
     features: Features | None
 
     def apply_configuration(self, config: Config, features: Features | None) -> None:
-        """Go on with it; OSError where no socket can be opened, and nothing has changed then."""
+        """Apply the configuration.
+
+        An OSError means that a socket could not be opened; nothing has changed then.
+        """
 
 
 def reload(node: Reconfigurable, environment: Mapping[str, str] = os.environ) -> None:
-    """Apply the files as they are now; a file that can't be used changes nothing.
+    """Read the files again and apply them; if one is not valid, nothing changes and an error is logged.
 
-    Whoever replaced the file can correct it, while a node that ended over it would end its runs too.
+    The node goes on, because the file can be corrected, while an exit would abort the node's runs.
     """
     try:
         config, features = _load_files(node, environment)
@@ -40,21 +43,21 @@
     restart_only = _restart_only_changes(node, config, features)
     try:
         node.apply_configuration(config, features)
-    except OSError as error:  # no descriptor left: it must not end the task that listens for signals
+    except OSError as error:  # no descriptor is free; the error must not end the task that handles signals
         _log_rejected(error)
         return
     logger.bind(event="config.read").info(
-        "configuration read anew{}",
-        f"; {', '.join(restart_only)} only at the next start" if restart_only else "",
+        "configuration reloaded{}",
+        f"; {', '.join(restart_only)} will change only at the next start" if restart_only else "",
     )
 
 
 def _log_rejected(error: Exception) -> None:
-    logger.bind(event="config.refused").error("configuration not taken up, the old one stays: {}", error)
+    logger.bind(event="config.refused").error("configuration rejected, keeping the current one: {}", error)
 
 
 def _load_files(node: Reconfigurable, environment: Mapping[str, str]) -> tuple[Config, Features | None]:
-    """Read the configuration and the operator's file: both are applied, or neither."""
+    """Read the configuration and the operator's file; an error in either prevents that both are applied."""
     config = load(environment, node.config)
     features = node.features
     if features is not None:
@@ -63,7 +66,7 @@
 
 
 def _restart_only_changes(node: Reconfigurable, config: Config, features: Features | None) -> list[str]:
-    """Return the names of what differs and needs a new start."""
+    """Return the names of the changed fields and features that take effect only at the next start."""
     changed = [
         field for field in RESTART_ONLY_FIELDS if getattr(config, field) != getattr(node.config, field)
     ]
--- a/snowthread/serve.py
+++ b/snowthread/serve.py
@@ -1,4 +1,4 @@
-"""Serving, as ``run`` in deploy/balancer.toml starts it: without the command line's modules."""
+"""Serves as ``run`` in deploy/balancer.toml starts the program: without importing the command line."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from snowthread.net.clock import Clock
 from snowthread.node import BLOCKED_SIGNALS, Node
 
-YOUNG_COLLECTION_THRESHOLD_OBJECTS = 10_000  # high, as the node makes few reference cycles
-MIDDLE_COLLECTION_THRESHOLD_RUNS = 20  # collections of the generation below
-OLD_COLLECTION_THRESHOLD_RUNS = 20
+YOUNG_COLLECTION_THRESHOLD_OBJECTS = 10_000  # high, because the node creates few reference cycles
+MIDDLE_COLLECTION_THRESHOLD_RUNS = 20  # young collections per middle collection
+OLD_COLLECTION_THRESHOLD_RUNS = 20  # middle collections per old collection
 
 
 def main() -> int:
-    """Serve and return the exit status; a configuration that can't be used ends with one line."""
+    """Serve and return the exit status; an invalid configuration prints one line."""
     try:
         serve(None)
     except config.ConfigError as error:
@@ -28,12 +28,14 @@
 
 
 def serve(operator_file: Path | None) -> None:
-    """Serve as the environment says, with the features of an operator's file where one is named.
+    """Serve with the configuration that the environment names, until the graceful shutdown ends.
+
+    ``operator_file`` enables the optional features that it configures.
 
     Raises:
-        config.ConfigError: a file can't be used, or an address where the node should listen.
+        config.ConfigError: a file is not valid, or the node cannot listen at an address.
     """
-    # Blocked until the node listens for them: their defaults would end the program with clients connected.
+    # Blocked until the node handles them: the default handlers would kill the process with clients connected.
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     log.set_up(os.environ)
     settings = config.load(os.environ)
@@ -52,7 +54,7 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Exclude what is loaded by now from collections: scanning it stalls the event loop."""
+    """Exclude all objects loaded so far from garbage collection: scanning them stalls the event loop."""
     gc.freeze()
     gc.set_threshold(
         YOUNG_COLLECTION_THRESHOLD_OBJECTS, MIDDLE_COLLECTION_THRESHOLD_RUNS, OLD_COLLECTION_THRESHOLD_RUNS
--- a/tests/node/test_config_errors.py
+++ b/tests/node/test_config_errors.py
@@ -17,14 +17,14 @@
 @pytest.mark.parametrize(
     ("changes", "key", "reason"),
     [
-        ({"name": "two words"}, "name", "a word is wanted"),
+        ({"name": "two words"}, "name", "must be a non-empty string without spaces"),
         ({"listen": "127.0.0.1"}, "listen", "'127.0.0.1' is not an address of the form host:port"),
         ({"admin_addr": "host:1"}, "admin_addr", "'host:1': the host must be a numeric address"),
-        ({"stop_ms": True}, "stop_ms", "a number of milliseconds above 0 is wanted"),
-        ({"limits": [1]}, "limits: sockets", "a whole number of at least 64 is wanted"),
-        ({"limits": {"memory_mb": 0}}, "limits: memory_mb", "a number above 0 is wanted"),
-        ({"seed": "xyz"}, "seed", "hex digits are wanted"),
-        ({"settings": []}, "settings", "an object is wanted"),
+        ({"stop_ms": True}, "stop_ms", "must be a number of milliseconds above 0"),
+        ({"limits": [1]}, "limits: sockets", "must be a whole number of at least 64"),
+        ({"limits": {"memory_mb": 0}}, "limits: memory_mb", "must be a number above 0"),
+        ({"seed": "xyz"}, "seed", "must be hexadecimal digits"),
+        ({"settings": []}, "settings", "must be an object"),
     ],
 )
 def test_invalid_field_is_named(changes: dict[str, Any], key: str, reason: str) -> None:
@@ -46,13 +46,13 @@
     with pytest.raises(ConfigError) as raised:
         load({"NODE_CONFIG": str(path)})
     assert (raised.value.path, raised.value.key) == (str(path), "seed")
-    assert str(raised.value) == f"{path}: seed: hex digits are wanted"
+    assert str(raised.value) == f"{path}: seed: must be hexadecimal digits"
 
 
 def test_listen_descriptor_error_names_the_variable() -> None:
     with pytest.raises(ConfigError) as raised:
         load({"NODE_CONFIG": str(EXAMPLE), "NODE_FD": "x"})
-    assert str(raised.value) == "NODE_FD: 'x' is not a descriptor's number"
+    assert str(raised.value) == "NODE_FD: 'x' is not a descriptor number"
 
 
 def test_error_of_a_single_text_is_that_text() -> None:
--- a/tests/node/test_site_settings.py
+++ b/tests/node/test_site_settings.py
@@ -45,7 +45,7 @@
 def test_database_address_is_required_where_runs_make_calls(
     fields: dict[str, Any], absent: str | None
 ) -> None:
-    with pytest.raises(config.ConfigError, match="index: an address is wanted"):
+    with pytest.raises(config.ConfigError, match="index: must be an address, because"):
         config.parse(fields | {"index": absent})
 
 
--- a/tests/tenants/test_tenants_program.py
+++ b/tests/tenants/test_tenants_program.py
@@ -191,7 +191,7 @@
     process = setup.start_node()
     setup.operator_file.write_text("tenants {\n servers = []\n}\n")
     process.send_signal(signal.SIGHUP)
-    line = read_log_until(process, "the old one stays")
+    line = read_log_until(process, "keeping the current one")
     assert "tenants.hcl" in line and "key" in line
     old = setup.directory_address
     setup.directory_address = format_address(reserve_address())
@@ -199,7 +199,7 @@
     setup.start_directory()  # a second server at the new address
     setup.write(setup.directory_address, "default {\n refuse = true\n }")
     process.send_signal(signal.SIGHUP)
-    read_log_until(process, "read anew")
+    read_log_until(process, "configuration reloaded")
     assert setup.directory_address in read_log_until(process, "refreshed in")
     assert setup.request() == SERVED
     setup.command("remove Farbhof")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -127,12 +127,12 @@
         assert ask(listen_address(path), "dispense", b"grey", "k1") == GREY_DISPENSE
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
-        assert "the old one stays" in next_log_line(process)
+        assert "keeping the current one" in next_log_line(process)
         assert ask(listen_address(other), "match", b"grey") == GREY_MATCH
         second = stack.enter_context(site(other))
         path.write_text(json.dumps(fields | {"name": "n7"}))
         process.send_signal(signal.SIGHUP)
-        assert "read anew; name only" in next_log_line(process)
+        assert "reloaded; name will change only at the next start" in next_log_line(process)
         assert "moves to" in next_log_line(process)
         first.kill()
         # Cached results are still there, and the new runtime does the work. (The toy's notices are numbered
@@ -142,7 +142,7 @@
         assert second.stdout is not None
         assert any("runtime: match" in line for line in iter(second.stdout.readline, ""))
         process.send_signal(signal.SIGHUP)
-        assert "read anew" in next_log_line(process)
+        assert "configuration reloaded" in next_log_line(process)
         process.send_signal(signal.SIGTERM)
         assert process.wait(TIMEOUT_S) == 0
 
@@ -157,7 +157,7 @@
             process.send_signal(signal.SIGHUP)
             writing.write(first)
         assert "listens on" in next_log_line(process)
-        assert "read anew" in next_log_line(process)
+        assert "configuration reloaded" in next_log_line(process)
 
 
 def platform_command() -> str:
@@ -191,7 +191,7 @@
             resumed.open("w").close()
             assert "listens on" in next_log_line(process)
             process.send_signal(signal.SIGHUP)
-            assert "read anew" in next_log_line(process)
+            assert "configuration reloaded" in next_log_line(process)
         finally:
             process.kill()
 
