--- a/snowthread/hcl.py
+++ b/snowthread/hcl.py
@@ -1,8 +1,8 @@
-"""Read HCL files and check them key by key, with errors that name file, block and key.
+"""Reads HCL files and checks them key by key; errors name the file, the block and the key.
 
-Only plain values are settings: strings, numbers, booleans, lists and nested blocks. Expressions and
-references are errors, since nothing here would evaluate them. Durations are strings like "250ms", "30s", "5m"
-or "2h" and are returned as float milliseconds.
+Only plain values are allowed: strings, numbers, booleans, lists and nested blocks. Expressions and references
+are errors, because they are not evaluated. Durations are strings like "250ms", "30s", "5m" or "2h", and are
+returned as float milliseconds.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class BlockKeyError(ConfigError):
-    """A key of a block that can't be used; ``block`` is the block's name, empty for the file's own keys."""
+    """A key of a block is not valid; ``block`` is the block's name, empty for keys outside of blocks."""
 
     def __init__(self, reason: str, *, file: str, block: str, key: str) -> None:
         where = f"block {block!r}: " if block else ""
@@ -43,7 +43,7 @@
     """Return the file as one block.
 
     Raises:
-        ConfigError: names what is wrong with the file and where.
+        ConfigError: the file cannot be read or is not HCL.
     """
     text = _read_text(path)
     try:
@@ -58,7 +58,7 @@
     try:
         size = path.stat().st_size
         if size > MAX_FILE_BYTES:
-            raise ConfigError(f"{size} bytes, at most {MAX_FILE_BYTES} are read", path=str(path))
+            raise ConfigError(f"the file has {size} bytes, the limit is {MAX_FILE_BYTES}", path=str(path))
         return path.read_text(encoding="utf-8")
     except OSError as error:
         raise ConfigError(str(error.strerror), path=str(path)) from None
@@ -67,9 +67,9 @@
 
 
 class Block:
-    """The keys of one block, each read once; ``reject_unknown_keys`` rejects those that nobody read.
+    """The keys of one block; each is read once, and ``reject_unknown_keys`` rejects the keys that are left.
 
-    Every method that reads a key raises BlockKeyError if its value can't be used.
+    Every method that reads a key raises BlockKeyError if the value is not valid.
     """
 
     def __init__(self, file: str, name: str, body: dict[str, Any]) -> None:
@@ -78,14 +78,14 @@
         self._body = {key: value for key, value in body.items() if key not in _PARSER_KEYS}
 
     def error(self, key: str, reason: str) -> BlockKeyError:
-        """Return the error to raise about a key."""
+        """Return the error to raise for a key, with the reason."""
         return BlockKeyError(reason, file=self.file, block=self.name, key=key)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return a string; without a default the key is required."""
+        """Return a string; if there is no default, the key is required."""
         value = self._take(key, default)
         if not isinstance(value, str):
-            raise self.error(key, "missing" if value is None else "a string is wanted")
+            raise self.error(key, "missing" if value is None else "must be a string")
         return value
 
     def optional_text(self, key: str) -> str | None:
@@ -93,91 +93,91 @@
         return self.text(key) if self._body.get(key) is not None else None
 
     def choice(self, key: str, among: Iterable[str], default: str) -> str:
-        """Return one of several words."""
+        """Return a string that must be one of ``among``."""
         value = self.text(key, default)
         words = tuple(among)
         if value not in words:
-            raise self.error(key, f"one of {', '.join(words)} is wanted")
+            raise self.error(key, f"must be one of {', '.join(words)}")
         return value
 
     def number(
         self, key: str, default: float | None = None, least: float = 0.0, most: float = math.inf
     ) -> float:
-        """Return a number within bounds, both included; without a default the key is required."""
+        """Return a number from ``least`` to ``most``, inclusive; without a default the key is required."""
         value = self._take(key, default)
         if value is None:
             raise self.error(key, "missing")
         if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
             top = "" if most == math.inf else f" and at most {most:g}"
-            raise self.error(key, f"a number of at least {least:g}{top} is wanted")
+            raise self.error(key, f"must be a number of at least {least:g}{top}")
         return float(value)
 
     def integer(self, key: str, default: int, least: int = 0, most: int = 2**31) -> int:
-        """Return an integer within bounds, both included."""
+        """Return an integer between ``least`` and ``most``, inclusive."""
         value = self.number(key, default, least, most)
         if value != int(value):
-            raise self.error(key, "a whole number is wanted")
+            raise self.error(key, "must be a whole number")
         return int(value)
 
     def flag(self, key: str, default: bool) -> bool:
-        """Return true or false."""
+        """Return a boolean."""
         value = self._take(key, default)
         if not isinstance(value, bool):
-            raise self.error(key, "true or false is wanted")
+            raise self.error(key, "must be true or false")
         return value
 
     def duration_ms(self, key: str, default: str, least_ms: float = 1.0, most_ms: float = math.inf) -> float:
-        """Return a duration in milliseconds, within bounds."""
+        """Return a duration in milliseconds, between ``least_ms`` and ``most_ms``, inclusive."""
         match = _DURATION.fullmatch(self.text(key, default))
         if match is None:
-            raise self.error(key, 'a length of time like "250ms", "30s", "5m" or "2h" is wanted')
+            raise self.error(key, 'must be a duration like "250ms", "30s", "5m" or "2h"')
         duration_ms = float(match[1]) * _UNIT_MS[match[2]]
         if not least_ms <= duration_ms <= most_ms:
-            raise self.error(key, f"at least {least_ms:g} ms and at most {most_ms:g} ms are wanted")
+            raise self.error(key, f"must be at least {least_ms:g} ms and at most {most_ms:g} ms")
         return duration_ms
 
     def text_list(self, key: str, default: tuple[str, ...] | None = None) -> tuple[str, ...]:
-        """Return a list of strings; without a default the key is required."""
+        """Return a list of strings; if there is no default, the key is required."""
         value = self._body.pop(key, None)
         if value is None:
             if default is None:
                 raise self.error(key, "missing")
             return default
         if not isinstance(value, list):
-            raise self.error(key, "a list of strings is wanted")
+            raise self.error(key, "must be a list of strings")
         texts = [self._plain(key, item) for item in value]
         if not all(isinstance(text, str) for text in texts):
-            raise self.error(key, "a list of strings is wanted")
+            raise self.error(key, "must be a list of strings")
         return tuple(texts)
 
     def parsed(self, key: str, parse: Callable[[Value], Parsed], value: Value) -> Parsed:
-        """Return a key's value parsed; a ValueError of the parser becomes the error about the key."""
+        """Return ``parse(value)``; a ValueError becomes a BlockKeyError of the key."""
         try:
             return parse(value)
         except ValueError as error:
             raise self.error(key, str(error)) from None
 
     def block(self, key: str) -> Block | None:
-        """Return a nested block that may stand once, or None."""
+        """Return a nested block that may occur at most once, or None."""
         bodies = self._take_bodies(key)
         if len(bodies) > 1:
-            raise self.error(key, f"the block stands {len(bodies)} times, once is wanted")
+            raise self.error(key, f"the block occurs {len(bodies)} times, at most one is allowed")
         return Block(self.file, self._name_of(key), bodies[0]) if bodies else None
 
     def blocks(self, key: str, most: int) -> list[Block]:
-        """Return the nested blocks of a kind, up to ``most``, in the order written."""
+        """Return the nested blocks of a kind, at most ``most``, in the order in the file."""
         bodies = self._take_bodies(key)
         if len(bodies) > most:
-            raise self.error(key, f"the block stands {len(bodies)} times, at most {most} are read")
+            raise self.error(key, f"the block occurs {len(bodies)} times, at most {most} are allowed")
         name = self._name_of(key)
         return [Block(self.file, f"{name}[{index}]", body) for index, body in enumerate(bodies)]
 
     def block_or_empty(self, key: str) -> Block:
-        """Return a nested block; an absent one is empty, so that each of its keys has its default."""
+        """Return a nested block, or an empty one if it is absent, so that its keys have their defaults."""
         return self.block(key) or Block(self.file, self._name_of(key), {})
 
     def reject_unknown_keys(self) -> None:
-        """Raise BlockKeyError if a key was not read: it is misspelt."""
+        """Raise BlockKeyError if a key was not read, as it is unknown or misspelt."""
         for key in self._body:
             raise self.error(key, "no such key")
 
@@ -189,7 +189,7 @@
         if bodies is None:
             return []
         if not isinstance(bodies, list) or not all(_is_block(body) for body in bodies):
-            raise self.error(key, "a block is wanted")
+            raise self.error(key, "must be a block")
         return bodies
 
     def _take(self, key: str, default: Any) -> Any:
@@ -197,18 +197,18 @@
         return default if value is None else self._plain(key, value)
 
     def _plain(self, key: str, value: Any) -> Any:
-        """Return a value as written.
+        """Return a value without the parser's markup.
 
         The parser returns strings with their quotes; text without quotes is a name, a call or an expression.
         """
         if not isinstance(value, str):
             return value
         if len(value) < 2 or value[0] != '"' or value[-1] != '"' or "${" in value or "%{" in value:
-            raise self.error(key, "a plain value is wanted, no expression")
+            raise self.error(key, "must be a plain value, expressions are not supported")
         try:
             return json.loads(value)
         except ValueError:
-            raise self.error(key, "a string on one line with plain escapes is wanted") from None
+            raise self.error(key, "must be a string on one line with JSON escapes") from None
 
 
 def _is_block(body: object) -> bool:
