--- a/tests/hot_restart/test_hot_restart_clients.py
+++ b/tests/hot_restart/test_hot_restart_clients.py
@@ -3,7 +3,15 @@
 from __future__ import annotations
 
 import msgpack
-from support.hot_restart import FIRST, SECOND, THIRD, ProcessPair, ready_status, responses, set_drained
+from support.hot_restart import (
+    FIRST_ATTEMPT,
+    SECOND_ATTEMPT,
+    THIRD_ATTEMPT,
+    ProcessPair,
+    ready_status,
+    responses,
+    set_drained,
+)
 
 from snowthread.core import events
 from snowthread.core.state import HandoverRole
@@ -31,16 +39,16 @@
 def test_predecessor_takes_the_clients_back_when_the_successor_dies(pair: ProcessPair) -> None:
     pair.start_successor()
     second = pair.connect(pair.successor)
-    pair.request(second, 1, FIRST)
-    assert pair.started_runs(pair.successor) == [FIRST]
+    pair.request(second, 1, FIRST_ATTEMPT)
+    assert pair.started_runs(pair.successor) == [FIRST_ATTEMPT]
     assert not pair.predecessor.node.balancers.accepting
     pair.end(pair.successor)
     pair.settle()
     third = pair.connect(pair.predecessor)
-    pair.request(third, 1, SECOND)
+    pair.request(third, 1, SECOND_ATTEMPT)
     assert responses(third) == [[1, "Failed", None]]  # how its run ended is not known
-    pair.request(third, 2, THIRD, key="k2")
-    assert pair.started_runs(pair.predecessor) == [THIRD]
+    pair.request(third, 2, THIRD_ATTEMPT, key="k2")
+    assert pair.started_runs(pair.predecessor) == [THIRD_ATTEMPT]
     pair.start_successor()  # and the next one is let in
     assert pair.successor.node.state.handover_role is HandoverRole.SUCCESSOR
     assert pair.successor.node.balancers.accepting
@@ -48,7 +56,7 @@
 
 def test_drain_is_handed_over_and_the_registration_is_never_withdrawn(pair: ProcessPair) -> None:
     first = pair.connect(pair.predecessor)
-    pair.request(first, 1, FIRST)
+    pair.request(first, 1, FIRST_ATTEMPT)
     assert pair.predecessor.node.admin is not None
     set_drained(pair.predecessor, True)
     pair.start_successor()
@@ -67,10 +75,10 @@
     assert registry.recv(100) == b"HERE n1 on"
     first.sendall(msgpack.packb([0, 2, "health", [{}]]))
     pair.settle()
-    pair.complete_run(pair.predecessor, 1, FIRST)
+    pair.complete_run(pair.predecessor, 1, FIRST_ATTEMPT)
     assert responses(first) == [[2, None, True], [1, None, b"r"]]
     second = pair.connect(pair.successor)
-    pair.request(second, 1, SECOND)
+    pair.request(second, 1, SECOND_ATTEMPT)
     assert responses(second) == [[1, None, b"r"]]
 
 
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -1,21 +1,23 @@
-"""Plays a recorded exchange against a node in this process, on real sockets, with a clock that the text sets.
-
-A text file has one step a line: who, what, and bytes with Python's escapes.
-
-    3 connect                 a balancer's connection named 3
-    9 call                    an operator's connection named 9
-    3 > BYTES, 3 < BYTES      sent to the node; sent by the node, to the byte
-    3 >* COUNT BYTES          sent so many times; 3 <* COUNT BYTES likewise
-    3 close, 3 closed         the peer closes; the node has closed
-    runtime accept, index accept, roster < BYTES
-    index refuse              it is down: connections are refused
-    clock +250                milliseconds go by
-    NAME silent               nothing more came; also checked for all at the end
-    leave                     the signal to shut down
-    move                      a new configuration: runtime and index are elsewhere now; {index} is the new one
-    idle MS                   the decision to close connections idle for so long
-
-{index} stands for the address of the index, which is the database.
+"""Plays a recorded exchange against a node in this process, on real sockets and with a manual clock.
+
+A text file has one step per line: a peer's name, an action, and bytes with Python's escapes.
+
+    3 connect                 a balancer connects; the connection is named 3
+    9 call                    an operator connects; the connection is named 9
+    3 > BYTES                 the peer sends these bytes to the node
+    3 < BYTES                 the node has sent exactly these bytes to the peer
+    3 >* COUNT BYTES          the peer sends the bytes COUNT times; 3 <* COUNT BYTES likewise
+    3 close                   the peer closes the connection
+    3 closed                  the node has closed the connection
+    runtime accept            the peer accepts the node's connection; also index accept
+    index refuse              the database is down: the node's connections are refused
+    clock +250                the clock advances by milliseconds
+    NAME silent               the node has sent nothing more; also checked for all peers at the end
+    leave                     the node receives the signal to shut down
+    move                      a new configuration with new addresses of runtime and index is applied
+    idle MS                   the idle timeout of connections is set
+
+{index} stands for the current address of the index, which is the database.
 """
 
 from __future__ import annotations
@@ -31,7 +33,7 @@
 
 
 class Step(NamedTuple):
-    """One line of an exchange."""
+    """One line of an exchange: the peer's name, the action and its argument."""
 
     who: str
     action: str
@@ -39,7 +41,7 @@
 
     @classmethod
     def parse(cls, line: str) -> Step:
-        """Split a line; what it lacks is empty."""
+        """Split a line into its parts; missing parts are empty."""
         who, action, argument = (*line.split(" ", 2), "", "")[:3]
         return cls(who, action, argument)
 
@@ -55,7 +57,7 @@
 
 
 class ExchangePlayer(NodeHarness):
-    """A node and its peers, which do what an exchange says."""
+    """A node and its peers, which carry out the steps of an exchange."""
 
     def __init__(
         self, listen_descriptor: int | None = None, handover_directory: str | None = None, **changes: Any
@@ -83,13 +85,13 @@
         }
 
     def play(self, text: str) -> None:
-        """Play a complete exchange; AssertionError names the line that went otherwise."""
+        """Play a complete exchange; an AssertionError names the line that differed."""
         try:
             for number, line in enumerate(text.splitlines(), 1):
                 if line.strip() and not line.startswith("#"):
                     self._play_line(number, line)
             self.settle()
-            for who in self.peers.keys() - {"roster"}:  # the registry is reported to regularly
+            for who in self.peers.keys() - {"roster"}:  # the node sends reports to the registry periodically
                 self.assert_silent(who)
         finally:
             for sock in (*self.peers.values(), *self.listeners.values()):
@@ -102,14 +104,14 @@
             raise AssertionError(f"line {number}: {line}: {error}") from error
 
     def step(self, who: str, what: str, rest: str) -> None:
-        """Play one step.
+        """Play one step; the arguments are the parts of a line.
 
         Raises:
-            ValueError: there is no such step.
+            ValueError: the step is unknown.
         """
         handler = self._named_steps.get(who) or self._peer_steps.get(what)
         if handler is None:
-            raise ValueError(f"no such step: {who} {what}")
+            raise ValueError(f"unknown step: {who} {what}")
         handler(Step(who, what, rest))
         for peer in self.peers.values():
             peer.setblocking(False)
@@ -160,7 +162,7 @@
         self.close_peer(step.who)
 
     def _step_closed(self, step: Step) -> None:
-        assert self.receive(step.who, 1) == b"" and self.ended
+        assert self.receive(step.who, 1) == b"" and self.closed_by_node
         self.peers.pop(step.who).close()
 
     def _step_silent(self, step: Step) -> None:
@@ -176,4 +178,4 @@
 
     def _expect(self, who: str, data: bytes) -> None:
         got = self.receive(who, len(data))
-        assert got == data, f"came: {got!r}"
+        assert got == data, f"the node sent {got!r}"
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -1,4 +1,4 @@
-"""Two processes of one node during a hot restart, both played in this process on real sockets."""
+"""Two processes of one node during a hot restart, both simulated in this process on real sockets."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
 from snowthread.hot_restart.socket_file import PeerProcess
 from support.exchange import ExchangePlayer, loopback
 
-FIRST = "00000000000000a1"  # attempt ids
-SECOND = "00000000000000b1"
-THIRD = "00000000000000c1"
+# Attempt ids of requests.
+FIRST_ATTEMPT = "00000000000000a1"
+SECOND_ATTEMPT = "00000000000000b1"
+THIRD_ATTEMPT = "00000000000000c1"
 DEFAULT_KEY = "k1"
-SOCKET_BYTES = 65536
+SOCKET_BYTES = 65536  # most bytes per read from a socket
 
 
-def packed_request(  # noqa: PLR0913  # the fields of a request, by name
+def packed_request(  # noqa: PLR0913  # one argument per field of a request
     number: int,
     attempt_id: str,
     *,
@@ -36,7 +37,7 @@
     timeout_ms: int = 5000,
     memory_kb: int = 20,
 ) -> bytes:
-    """Return a balancer's request."""
+    """Return a balancer's encoded request."""
     fields = {
         "id": attempt_id,
         "at": f"{arrived_at_ms:.0f}",
@@ -52,7 +53,7 @@
 
 
 def responses(sock: socket.socket) -> list[list[Any]]:
-    """Return the responses that came: number, error, result; farewells are left out."""
+    """Return the received responses as [number, error, result]; farewells are skipped."""
     unpacker = msgpack.Unpacker()
     try:
         unpacker.feed(sock.recv(SOCKET_BYTES))
@@ -66,40 +67,42 @@
 
 
 def ready_status(player: ExchangePlayer) -> int:
-    """Return the status that a process answers to the readiness check."""
+    """Return the HTTP status of a process's readiness endpoint."""
     return player.node.operator_calls.ready()[0]
 
 
 def set_drained(player: ExchangePlayer, drained: bool) -> int:
-    """Drain a node or end its drain, as operators do; return the status of the answer."""
+    """Drain a node or end its drain, as operators do; return the HTTP status."""
     calls = player.node.operator_calls
     return (calls.drain() if drained else calls.resume())[0]
 
 
 def concurrency_ceiling(player: ExchangePlayer) -> float:
-    """Return how many runs the controller of a process would start at most."""
+    """Return the maximum number of runs that the admission controller of a process would start."""
     controller = player.node.state.controller
     assert controller is not None
     return controller.concurrency.ceiling(controller.state.age_s(controller._now))
 
 
 def max_connections(player: ExchangePlayer) -> int:
-    """Return how many balancers' connections a process accepts at most."""
+    """Return the limit of balancers' connections of a process."""
     return player.node.balancers._max_connections
 
 
 class ProcessPair:
-    """The predecessor and the successor at one listening socket, each with its own runtime and registry.
+    """A predecessor and a successor that share a listening socket, each with its own runtime and registry.
 
-    ``peer_process`` is replaced: the process that connects is always the one that was started last, and it
-    has exited once the writing end of its pipe is closed.
+    ``socket_file.peer_process`` is patched: the connecting process is always the one that was started last,
+    and it counts as exited once the writing end of its pipe is closed.
     """
 
     def __init__(self, directory: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self._listening = loopback(socket.SOCK_STREAM)
         self._directory = str(directory)
-        self._exit_descriptors: list[int] = []  # reading ends, one a process, in the order of their start
-        self._alive_descriptors: dict[int, int] = {}  # writing ends by id() of the player
+        self._exit_descriptors: list[
+            int
+        ] = []  # reading ends of the pipes, one per process, in the order of starting
+        self._alive_descriptors: dict[int, int] = {}  # writing ends of the pipes, by id() of the player
         self._frozen: ExchangePlayer | None = None
         self._successor: ExchangePlayer | None = None
         self.all: list[ExchangePlayer] = []
@@ -120,7 +123,7 @@
 
     @property
     def predecessor(self) -> ExchangePlayer:
-        """The process that was there first; it must not have ended."""
+        """The process that was started first; it must not have ended."""
         assert self._predecessor is not None, "the predecessor has ended"
         return self._predecessor
 
@@ -141,20 +144,20 @@
         return id(player) not in self._alive_descriptors
 
     def launch_successor(self) -> ExchangePlayer:
-        """Start the successor and do not let it run yet."""
+        """Start the successor without running its event loop yet."""
         self._successor = self._start_process()
         return self._successor
 
     def start_successor(self) -> None:
-        """Start the successor, let it take over and connect its runtime."""
+        """Start the successor, let it take over the clients and connect its runtime."""
         started = self.launch_successor()
         self.settle()
-        if self._successor is started:  # it may have been killed meanwhile
+        if self._successor is started:  # it may have been killed during the takeover
             self.connect_runtime(started)
 
     @contextmanager
     def frozen_predecessor(self) -> Iterator[ExchangePlayer]:
-        """Let the predecessor neither run nor see time pass in the block."""
+        """Stop the predecessor's event loop and clock for the duration of the block."""
         self._frozen = self.predecessor
         try:
             yield self._frozen
@@ -162,24 +165,24 @@
             self._frozen = None
 
     def settle(self, rounds: int = 2) -> None:
-        """Let both processes run until nothing more comes."""
+        """Run the event loops of both processes until the effects of all data sent have occurred."""
         for _ in range(rounds):
             for player in self.running:
                 player.settle()
 
     def advance(self, elapsed_ms: float) -> None:
-        """Advance the clocks of both processes."""
+        """Advance the clocks of both processes and run their event loops."""
         for player in self.running:
             player.clock.now_ms += elapsed_ms
         self.settle()
 
     def connect_runtime(self, player: ExchangePlayer) -> None:
-        """Connect the runtime of a process and have it report that it is ready."""
+        """Connect the runtime of a process and let it report that it is ready."""
         player.step("runtime", "accept", "")
         self.notify(player, {"action": "ready", "code": "seasoned", "wall_ms": 0})
 
     def notify(self, player: ExchangePlayer, *notices: dict[str, Any]) -> None:
-        """Send notices of the runtime to a process."""
+        """Send notices from the runtime to a process."""
         for notice in notices:
             player.peers["runtime"].sendall(json.dumps(notice).encode() + b"\n")
         self.settle()
@@ -187,7 +190,7 @@
     def complete_run(
         self, player: ExchangePlayer, position: int, attempt_id: str, content: str = "cg=="
     ) -> None:
-        """Have the runtime report the end of a run; ``content`` is the result in Base64."""
+        """Let the runtime report that a run succeeded; ``content`` is the result in Base64."""
         self.notify(
             player,
             {
@@ -201,7 +204,7 @@
         )
 
     def started_runs(self, player: ExchangePlayer) -> list[str]:
-        """Return the attempts whose runs a process has started since the last call."""
+        """Return the ids of the attempts whose runs a process has started since the last call."""
         if "runtime" not in player.peers:
             return []
         try:
@@ -211,7 +214,7 @@
         return [fields["uid"] for fields in map(json.loads, lines) if fields["action"] == "start"]
 
     def connect(self, player: ExchangePlayer) -> socket.socket:
-        """Return a balancer's connection that this process, and not the other one, accepts."""
+        """Connect a balancer so that this process accepts the connection, not the other one."""
         before = player.node.balancers.count()
         sock = socket.create_connection(self._listening.getsockname())
         for _ in range(5):
@@ -238,23 +241,23 @@
             self.settle()
 
     def end(self, player: ExchangePlayer) -> None:
-        """End a process as a kill signal does: it sends nothing more."""
+        """End a process between two steps, as SIGKILL does: it sends nothing more."""
         hot_restart = self._silence(player)
         hot_restart._closed = True
         player.node.loop.end_all_tasks()
-        self._forget(player)
+        self._remove(player)
         self.settle()
         self.advance(channel.CONNECT_RETRY_INTERVAL_MS)
 
     def kill(self, player: ExchangePlayer) -> None:
-        """Kill a process in the middle of its step: what it was about to do is not done."""
+        """Kill a process in the middle of a step: the rest of the step is not carried out."""
         hot_restart = self._silence(player)
         assert hot_restart._link is not None
         hot_restart._link.disconnect()
-        self._forget(player)
+        self._remove(player)
 
     def _silence(self, player: ExchangePlayer) -> HotRestartChannel:
-        """Close what a process listens on and let it report nothing more."""
+        """Close the listening sockets of a process and stop it from posting events."""
         hot_restart = player.node.hot_restart
         assert hot_restart is not None
         player.node._stopped = True
@@ -264,7 +267,7 @@
                 player.node.loop.close(listening)
         return hot_restart
 
-    def _forget(self, player: ExchangePlayer) -> None:
+    def _remove(self, player: ExchangePlayer) -> None:
         os.close(self._alive_descriptors.pop(id(player)))
         if player is self._predecessor:
             self._predecessor = None
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -1,9 +1,10 @@
-"""A node in this process, whose peers the test plays on real sockets, with a clock that the test sets.
+"""A node in this process with a manual clock; the test acts as its peers on real sockets.
 
-A test forces the order of two events instead of waiting for it. A round of the loop reads sockets before it
-runs timers, and tasks that a timer woke are resumed first in the round after. ``NodeHarness.advance_late``
-runs one round in which a time is up; what is sent after it lies unread as the node acts on that time, as it
-does where the loop is late. docs/crossings.md lists these orders.
+A test forces the order of two events instead of waiting for it. A round of the event loop reads sockets
+before it runs timers, and tasks that a timer woke are resumed first in the next round.
+``NodeHarness.advance_late`` runs the one round in which a timer becomes due; data that is sent afterwards is
+still unread when the node acts on the timer, as happens when the event loop is late. docs/crossings.md lists
+these orders.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
 from snowthread.node import Node
 
 START = 1764576000000.0
-"""The time at which the clock of each test starts, in Unix milliseconds."""
+"""The initial time of each test's clock, in Unix milliseconds."""
 
 EXAMPLE = Path(__file__).parents[2] / "examples" / "node.json"
 TIMEOUT_S = 10.0  # for one wait on the node: a connection, or the bytes of one read
-SETTLE_ROUNDS = 12  # of the loop, which is enough for what was sent to have all its effects
-POLL_S = 0.0005
-GRACE_MS = 3200.0  # of a shutdown
+SETTLE_ROUNDS = 12  # rounds of the event loop after which all effects of received data have occurred
+POLL_S = 0.0005  # longest wait of one round of the event loop
+GRACE_MS = 3200.0  # time until the kill that ``NodeHarness.begin_shutdown`` announces
 
 
 def loopback(kind: socket.SocketKind) -> socket.socket:
-    """Return a socket that is bound to a free port, and listens where it is of a kind that can."""
+    """Return a socket that is bound to a free loopback port; a stream socket also listens."""
     sock = socket.socket(socket.AF_INET, kind)
     sock.bind(("127.0.0.1", 0))
     if kind is socket.SOCK_STREAM:
@@ -40,21 +41,21 @@
 
 
 def address(sock: socket.socket) -> str:
-    """Return the address of a socket as the configuration has it."""
+    """Return the address of a socket in the form of the configuration, ``host:port``."""
     return "{}:{}".format(*sock.getsockname())
 
 
 class NodeHarness:
-    """A node and its peers, by name.
+    """A node and the sockets of its peers, by name.
 
     ``runtime`` and ``index`` (the database) are listeners until the test accepts the node's connection;
-    ``roster`` (the registry) is a datagram socket. Balancers and operators connect under names of their own.
+    ``roster`` (the registry) is a datagram socket. The test chooses the names of balancers and operators.
     """
 
     def __init__(
         self, listen_descriptor: int | None = None, handover_directory: str | None = None, **changes: Any
     ) -> None:
-        """Make a node with changes to the example's configuration."""
+        """Create a node with the example's configuration, in which ``changes`` replace fields."""
         self.listeners = {"runtime": loopback(socket.SOCK_STREAM), "index": loopback(socket.SOCK_STREAM)}
         self.peers: dict[str, socket.socket] = {"roster": loopback(socket.SOCK_DGRAM)}
         fields: dict[str, Any] = json.loads(EXAMPLE.read_bytes())
@@ -67,7 +68,7 @@
             handover_directory=handover_directory,
         )
         self.node = Node(parsed, self.clock)
-        self.ended = False  # whether the peer that was received from last was closed by the node
+        self.closed_by_node = False  # whether the last :meth:`receive` found the connection closed
 
     def close(self) -> None:
         """Close the node's sockets and those of its peers."""
@@ -76,38 +77,38 @@
             sock.close()
 
     def settle(self) -> None:
-        """Run the loop until what was sent has had its effects."""
+        """Run the event loop until all effects of the data sent so far have occurred."""
         for _ in range(SETTLE_ROUNDS):
             self.node.loop.run_once(POLL_S)
 
     def advance(self, ms: float) -> None:
-        """Let time go by and the loop run."""
+        """Advance the clock and run the event loop until all effects have occurred."""
         self.clock.now_ms += ms
         self.settle()
 
     def advance_late(self, ms: float) -> None:
-        """Let time go by and the loop run one round: what is sent next lies unread as it acts on the time."""
+        """Advance the clock and run one round: data sent next is still unread when the due timers act."""
         self.clock.now_ms += ms
         self.node.loop.run_once(0.0)
 
     def connect(self, *names: str) -> None:
-        """Connect balancers, one after the other."""
+        """Connect balancers one after the other; the node accepts each one."""
         for name in names:
             self.open_connection(name)
             self.settle()
 
     def open_connection(self, name: str) -> None:
-        """Connect a balancer that the node has not accepted yet."""
+        """Connect a balancer; the node has not accepted the connection yet."""
         self._add_peer(name, socket.create_connection(self.node.balancers.address))
 
     def connect_operator(self, name: str) -> None:
-        """Connect an operator to the admin address."""
+        """Connect an operator to the administration interface."""
         assert self.node.admin is not None
         self._add_peer(name, socket.create_connection(self.node.admin.address))
         self.settle()
 
     def accept(self, name: str) -> None:
-        """Accept the node's connection to its runtime or database."""
+        """Accept the node's connection to the runtime or the database."""
         self.settle()
         self.listeners[name].settimeout(TIMEOUT_S)
         self._add_peer(name, self.listeners[name].accept()[0])
@@ -118,12 +119,12 @@
         self.peers[name] = sock
 
     def send(self, name: str, data: bytes) -> None:
-        """Send to the node, which has not read it yet."""
+        """Send bytes to the node, which does not read them until the loop runs."""
         self.peers[name].sendall(data)
 
     def receive(self, who: str, size: int) -> bytes:
-        """Return what the node sent, as many bytes as wanted; fewer where it closes or sends no more."""
-        self.ended = False
+        """Return the next ``size`` bytes from the node; fewer if it closes, or sends no more in time."""
+        self.closed_by_node = False
         peer = self.peers[who]
         data = b""
         end = time.monotonic() + TIMEOUT_S
@@ -134,13 +135,13 @@
                 self.node.loop.run_once(POLL_S)
                 continue
             if not more:
-                self.ended = True
+                self.closed_by_node = True
                 break
             data += more
         return data
 
     def assert_silent(self, who: str) -> None:
-        """Check that the node has sent nothing more."""
+        """Check that the node has sent nothing more to a peer."""
         try:
             more = self.peers[who].recv(4096)
         except BlockingIOError:
@@ -148,16 +149,16 @@
         assert more == b"", f"{who}: unexpected {more!r}"
 
     def close_peer(self, name: str) -> None:
-        """Close a peer's connection."""
+        """Close a peer's connection and let the node react."""
         self.peers.pop(name).close()
         self.settle()
 
     def reload(self, **changes: Any) -> None:
-        """Give the node a configuration with changes."""
+        """Apply a configuration in which ``changes`` replace fields."""
         self.node.apply_configuration(config.parse(self.fields | changes))
 
     def begin_shutdown(self) -> None:
-        """Post what a signal to shut down posts."""
+        """Begin a shutdown as a signal does: post the event and send the farewells."""
         self.node.post(events.ShutdownRequested(GRACE_MS))
         self.node.balancers.send_farewell_to_all()
 
--- a/tests/support/node_peers.py
+++ b/tests/support/node_peers.py
@@ -1,4 +1,4 @@
-"""What a node's peers say and hear, in terms of their protocols: a balancer's requests, a runtime's lines."""
+"""Messages of a node's peers: a balancer's requests and answers, the runtime's commands and notices."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 FAREWELL_MESSAGE = [2, "farewell", []]
 DATABASE_REPLY = b"HTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\nr"
-HEALTH_CHECK = b"\x94\x00\x01\xa6health\x91\x80"  # request number 1
+HEALTH_CHECK = b"\x94\x00\x01\xa6health\x91\x80"  # the request with number 1
 
 
 def example_settings(**domain: Any) -> dict[str, Any]:
-    """Return the example's settings with changes to its ``domain``."""
+    """Return the example's settings with changes to their ``domain`` object."""
     found = deepcopy(json.loads(EXAMPLE.read_bytes())["settings"])
     found["domain"] |= domain
     assert isinstance(found, dict)
@@ -26,12 +26,12 @@
 
 
 def attempt_id(number: int) -> str:
-    """Return the id of the request that ``request`` makes with this number."""
+    """Return the attempt id that :func:`request` uses for this number."""
     return f"{number:016x}"
 
 
 def request(number: int, method: str, at: float = START, **fields: Any) -> bytes:
-    """Return a balancer's request; a field of None is left out."""
+    """Return a balancer's encoded request; a field whose value is None is omitted."""
     all_fields = {
         "id": attempt_id(number),
         "at": str(int(at)),
@@ -46,28 +46,28 @@
 
 
 def read_answer(harness: NodeHarness, who: str) -> list[Any]:
-    """Return the next message that a balancer gets."""
+    """Return the next message that the node sends to a balancer."""
     unpacker = msgpack.Unpacker()
     while True:
         more = harness.receive(who, 1)
-        assert more, "no answer came"
+        assert more, "the node closed the connection or sent no message in time"
         unpacker.feed(more)
         for found in unpacker:
             return list(found)
 
 
 def read_command(harness: NodeHarness) -> dict[str, Any]:
-    """Return the next line that the runtime gets."""
+    """Return the next command that the node sends to the runtime."""
     line = b""
     while not line.endswith(b"\n"):
         more = harness.receive("runtime", 1)
-        assert more, "nothing came"
+        assert more, "the node closed the link or sent no command in time"
         line += more
     return dict(json.loads(line))
 
 
 def read_work_command(harness: NodeHarness) -> dict[str, Any]:
-    """Return the next line that the runtime gets and that does not just ask for a load sample."""
+    """Return the next command to the runtime that is not a request for a load sample."""
     command = read_command(harness)
     while command["action"] == "gauges":
         command = read_command(harness)
@@ -75,25 +75,25 @@
 
 
 def send_notice(harness: NodeHarness, action: str, **fields: Any) -> None:
-    """Send a line as the runtime; its ``content`` is given in plain bytes."""
+    """Send a notice as the runtime; ``content`` is given as bytes and sent in Base64."""
     if "content" in fields:
         fields["content"] = base64.b64encode(fields["content"]).decode()
     harness.send("runtime", json.dumps({"action": action} | fields).encode() + b"\n")
 
 
 def complete_run(harness: NodeHarness, pos: int, number: int, content: bytes = b"made") -> None:
-    """Send, as the runtime, that the run of a request succeeded; ``pos`` numbers the runtime's notices."""
+    """Report, as the runtime, that a request's run succeeded; ``pos`` is the number of the notice."""
     send_notice(harness, "end", pos=pos, uid=attempt_id(number), code="done", wall_ms=9, content=content)
 
 
 def send_load_sample(harness: NodeHarness, echo: str) -> None:
-    """Send a load sample as the runtime, and let the node take it in."""
+    """Send a load sample as the runtime, and let the node process it."""
     send_notice(harness, "load", echo=echo, meters=[0.1, 0, 0.1, 1])
     harness.settle()
 
 
 def make_runtime_ready(harness: NodeHarness) -> None:
-    """Accept the link to the runtime, and be ready as a runtime that has started."""
+    """Accept the link to the runtime and report, as a runtime that has just started, that it is ready."""
     harness.accept("runtime")
     _expect_line(harness, b'{"action":"sync","pos":0}\n')
     send_notice(harness, "ready", code="seasoned", wall_ms=0)
@@ -106,7 +106,7 @@
 
 
 def reconnect_runtime(harness: NodeHarness, pos: int, echo: str) -> None:
-    """Accept the node's next link to the runtime, which went on all the while."""
+    """Accept the node's next link to the runtime, which has kept running between the links."""
     harness.advance(500.0)
     harness.accept("runtime")
     assert read_command(harness) == {"action": "sync", "pos": pos}
@@ -116,7 +116,7 @@
 
 
 def serve_request(harness: NodeHarness, who: str, number: int, pos: int) -> None:
-    """Check that a request is run, and that its result comes back once the run has completed."""
+    """Check that a request is run, and that its result is sent once the run has completed."""
     command = read_work_command(harness)
     assert command["action"] == "start" and command["uid"] == attempt_id(number)
     complete_run(harness, pos, number)
@@ -125,8 +125,8 @@
 
 
 def is_closed_by_node(harness: NodeHarness, who: str) -> bool:
-    """Return whether the node closes, by a reset or not, and says no more than a farewell before."""
+    """Return whether the node closes or resets the connection and sends at most a farewell before."""
     try:
-        return harness.receive(who, 100) in (b"", FAREWELL) and harness.ended
+        return harness.receive(who, 100) in (b"", FAREWELL) and harness.closed_by_node
     except ConnectionError:
         return True
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -1,4 +1,4 @@
-"""The program and the toy site as processes of their own, on free ports."""
+"""Runs the program and the toy site as separate processes on free ports."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 ROOT = Path(__file__).parents[2]
 TIMEOUT_S = 30.0  # for one wait on a process: its exit, a log line or an answer
 RESERVATION = AddressReservation("127.0.0.1")
-"""The addresses given to programs, reserved until this process ends."""
+"""The addresses that were given to programs; they stay reserved until this process exits."""
 SOCKET_KINDS = {
     "listen": socket.SOCK_STREAM,
     "runtime": socket.SOCK_STREAM,
     "index": socket.SOCK_STREAM,
     "roster": socket.SOCK_DGRAM,
 }
-"""The addresses in a configuration, by key, each with the kind of its socket."""
+"""The keys of the addresses in a configuration, each with the kind of its socket."""
 
 
 def reserve_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> Address:
-    """Return a loopback address that no other program of these tests is given."""
+    """Return a loopback address that is given to no other program of these tests."""
     return RESERVATION.reserve(kind)
 
 
 def configuration(folder: Path, **changes: Any) -> Path:
-    """Write the example's configuration on reserved addresses, with changes; return its path."""
+    """Write the example's configuration with reserved addresses and ``changes``; return its path."""
     addresses = {
         key: format_address(reserve_address(kind)) for key, kind in SOCKET_KINDS.items() if key not in changes
     }
@@ -46,19 +46,19 @@
 
 
 def environment(path: Path) -> dict[str, str]:
-    """Return the environment in which a process reads a configuration."""
+    """Return environment variables with which a process reads this configuration."""
     return os.environ | {"NODE_CONFIG": str(path), "PYTHONPATH": str(ROOT)}
 
 
 def listen_address(path: Path) -> tuple[str, int]:
-    """Return the address at which a node of a configuration listens."""
+    """Return the host and port at which a node with this configuration listens."""
     host, port = json.loads(path.read_text())["listen"].split(":")
     return host, int(port)
 
 
 @contextmanager
 def started(*command: str, **options: Any) -> Iterator[subprocess.Popen[str]]:
-    """Start the interpreter with arguments; the process is killed at the end."""
+    """Start the Python interpreter with arguments; the process is killed at the end."""
     process = subprocess.Popen(
         [sys.executable, *command],
         cwd=ROOT,
@@ -76,7 +76,7 @@
 
 @contextmanager
 def node(path: Path, *command: str, **options: Any) -> Iterator[subprocess.Popen[str]]:
-    """Start a node and wait until it listens."""
+    """Start a node with this configuration and wait until it listens."""
     with started("-m", "snowthread", *command, env=environment(path), **options) as process:
         assert "listens on" in next_log_line(process)
         yield process
@@ -84,7 +84,7 @@
 
 @contextmanager
 def site(path: Path) -> Iterator[subprocess.Popen[str]]:
-    """Start the toy site that a configuration names, and wait until it is ready."""
+    """Start the toy site at the addresses of a configuration, and wait until it is ready."""
     with started("examples/toy_site.py", str(path), env=environment(path)) as process:
         assert process.stdout is not None
         assert "ready" in process.stdout.readline()
@@ -92,7 +92,7 @@
 
 
 def next_log_line(process: subprocess.Popen[str]) -> str:
-    """Wait for the next line that a process logs."""
+    """Return the next line that a process logs; waits until there is one."""
     assert process.stderr is not None
     return process.stderr.readline()
 
@@ -100,7 +100,7 @@
 def run_program(
     path: Path, *command: str, variables: dict[str, str] | None = None, **options: Any
 ) -> subprocess.CompletedProcess[str]:
-    """Run the program to its end, with more environment variables where given."""
+    """Run the program until it exits, with additional environment variables if given."""
     return subprocess.run(
         [sys.executable, "-m", "snowthread", *command],
         cwd=ROOT,
