--- a/tests/frontends/conftest.py
+++ b/tests/frontends/conftest.py
@@ -1,4 +1,4 @@
-"""Nodes in this process whose tasks are ended with the test."""
+"""Fixtures: nodes in this process, which are closed after the test."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def start_player() -> Iterator[Callable[..., ExchangePlayer]]:
-    """Start a node with changes to its configuration; its tasks and sockets are closed afterwards."""
+    """Return a function that starts a node with changed settings; its tasks are ended after the test."""
     players: list[ExchangePlayer] = []
 
     def start(**changes: Any) -> ExchangePlayer:
@@ -25,5 +25,5 @@
 
 @pytest.fixture
 def player(start_player: Callable[..., ExchangePlayer]) -> ExchangePlayer:
-    """Start a node with the example's configuration."""
+    """Start a node with the example configuration."""
     return start_player()
--- a/tests/frontends/test_admin.py
+++ b/tests/frontends/test_admin.py
@@ -1,4 +1,4 @@
-"""The administration interface: invalid requests, stalled clients, floods and its environment variables."""
+"""Tests of the administration interface: invalid requests, stalled clients, floods and configuration."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def sockets() -> Iterator[ExitStack]:
-    """Collect sockets that are closed after the test."""
+    """Return a stack for sockets, which are closed after the test."""
     with ExitStack() as stack:
         yield stack
 
@@ -81,7 +81,7 @@
         peer.sendall(HEALTH_CHECK * 2000)
     player.step("9", "call", "")
     player.peers["9"].sendall(READY)
-    for _ in range(3):  # rounds, not seconds: the request must not wait behind the flood
+    for _ in range(3):  # three rounds of the event loop: the request must not wait behind the flood
         player.node.loop.run_once(0.0)
     assert player.peers["9"].recv(15) == b"HTTP/1.1 200 OK"
 
--- a/tests/frontends/test_balancer_codec.py
+++ b/tests/frontends/test_balancer_codec.py
@@ -1,4 +1,4 @@
-"""The balancers' messages: which are invalid and how, limits on what is incomplete, and answers' bytes."""
+"""Tests of the balancers' codec: valid and invalid messages, size limits, and encoded answers."""
 
 from __future__ import annotations
 
--- a/tests/frontends/test_connection_limits.py
+++ b/tests/frontends/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Crowds of silent connections: which are closed, and what an honest slow writer is granted."""
+"""Tests of connection limits: silent connections are closed; a slow but valid writer is not."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 BODY = b"p" * 40
 REQUEST = msgpack.packb([0, 1, "match", [FIELDS, BODY]])
 HEALTH_CHECK = msgpack.packb([0, 1, "health", [{}]])
-WRITING_TIME_MS = 2000.0  # of the slow writer's request
+WRITING_TIME_MS = 2000.0  # time in which the slow writer sends its request
 
 
 Connect = Callable[[ExchangePlayer], socket.socket]
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def connect() -> Iterator[Connect]:
-    """Connect to a node's balancer port; the sockets are closed after the test."""
+    """Return a function that connects to a node's balancer port; the sockets are closed after the test."""
     with ExitStack() as sockets:
 
         def connect(player: ExchangePlayer) -> socket.socket:
@@ -59,7 +59,9 @@
             player.clock.now_ms += pause_ms
         slow_writer.send(piece)
         player.settle()
-        for _ in range(max_connections // 2):  # the complete table anew with every second piece
+        for _ in range(
+            max_connections // 2
+        ):  # enough to replace the whole connection table every second piece
             other = connect(player)
             if crowd_sends:
                 other.send(crowd_sends)
@@ -80,6 +82,6 @@
     player.step("clock", "0", "")
     assert player.node.balancers.count() == 1 and silent.recv(10) == b""
     for _ in range(5):
-        endless.send(REQUEST[20:21])  # a byte now and then buys no more time
+        endless.send(REQUEST[20:21])  # further bytes do not extend the timeout of a partial message
         player.step("clock", str((PARTIAL_MESSAGE_TIMEOUT_MS - FIRST_BYTE_TIMEOUT_MS) / 5.0 + 60.0), "")
     assert player.node.balancers.count() == 0
--- a/tests/frontends/test_message_stream.py
+++ b/tests/frontends/test_message_stream.py
@@ -1,4 +1,4 @@
-"""The stream of messages on a connection: pieces of any size, limits, and where reading ends."""
+"""Tests of the message stream: chunks of any size, size limits, and the end of reading."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 def test_time_without_the_rest_of_a_message_counts_from_the_last_complete_one(
     stream: MessageStream, clock: ManualClock
 ) -> None:
-    assert stream.incomplete_since_ms() == NOW_MS  # of the first message
+    assert stream.incomplete_since_ms() == NOW_MS  # the connection waits for its first message
     clock.now_ms += 10.0
     stream.feed(MESSAGES[:-1], go_on)
     assert stream.incomplete_since_ms() == NOW_MS + 10.0
--- a/tests/frontends/test_socket_writer.py
+++ b/tests/frontends/test_socket_writer.py
@@ -1,4 +1,4 @@
-"""Answers to a peer that does not read: what is buffered, since when, and the limit."""
+"""Tests of the socket writer with a peer that does not read: buffering, stall time and limit."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def sockets() -> Iterator[tuple[socket.socket, socket.socket]]:
-    """Make a writing and a reading end with small buffers."""
+    """Create a connected pair of a writing and a reading socket with small buffers."""
     writing, reading = socket.socketpair()
     with writing, reading:
         writing.setblocking(False)
@@ -45,7 +45,7 @@
     clock.now_ms += 10.0
     writer.write(b"last")
     written += 4
-    assert writer.stalled_since_ms == NOW_MS  # what is written later does not restart the time
+    assert writer.stalled_since_ms == NOW_MS  # a later write does not restart the stall time
     received = b""
     while len(received) < written:
         received += reading.recv(1 << 16)
--- a/tests/net/test_listening.py
+++ b/tests/net/test_listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets that are opened or passed on by another process."""
+"""Listening sockets that are opened here, or passed on by another process."""
 
 from __future__ import annotations
 
@@ -19,11 +19,13 @@
             adopt_listener(os.dup(datagrams.fileno()))
         address = Address(*original.getsockname())
         with pytest.raises(ListenError) as caught:
-            open_listener(address, backlog=1)  # in use: only the descriptor helps
+            open_listener(address, backlog=1)  # the address is in use: only the inherited descriptor works
         assert (caught.value.address, caught.value.errno) == (address, errno.EADDRINUSE)
         assert caught.value.filename == "{}:{}".format(*address)
         adopted = adopt_listener(os.dup(original.fileno()))
         with socket.create_connection(original.getsockname()), adopted:
             assert adopted.accept()[0].getsockname() == original.getsockname()
-        with socket.create_connection(original.getsockname()):  # closed by one, it listens on for the others
+        with socket.create_connection(
+            original.getsockname()
+        ):  # closed by one process, the socket still listens for others
             original.accept()[0].close()
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -1,4 +1,4 @@
-"""Nodes in this process whose runtime is ready, and signal handlers that are put back."""
+"""Fixtures: nodes in this process, and signal handlers that are restored after the test."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def start_node() -> Iterator[StartNode]:
-    """Start nodes with changes to the example's configuration; all is closed after the test."""
+    """Return a function that starts a node with a ready runtime; nodes are closed after the test."""
     started: list[NodeHarness] = []
 
     def start(**changes: Any) -> NodeHarness:
@@ -31,13 +31,13 @@
 
 @pytest.fixture
 def harness(start_node: StartNode) -> NodeHarness:
-    """Start a node of the example's configuration."""
+    """Start a node with the example configuration and a ready runtime."""
     return start_node()
 
 
 @pytest.fixture
 def unready_harness() -> Iterator[NodeHarness]:
-    """Make a node whose runtime has not accepted its link."""
+    """Create a node whose runtime has not accepted the link yet."""
     harness = NodeHarness()
     yield harness
     harness.close()
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def restored_signals() -> Iterator[None]:
-    """Put the handlers of signals back after the test."""
+    """Restore the signal handlers and the wakeup descriptor after the test."""
     handlers = {number: signal.getsignal(number) for number in BLOCKED_SIGNALS}
     wakeup_descriptor = signal.set_wakeup_fd(-1)
     yield
--- a/tests/node/test_config_errors.py
+++ b/tests/node/test_config_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the configuration: their text, and the file and key that they name."""
+"""Tests of configuration errors: the text, and the file and key that it names."""
 
 from __future__ import annotations
 
--- a/tests/node/test_connection_close.py
+++ b/tests/node/test_connection_close.py
@@ -1,4 +1,4 @@
-"""A balancer's connection ends with requests open: each still gets its one answer."""
+"""Connections that close with open requests: each request must still get exactly one answer."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 MALFORMED = b"\xa5hello"
 SOCKET_BUFFER_BYTES = 4096
-UNSENT_WANTED_BYTES = 16_000  # the node reads from a connection with less than 32 KiB unsent
-CHECKS_MAX = 20_000
-IDLE_ROUNDS_MAX = 2000
+UNSENT_WANTED_BYTES = 16_000  # below 32 KiB, from where on the node pauses reading
+CHECKS_MAX = 20_000  # most health checks that are sent to reach ``UNSENT_WANTED_BYTES``
+IDLE_ROUNDS_MAX = 2000  # rounds without data after which the node is taken to send nothing more
 
 
 def connect_with_small_buffers(harness: NodeHarness) -> socket.socket:
-    """Connect the one balancer, with socket buffers that fill soon; it blocks as it sends."""
+    """Connect the only balancer with small socket buffers; its sends block."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
     sock.connect(harness.node.balancers.address)
@@ -39,7 +39,7 @@
 
 
 def receive_until_closed(harness: NodeHarness, sock: socket.socket) -> bytes:
-    """Return what comes until the node closes, or sends nothing for many rounds of the loop."""
+    """Return the bytes received until the node closes or sends nothing for ``IDLE_ROUNDS_MAX`` rounds."""
     sock.setblocking(False)
     received = b""
     idle_rounds = 0
--- a/tests/node/test_database_call_races.py
+++ b/tests/node/test_database_call_races.py
@@ -1,4 +1,4 @@
-"""Database calls whose timeout, connection or class changes in the round in which they end."""
+"""Races of database calls: timeout, connection or class change in the loop round in which a call ends."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from snowthread.clients.database import IDLE_TIMEOUT_MS
 from snowthread.core import effects
 
-RETRY_DUE_MS = 60.0  # after this a call that found no connection, or lost it, is retried
-IDLE_CONNECTION_MS = 40.0  # after its reply a connection may carry the next call
+RETRY_DUE_MS = 60.0  # after this time a call without a connection, or that lost it, is retried
+IDLE_CONNECTION_MS = 40.0  # time after a reply at which the connection can be reused
 
 
 def start_run_that_calls(harness: NodeHarness, number: int, pos: int) -> None:
-    """Have a request run, and its run call the database."""
+    """Send a request, and let its run call the database."""
     harness.send("1", request(number, "match", wait="11000"))
     command = read_command(harness)
     while command["action"] in ("gauges", "give"):
@@ -35,7 +35,7 @@
 
 
 def receive_call(harness: NodeHarness, number: int) -> None:
-    """Receive, as the database, the complete call of a request."""
+    """Receive, as the database, the complete call of a request's run."""
     call = b""
     while not call.endswith(b"\r\n\r\n?"):
         more = harness.receive("index", 1)
@@ -45,7 +45,7 @@
 
 
 def reply_to_call(harness: NodeHarness) -> None:
-    """Reply as the database, and wait until the connection may carry the next call."""
+    """Reply as the database, and wait until the connection can be reused."""
     harness.send("index", DATABASE_REPLY)
     harness.settle()
     harness.advance(IDLE_CONNECTION_MS)
@@ -73,7 +73,7 @@
     assert harness.receive("index", 30).startswith(b"POST")
     harness.send("index", DATABASE_REPLY)
     harness.settle()
-    harness.advance_late(IDLE_TIMEOUT_MS)  # its task is woken to end
+    harness.advance_late(IDLE_TIMEOUT_MS)  # the connection's task is woken to close it
     database.start_call(replace(call, attempt_id=attempt_id(2)))
     harness.settle()
     assert database.connection_count() == 1
@@ -87,7 +87,10 @@
 def test_call_on_a_broken_used_connection_is_retried_by_the_class_as_it_was_read(
     start_node: StartNode,
 ) -> None:
-    """A class becomes non-idempotent: earlier requests' calls are retried, later ones use new connections."""
+    """After a class becomes non-idempotent, calls of earlier requests are still retried.
+
+    Calls of later requests use new connections.
+    """
     harness = start_node(settings=example_settings(cores=6, calls_out=200.0))
     harness.connect("1")
 
@@ -96,7 +99,7 @@
     receive_call(harness, 1)
     reply_to_call(harness)
     start_run_that_calls(harness, 2, 2)
-    receive_call(harness, 2)  # over the same connection
+    receive_call(harness, 2)  # on the same connection
     changed = example_settings(cores=6, calls_out=200.0)
     changed["classes"][0]["effect"] = "non_idempotent"
     harness.reload(settings=changed)
@@ -106,7 +109,7 @@
     receive_call(harness, 2)
     reply_to_call(harness)
     start_run_that_calls(harness, 3, 3)
-    harness.accept("index")  # though one is idle
+    harness.accept("index")  # a new connection, although one is idle
     receive_call(harness, 3)
 
 
@@ -123,11 +126,13 @@
         assert read_command(harness)["action"] == "start"
         send_notice(harness, "wants", pos=n, uid=attempt_id(n), content=b"?")
         harness.settle()
-    assert database.connection_count() == len(database._calls) == max_connections  # and one waits
+    assert database.connection_count() == len(database._calls) == max_connections  # one more call is waiting
     listener = harness.listeners["index"]
     listener.settimeout(5.0)
     completed, *rest = [listener.accept()[0] for _ in range(max_connections)]
-    harness.clock.now_ms += RETRY_DUE_MS  # the waiting call's, but sockets are read before timers run
+    harness.clock.now_ms += (
+        RETRY_DUE_MS  # the waiting call's retry is due, but sockets are read before timers run
+    )
     completed.sendall(DATABASE_REPLY)
     assert read_work_command(harness) == {"action": "give", "uid": attempt_id(1), "content": "cg=="}
     harness.settle()
--- a/tests/node/test_idempotent_retries.py
+++ b/tests/node/test_idempotent_retries.py
@@ -1,4 +1,4 @@
-"""Retries by idempotency key when memory is short."""
+"""Retries with an idempotency key when memory is short."""
 
 from __future__ import annotations
 
@@ -8,7 +8,9 @@
 
 
 def test_retry_whose_cached_result_was_evicted_fails_and_never_runs_again(start_node: StartNode) -> None:
-    harness = start_node(limits={"memory_mb": 0.05, "sockets": 512})  # memory for one result of 4 KiB
+    harness = start_node(
+        limits={"memory_mb": 0.05, "sockets": 512}
+    )  # enough memory to cache one result of 4 KiB
     harness.connect("1")
     for n in (1, 2):
         harness.send("1", request(n, "dispense", once=f"k{n}"))
@@ -27,7 +29,7 @@
 ) -> None:
     harness = start_node(settings=example_settings(memory_kb=200.0))
     harness.connect("1")
-    for n in () if ran else (1, 2):  # these take both cores
+    for n in () if ran else (1, 2):  # these requests occupy both cores
         harness.send("1", request(n, "match", kb="1"))
         assert read_command(harness)["action"] == "start"
     harness.send("1", request(3, "dispense", once="k1", kb="10"))
--- a/tests/node/test_idle_connections.py
+++ b/tests/node/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections are closed while requests arrive: none that was sent in time is lost."""
+"""Idle connections are closed while requests arrive; no request that was sent in time may be lost."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
     harness.node.balancers.set_max_connections(MIN_CONNECTION_LIMIT)
     harness.connect(*(str(n) for n in range(MIN_CONNECTION_LIMIT)))
     harness.clock.now_ms += MIN_IDLE_BEFORE_EVICTION_MS
-    new = socket.create_connection(harness.node.balancers.address)  # before the request is sent
+    new = socket.create_connection(harness.node.balancers.address)  # connects before the request is sent
     harness.send("0", request(1, "match"))
     serve_request(harness, "0", 1, 1)
-    assert harness.node.balancers.count() == MIN_CONNECTION_LIMIT  # another was evicted, and only one
+    assert harness.node.balancers.count() == MIN_CONNECTION_LIMIT  # exactly one other connection was evicted
     assert harness.node.balancers.peer_address(
         MIN_CONNECTION_LIMIT + 1
     ) and harness.node.balancers.peer_address(1)
@@ -72,7 +72,7 @@
     harness.node.balancers.set_idle_timeout(100.0)
     harness.advance(SWEEP_INTERVAL_MS)
     assert read_answer(harness, "1") == FAREWELL_MESSAGE
-    harness.send("1", message[:-1])  # it crossed; its last byte comes after the farewell period
+    harness.send("1", message[:-1])  # crosses the farewell; the last byte follows after the farewell period
     harness.settle()
     harness.advance(FAREWELL_TIMEOUT_MS + SWEEP_INTERVAL_MS)
     harness.send("1", message[-1:])
@@ -80,7 +80,7 @@
 
 
 def test_connection_closed_before_its_first_step_leaves_the_table(harness: NodeHarness) -> None:
-    """Where the machine stands still as it accepts, a connection of this round counts as idle for long."""
+    """A process that is paused while it accepts sees a connection of the same round as idle for long."""
     balancers = harness.node.balancers
     balancers.set_max_connections(MIN_CONNECTION_LIMIT)
     busy = [str(n) for n in range(MIN_CONNECTION_LIMIT - 1)]
@@ -105,7 +105,7 @@
 def test_farewell_to_all_reaches_the_others_when_one_peer_has_reset(harness: NodeHarness) -> None:
     harness.connect("1", "2", "3")
     harness.peers["2"].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    harness.peers.pop("2").close()  # a reset that the node has not looked at yet
+    harness.peers.pop("2").close()  # resets the connection; the node has not noticed it yet
     harness.node.balancers.send_farewell_to_all()
     harness.settle()
     assert read_answer(harness, "1") == read_answer(harness, "3") == FAREWELL_MESSAGE
--- a/tests/node/test_no_site_names.py
+++ b/tests/node/test_no_site_names.py
@@ -1,4 +1,4 @@
-"""The program knows no site by name: classes, tenants, zones and tiers come from the settings alone."""
+"""The program contains no names of sites: classes, tenants, zones and tiers come from settings only."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).parents[2]
 EMULATING_PARTS = {"lab", "demo.py"}
-"""Parts that emulate the example's site for the program; ``run`` and ``sim`` load neither."""
+"""Parts that emulate the example site; ``run`` and ``sim`` in deploy/balancer.toml load neither."""
 
 OTHER_SITES_NAMES = {
     "krakow-main",
@@ -27,7 +27,7 @@
 
 
 def site_names() -> set[str]:
-    """Return the names of classes, tenants, zones, tiers and sites of each deployment that is known here."""
+    """Return the names of classes, tenants, zones, tiers and sites of all known deployments."""
     names = set(OTHER_SITES_NAMES)
     for path in sorted((ROOT / "deploy/sites").glob("*/*.toml")):
         site = tomllib.loads(path.read_text())
@@ -38,7 +38,7 @@
 
 
 def names_in(program: str, known: set[str]) -> set[str]:
-    """Return which names a program has as a string; one with a hyphen also as a word in a string."""
+    """Return the names that occur as a string literal; a hyphenated name also as a word within one."""
     strings = {
         node.value
         for node in ast.walk(ast.parse(program))
@@ -55,7 +55,7 @@
 def test_neither_program_nor_deploy_file_names_a_site_s_parts() -> None:
     known = site_names()
     assert {"match", "recalc", "dispense", "lodz-labels", "charge", "swansea-tickets"} <= known
-    assert names_in("a = 'dispense'", known) == {"dispense"}  # the check can fail
+    assert names_in("a = 'dispense'", known) == {"dispense"}  # the check detects a name
     program = ROOT / "snowthread"
     for path in sorted(program.rglob("*.py")):
         if not EMULATING_PARTS & set(path.relative_to(program).parts):
--- a/tests/node/test_node_shutdown.py
+++ b/tests/node/test_node_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown crosses with messages, signals, completed runs and a runtime that migrates."""
+"""Graceful shutdown while messages, signals, completed runs or a runtime migration arrive."""
 
 from __future__ import annotations
 
@@ -45,7 +45,10 @@
 def test_requests_unread_as_a_paused_process_goes_on_shortly_before_the_kill_are_answered(
     harness: NodeHarness,
 ) -> None:
-    """The time to exit had passed while it stood still: it exited with what had come meanwhile unread."""
+    """Guards against an exit with unread requests.
+
+    The process was paused past its time to exit, and exited without reading what had arrived meanwhile.
+    """
     harness.connect("1")
     harness.send("1", HEALTH_CHECK)
     assert read_answer(harness, "1")[:2] == [1, 1]
@@ -71,7 +74,7 @@
     node.loop.spawn(node.shutdown.serve_until_kill(START + GRACE_MS))
     harness.settle()
     harness.advance(GRACE_MS - CLOSE_LISTENER_BEFORE_KILL_MS)
-    for _ in range(2):  # nothing comes or goes, and the request is open
+    for _ in range(2):  # no data is received or sent, but the request is open
         harness.advance(0.75 * QUIET_BEFORE_EXIT_MS)
     assert not node._stopped
     complete_run(harness, 1, 1)
@@ -91,7 +94,7 @@
     harness.node.listen_for_signals()
     harness.settle()
     os.kill(os.getpid(), signal.SIGTERM)
-    harness.clock.now_ms += 300.0  # the loop is late
+    harness.clock.now_ms += 300.0  # the event loop is late
     harness.settle()
     assert harness.node.state.shutting_down
     assert read_answer(harness, "1") == FAREWELL_MESSAGE
--- a/tests/node/test_response_log.py
+++ b/tests/node/test_response_log.py
@@ -1,4 +1,4 @@
-"""The debug log names each request that gets no result, and says where its id or the reason is unknown."""
+"""The debug log names each request without a result, and says if its id or the reason is unknown."""
 
 from __future__ import annotations
 
--- a/tests/node/test_restart.py
+++ b/tests/node/test_restart.py
@@ -1,6 +1,6 @@
-"""A node that is killed with requests in flight and started again at once under the same name and address.
+"""A node that is killed with requests in flight and restarted at once with the same name and address.
 
-The test is the runtime itself, so that it decides what each process of the node hears, and in which order.
+The test acts as the runtime, so that it controls which notices each process receives, and in which order.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class RuntimeLink:
-    """One link from the node, as the runtime has it."""
+    """One link from the node, on the runtime's side."""
 
     def __init__(self, listener: socket.socket) -> None:
         self.sock, _ = listener.accept()
@@ -29,10 +29,10 @@
         self._lines = self.sock.makefile("rb")
 
     def read_command(self, action: str) -> dict[str, Any]:
-        """Return the next command, which must be of this kind; load samples asked for before it are sent."""
+        """Return the next command, which must have this action; requested load samples are sent before it."""
         while True:
             line = self._lines.readline()
-            assert line, f"the link ended, {action} was wanted"
+            assert line, f"the link ended before the command {action}"
             fields: dict[str, Any] = json.loads(line)
             if fields["action"] == action:
                 return fields
@@ -43,12 +43,12 @@
         self.sock.sendall(json.dumps({"action": action} | fields).encode() + b"\n")
 
     def complete_run(self, pos: int, attempt_id: str, content: str) -> None:
-        """Send that a run succeeded; the content is in base64."""
+        """Report that a run succeeded; ``content`` is in Base64."""
         self.send_notice("end", pos=pos, uid=attempt_id, code="done", wall_ms=9, content=content)
 
 
 def keyed_request(number: int, idempotency_key: str) -> bytes:
-    """Return a new attempt at a request, sent now."""
+    """Return a request with a new attempt id, which arrives now."""
     return request(number, "dispense", at=time.time() * 1000, id=secrets.token_hex(8), once=idempotency_key)
 
 
@@ -62,14 +62,14 @@
     unpacker = msgpack.Unpacker()
     while True:
         more = sock.recv(4096)
-        assert more, "it closed without an answer"
+        assert more, "the node closed the connection without an answer"
         unpacker.feed(more)
         for message in unpacker:
             return list(message)
 
 
 def start_two_runs_and_kill(path: Path, listener: socket.socket) -> tuple[socket.socket, list[str]]:
-    """Kill a node with two runs in flight; return the connection they came over and their attempts' ids."""
+    """Kill a node with two runs in flight; return their balancer connection and their attempt ids."""
     with node(path) as process:
         link = RuntimeLink(listener)
         assert link.read_command("sync")["pos"] == 0
@@ -89,17 +89,19 @@
         path = configuration(tmp_path, runtime=address(listener), roster=address(registry), stop_ms=1500)
         old_connection, old_runs = start_two_runs_and_kill(path, listener)
         with suppress(ConnectionResetError):
-            assert old_connection.recv(100) == b""  # no answer, also not from the next process
-        with node(path) as process:  # the address is free at once, though old connections linger
+            assert old_connection.recv(100) == b""  # no answer, neither from this process nor from the next
+        with node(path) as process:  # the address can be reused at once, although old connections linger
             link = RuntimeLink(listener)
             assert link.read_command("sync")["pos"] == 0
             link.send_notice("ready", code="seasoned", wall_ms=900)
-            # The runs outlived the node: their results and calls are nobody's any more.
+            # The runs outlived the killed process: no request waits for their results or calls any more.
             link.complete_run(1, old_runs[0], "b2xk")
             link.send_notice("wants", pos=2, uid=old_runs[1], content="Pw==")
             connection = connected(path)
             connection.sendall(keyed_request(1, "k1"))
-            attempt_id = link.read_command("start")["uid"]  # neither the old result nor a call comes before
+            attempt_id = link.read_command("start")[
+                "uid"
+            ]  # no answer to the old result or call is sent before
             assert attempt_id not in old_runs
             link.complete_run(3, attempt_id, "bmV3")
             found = read_answer(connection)
@@ -110,8 +112,12 @@
             assert read_answer(connection) == [2, "farewell", []]
             link.complete_run(4, attempt_id, "bmV3")
             assert read_answer(connection)[:2] == [1, 2]
-            while registry.recv(100) != b"HERE n1 off":  # each process has reported that it takes work before
+            while (
+                registry.recv(100) != b"HERE n1 off"
+            ):  # earlier reports of each process said that it accepts work
                 pass
             log = process.communicate(timeout=TIMEOUT_S)[1]
             assert process.returncode == 0 and "stopped" in log
-            assert "Traceback" not in log  # a notice for nobody is no error, which would only be logged
+            assert (
+                "Traceback" not in log
+            )  # a notice of an unknown run is not an error; an error would be logged
--- a/tests/node/test_runtime_link.py
+++ b/tests/node/test_runtime_link.py
@@ -36,7 +36,7 @@
 
 
 def pass_silence_timeout(harness: NodeHarness) -> None:
-    """Let the runtime say nothing more, on a link that does not break, until the node gives the link up."""
+    """Keep the runtime silent on an intact link until the node gives up the link."""
     harness.advance(KEEPALIVE_AFTER_SILENCE_MS)
     command = read_command(harness)
     while command != {"action": "gauges", "echo": "alive"}:
@@ -48,7 +48,7 @@
 def test_silent_link_is_replaced_and_runs_go_on(harness: NodeHarness) -> None:
     harness.connect("1")
     harness.send("1", request(1, "match", wait="11000"))
-    assert read_command(harness)["action"] == "start"  # into a link that is dead already
+    assert read_command(harness)["action"] == "start"  # sent on a link that is dead already
     pass_silence_timeout(harness)
     reconnect_runtime(harness, 0, "sync-2")
     assert read_command(harness) == start_command(1, "match")
@@ -66,14 +66,14 @@
         harness.advance(50.0)
     assert read_answer(harness, "1")[2][0] == "Failed"
     assert read_work_command(harness) == {"action": "stop", "uid": attempt_id(1)}
-    assert not harness.node.state.requests  # its slot is free
+    assert not harness.node.state.requests  # the request is removed, so that its slot is free
 
 
 @pytest.mark.parametrize(("effect", "resent"), [("read_like", True), ("non_idempotent", False)])
 def test_start_before_a_link_break_is_resent_only_where_it_is_safe(
     start_node: StartNode, effect: str, resent: bool
 ) -> None:
-    """Its run may end just as the start comes again: the runtime would then run it a second time."""
+    """A run may end just before its start is resent: the runtime would then run it a second time."""
     fields = example_settings()
     fields["classes"][1]["effect"] = effect
     harness = start_node(settings=fields)
@@ -140,7 +140,9 @@
     while b"move-1" not in got:
         harness.node.loop.run_once(0.0)
         rounds += 1
-        assert rounds < 50_000, f"{got.count(b'give')} of {sent} read, and no marker before the migration"
+        assert rounds < 50_000, (
+            f"{got.count(b'give')} of {sent} commands read, but no marker of the migration"
+        )
         try:
             got += link.recv(1 << 16)
         except BlockingIOError:
@@ -154,7 +156,7 @@
 
 
 def test_starts_sent_to_an_address_that_never_answered_are_resent(harness: NodeHarness) -> None:
-    """The link migrates to an address whose listener reads nothing, and migrates once more."""
+    """The link migrates to an address whose listener reads nothing, and then migrates again."""
     harness.connect("1")
     listener = loopback(socket.SOCK_STREAM)
     harness.reload(runtime=address(listener))
@@ -164,7 +166,7 @@
     harness.accept("runtime")
     harness.send("1", request(1, "match", wait="11000"))
     harness.settle()
-    harness.clock.now_ms += 1000.0  # all that was sent has long had time to arrive
+    harness.clock.now_ms += 1000.0  # long enough for everything that was sent to arrive
     harness.settle()
     back = loopback(socket.SOCK_STREAM)
     harness.reload(runtime=address(back))
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""New settings are taken up while requests, connections and load samples are under way."""
+"""New settings are applied while requests, connections and load samples are in progress."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     reordered = example_settings(meters=["links", "heap_share", "on_cores", "core_use"])
     harness.reload(settings=reordered)
     state = harness.node.state
-    assert harness.clock.now_ms - state.load_sample_at_ms > 1000.0  # none is known
+    assert harness.clock.now_ms - state.load_sample_at_ms > 1000.0  # no load sample is known
     send_notice(harness, "load", echo="1", meters=[0.9, 7, 0.1, 1])
     harness.settle()
     assert harness.clock.now_ms - state.load_sample_at_ms > 1000.0
@@ -49,7 +49,7 @@
 
 def test_reloaded_idle_time_applies_to_open_connections(harness: NodeHarness) -> None:
     harness.connect("1")
-    for number in (1, 2):  # health checks: with requests the admission controller would set it, too
+    for number in (1, 2):  # health checks, as requests would make the admission controller set the timeout
         harness.send("1", msgpack.packb([0, number, "health", [{}]]))
         assert read_answer(harness, "1")[:2] == [1, number]
     harness.reload(settings=example_settings(idle_s=0.5))
--- a/tests/node/test_site_settings.py
+++ b/tests/node/test_site_settings.py
@@ -1,4 +1,4 @@
-"""Settings that some sites have and others do not, and what they change on the wire."""
+"""Settings that only some sites have, and what they change on the wire."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 from snowthread import config
 
-RETRY_ROUNDS = 40  # of 50 ms each: by then the retries of a call have ended
+RETRY_ROUNDS = 40  # rounds of 50 ms after which the retries of a call have ended
 ROUND_MS = 50.0
-CLASS_DEADLINE_MS = 5300.0  # of the class "recalc", in the example
+CLASS_DEADLINE_MS = 5300.0  # the deadline of the class "recalc" in the example settings
 
 
 @pytest.fixture
 def fields(below: str) -> Iterator[dict[str, Any]]:
-    """Return the configuration of a node that could be made with what is below it."""
+    """Return the fields of a valid configuration whose setting ``below`` has the parametrized value."""
     harness = NodeHarness(settings=example_settings(below=below))
     yield harness.fields
     harness.close()
@@ -66,7 +66,7 @@
     assert read_command(harness)["action"] == "start"
     send_notice(harness, "wants", pos=1, uid=attempt_id(1), content=b"?")
     harness.settle()
-    for _ in range(RETRY_ROUNDS):  # no connection is opened for any retry
+    for _ in range(RETRY_ROUNDS):  # no retry opens a connection
         harness.advance(ROUND_MS)
     assert harness.node.database.connection_count() == 0
     assert read_work_command(harness) == {"action": "omit", "uid": attempt_id(1), "pos": 1}
@@ -75,7 +75,7 @@
 
 
 def test_request_without_a_deadline_has_that_of_its_class(start_node: StartNode) -> None:
-    """Where deadlines are not passed on, a request does not say how long its caller waits."""
+    """If a site does not pass on deadlines, a request does not contain its caller's timeout."""
     harness = start_node(settings=example_settings(passes_deadline=False))
     harness.connect("1")
     harness.send("1", request(1, "recalc", wait=None))
