--- a/snowthread/config.py
+++ b/snowthread/config.py
@@ -24,10 +24,10 @@
 CONFIG_ERROR_STATUS = 2
 """Exit status for an invalid configuration; click uses the same for a wrong command line."""
 
-DEFAULT_MAX_SOCKETS = 1024  # if the file has no "limits: sockets"
-DEFAULT_MEMORY_MB = 192.0  # if the file has no "limits: memory_mb"
-DEFAULT_TERMINATION_GRACE_PERIOD_MS = 3000.0  # if the file has no "stop_ms"
-MAX_SOCKETS_MIN = 64  # with fewer, no descriptors are left for balancers' connections
+DEFAULT_MAX_SOCKETS = 1024  # the value of "limits: sockets" if the file does not have it
+DEFAULT_MEMORY_MB = 192.0  # the value of "limits: memory_mb" if the file does not have it
+DEFAULT_TERMINATION_GRACE_PERIOD_MS = 3000.0  # the value of "stop_ms" if the file does not have it
+MAX_SOCKETS_MIN = 64  # with fewer sockets, none would be left for balancers' connections
 SEED_BASE = 16  # the seed is written in hexadecimal digits
 FIELD_BY_ENVIRONMENT_VARIABLE = {
     "NODE_NAME": "name",
@@ -63,17 +63,17 @@
     listen: Address
     runtime: Address
     registry: Address
-    database: Address | None  # None if the settings say that runs call no database
+    database: Address | None  # None if the settings say that runs do not call a database
     seed: int
-    termination_grace_period_ms: float  # from SIGTERM to the kill
+    termination_grace_period_ms: float  # time from SIGTERM until the platform kills the process
     sockets: int  # the maximum number of open sockets
     memory_mb: float
     settings: Settings
     gauge_names: tuple[str, ...]
-    admin: Address | None = None  # of the administration interface; None: there is none
-    listen_descriptor: int | None = None  # of a listening socket that another process passed on
+    admin: Address | None = None  # address of the administration interface, if there is one
+    listen_descriptor: int | None = None  # descriptor of a listening socket that another process passed on
     handover_directory: str | None = None  # shared directory in which the processes of a hot restart connect
-    key_shape: Shape = field(default_factory=dict, compare=False)  # the nested keys of the file
+    key_shape: Shape = field(default_factory=dict, compare=False)  # the nested keys that the file has
 
 
 def load(environment: Mapping[str, str], previous: Config | None = None) -> Config:
--- a/snowthread/demo.py
+++ b/snowthread/demo.py
@@ -18,7 +18,7 @@
 from snowthread.config import ConfigError
 from snowthread.lab.processes import StartError, require_repository
 
-RECORD_WRITERS_EXIT_S = 0.5  # the processes that write records exit shortly after their nodes
+RECORD_WRITERS_EXIT_S = 0.5  # wait for the record-writing processes, which exit shortly after their nodes
 
 
 @click.command()
--- a/snowthread/frontends/admin/codec.py
+++ b/snowthread/frontends/admin/codec.py
@@ -14,8 +14,10 @@
 
 from snowthread.frontends.admin.routes import AdminResponse
 
-MAX_HEAD_BYTES = 8 * 1024
-MAX_BODY_BYTES = 64 * 1024  # bodies are ignored, but read: a close with unread bytes loses the response
+MAX_HEAD_BYTES = 8 * 1024  # a request whose head (request line and header fields) is longer is rejected
+# Longer bodies are rejected. Shorter ones are read, although ignored: a close with unread bytes would reset
+# the connection, and the response could be lost.
+MAX_BODY_BYTES = 64 * 1024
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 NO_HEADERS: Mapping[str, str] = MappingProxyType({})
--- a/snowthread/frontends/admin/server.py
+++ b/snowthread/frontends/admin/server.py
@@ -14,11 +14,12 @@
 from snowthread.net.listening import open_listener
 from snowthread.net.loop import READABLE, WRITABLE, Coroutine, EventLoop, Task, Wait
 
-MAX_CLIENTS = 12  # open connections, from the reserved descriptors; beyond it the oldest one is closed
-REQUEST_TIMEOUT_MS = 10_000.0  # to receive a complete request; some clients pause for seconds within one
-RESPONSE_TIMEOUT_MS = 1_000.0  # to send a response and wait until the client closes
-READ_BYTES = 4 * 1024
-LISTEN_BACKLOG = 64
+# Limit of open connections, within the reserved descriptors; the oldest one is closed for a new one.
+MAX_CLIENTS = 12
+REQUEST_TIMEOUT_MS = 10_000.0  # limit for receiving a request; some clients pause for seconds within one
+RESPONSE_TIMEOUT_MS = 1_000.0  # limit for sending a response and for the client to close after it
+READ_BYTES = 4 * 1024  # most bytes read from a connection at a time
+LISTEN_BACKLOG = 64  # connections that the kernel queues until they are accepted
 ACCEPT_PAUSE_MS = 10.0  # delay before the next accept() after one that failed
 
 
@@ -39,7 +40,7 @@
         self._loop = loop
         self._routes = dict(routes)
         self._listener = open_listener(address, LISTEN_BACKLOG)
-        self._clients: dict[_Client, None] = {}  # in order of connection, the oldest first
+        self._clients: dict[_Client, None] = {}  # the open connections, the oldest first
         loop.spawn(self._accept())
 
     @property
--- a/snowthread/frontends/balancers/codec.py
+++ b/snowthread/frontends/balancers/codec.py
@@ -26,10 +26,10 @@
 REQUEST_KIND = 0  # [kind, number, method, arguments]
 RESPONSE_KIND = 1  # [kind, number, error, result]
 NOTIFICATION_KIND = 2  # [kind, method, arguments]
-REQUEST_ELEMENTS = 4
-NOTIFICATION_ELEMENTS = 3
-MIN_ELEMENTS = 2  # the kind, then a number or a method
-REQUEST_ARGUMENTS = 2  # the map of fields and the body
+REQUEST_ELEMENTS = 4  # length of a request's array
+NOTIFICATION_ELEMENTS = 3  # length of a notification's array
+MIN_ELEMENTS = 2  # every message has at least a kind, and a number or a method
+REQUEST_ARGUMENTS = 2  # a request has two arguments: the map of fields and the body
 
 CANCEL_METHOD = "cancel"
 FAREWELL_METHOD = "farewell"
@@ -38,8 +38,8 @@
 REJECTED_ERROR = "Throttled"
 FAILED_ERROR = "Failed"
 
-MAX_BODY_BYTES = 2 * 1024
-NUMBER_PREFIX_BYTES = 16  # enough for a message's array header, kind and number
+MAX_BODY_BYTES = 2 * 1024  # size limit of a request's body
+NUMBER_PREFIX_BYTES = 16  # a message's array header, kind and number fit into this many bytes
 
 FAREWELL: bytes = msgpack.packb([NOTIFICATION_KIND, FAREWELL_METHOD, []])
 """The farewell notification: asks the peer to send no new request on this connection and to close it."""
--- a/snowthread/frontends/balancers/connection.py
+++ b/snowthread/frontends/balancers/connection.py
@@ -70,9 +70,9 @@
         self.clock = owner.loop.clock
         self.post = owner.post
         self.open_request_numbers: set[int] = set()  # numbers of the requests that are not answered yet
-        self.farewell_at_ms = math.inf
-        self.closing_immediately = False  # failed, evicted or closed: nothing more is read or sent
-        self.closing_gracefully = False  # no more messages are read; unsent answers are sent first
+        self.farewell_at_ms = math.inf  # when the farewell was sent; infinity until then
+        self.closing_immediately = False  # whether it failed, was evicted or is closed: no more I/O
+        self.closing_gracefully = False  # whether to read no more messages and close after the last answers
         self.abuse_budget = AbuseBudget(self.clock.now())
         self.writer = BufferedSocketWriter(sock, self.clock)
         self.message_stream = MessageStream(self.clock)
--- a/snowthread/frontends/balancers/framing.py
+++ b/snowthread/frontends/balancers/framing.py
@@ -7,17 +7,17 @@
 
 import msgpack
 
-READ_BYTES = 8 * 1024  # read per connection and round of the loop, so that a flood delays no other peer
-MAX_MESSAGE_BYTES = 16 * 1024  # of one message; a valid request with its body and fields is smaller
-MAX_CONTAINER_ITEMS = 64  # entries of one list or map
-MAX_MESSAGE_NUMBER = 2**32 - 1
+READ_BYTES = 8 * 1024  # most bytes read from a connection per round, so that a flood delays no other peer
+MAX_MESSAGE_BYTES = 16 * 1024  # size limit of a message; a valid request with body and fields is smaller
+MAX_CONTAINER_ITEMS = 64  # limit of the entries of one list or map
+MAX_MESSAGE_NUMBER = 2**32 - 1  # message numbers are unsigned 32-bit integers
 
-# Format bytes of the MessagePack specification that the checks below compare with.
+# Format bytes of the MessagePack specification at the boundaries of ranges with a common encoding.
 FIXSTR_FIRST = 0xA0  # a fixstr's length is its format byte minus this one
-FIXSTR_LAST = 0xBF
+FIXSTR_LAST = 0xBF  # the format byte of the longest fixstr, which has 31 bytes
 EXT8 = 0xC7  # ext 8 to ext 32 have a type byte between the length and the data
-EXT32 = 0xC9
-ARRAY16 = 0xDC  # from array 16 upwards the length counts items, below it bytes
+EXT32 = 0xC9  # the last of the formats ext 8, ext 16 and ext 32
+ARRAY16 = 0xDC  # the length field of array 16 and higher formats counts items, of lower ones bytes
 
 # Size in bytes of the big-endian length field that follows a format byte.
 _LENGTH_FIELD_BYTES = {
--- a/snowthread/frontends/balancers/lingering_close.py
+++ b/snowthread/frontends/balancers/lingering_close.py
@@ -13,7 +13,7 @@
 from snowthread.net.clock import Clock
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, Wait
 
-LINGERING_CLOSE_TIMEOUT_MS = 500.0  # after this the connection is closed, whatever is unsent or unread
+LINGERING_CLOSE_TIMEOUT_MS = 500.0  # a lingering close ends after this time, whatever is unsent or unread
 DISCARD_MAX_BYTES = 128 * 1024  # most input that is discarded during one lingering close
 
 
@@ -22,7 +22,7 @@
 
     sock: socket.socket
     writer: BufferedSocketWriter
-    closing_immediately: bool  # failed, evicted or closed: the lingering close ends
+    closing_immediately: bool  # whether the connection has failed, been evicted or closed
 
 
 def lingering_close(connection: ClosingConnection, clock: Clock) -> Coroutine:
--- a/snowthread/frontends/balancers/message_handler.py
+++ b/snowthread/frontends/balancers/message_handler.py
@@ -25,7 +25,7 @@
 from snowthread.net.clock import Clock
 from snowthread.net.limits import AbuseBudget
 
-MAX_OPEN_REQUESTS = 32  # unanswered requests on one connection; one more closes it
+MAX_OPEN_REQUESTS = 32  # a connection with more unanswered requests is closed
 
 
 class MessageConnection(Protocol):
@@ -35,7 +35,7 @@
     clock: Clock
     open_request_numbers: set[int]  # numbers of the requests that are not answered yet
     abuse_budget: AbuseBudget
-    closing_gracefully: bool  # if set, no more messages are read; unsent answers are sent first
+    closing_gracefully: bool  # whether to read no more messages and close after the last answers
 
     def write(self, data: bytes) -> None:
         """Send an encoded answer."""
--- a/snowthread/frontends/balancers/message_stream.py
+++ b/snowthread/frontends/balancers/message_stream.py
@@ -30,11 +30,10 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._awaiting_since_ms = (
-            clock.now()
-        )  # since when the peer owes the first message or the rest of a partial one
+        # The time since which the first message, or the rest of a partial one, is awaited.
+        self._awaiting_since_ms = clock.now()
         self.messages_read = 0
-        self.partial_message = b""
+        self.partial_message = b""  # the bytes of an incomplete message, or empty
 
     def incomplete_since_ms(self) -> float:
         """Return the time since which the first message or the rest of one is awaited, else infinity."""
--- a/snowthread/frontends/balancers/request_fields.py
+++ b/snowthread/frontends/balancers/request_fields.py
@@ -7,11 +7,10 @@
 from snowthread.core import events
 from snowthread.frontends.balancers.messages import InvalidMessage, RequestMessage, Violation
 
-MAX_KEY_CHARACTERS = 256  # of an idempotency or partition key: the node stores keys for their window
-MAX_TIMEOUT_MS = 600_000.0  # of the field "wait"; a longer timeout is treated as a client's error
-MAX_REQUEST_AGE_MS = (
-    600_000.0  # an older "at" is an error; the node learns from ages, so they must be plausible
-)
+MAX_KEY_CHARACTERS = 256  # longest idempotency or partition key; the node stores keys for their window
+MAX_TIMEOUT_MS = 600_000.0  # upper bound of the field "wait"; a longer timeout is a mistake of the client
+# An older request is a mistake of the client: its age must be plausible, as the node learns from ages.
+MAX_REQUEST_AGE_MS = 600_000.0
 MAX_CLOCK_LEAD_MS = 60_000.0  # how far a request's "at" may be ahead of this node's clock
 MAX_MEMORY_KB = 2000.0  # exclusive upper bound of the field "kb"
 MAX_RANK = 1.0  # exclusive upper bound of the field "rank"
--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -22,7 +22,7 @@
 from snowthread.net.listening import adopt_listener, open_listener
 from snowthread.net.loop import Coroutine, EventLoop, Wait
 
-MIN_CONNECTION_LIMIT = 8  # lower bound of the connection limit, whatever limit is set
+MIN_CONNECTION_LIMIT = 8  # the connection limit is at least this, whatever is configured
 
 # Tuples, because a union of types in an isinstance() call would be built anew for each response.
 _RESPONSES_THAT_REFUND = (effects.Served, effects.Rejected)
@@ -49,7 +49,7 @@
         self.loop = loop
         self.post = post
         self._connections: dict[int, BalancerConnection] = {}
-        # By connection number, the longest idle first.
+        # Since when each idle connection is idle, by connection number, the longest idle first.
         self._idle_since_ms: OrderedDict[int, float] = OrderedDict()
         self._sweeper = ConnectionSweeper(self._connections, self._idle_since_ms, max_unsent_bytes)
         self.set_max_connections(max_connections)
--- a/snowthread/frontends/balancers/socket_writer.py
+++ b/snowthread/frontends/balancers/socket_writer.py
@@ -7,7 +7,7 @@
 
 from snowthread.net.clock import Clock
 
-UNSENT_MAX_BYTES = 256 * 1024  # buffered for one peer; a peer that leaves more unread is disconnected
+UNSENT_MAX_BYTES = 256 * 1024  # a peer for which more bytes of answers are unsent is disconnected
 
 
 class UnsentLimitError(ConnectionError):
--- a/snowthread/hot_restart/channel.py
+++ b/snowthread/hot_restart/channel.py
@@ -39,8 +39,8 @@
 from snowthread.hot_restart.socket_file import ConnectFailure, PeerProcess
 from snowthread.net.loop import READABLE, Coroutine, EventLoop, Task, Wait
 
-JOIN_TIMEOUT_MS = 300.0  # retries on a refusing socket; its owner may be replacing the file
-CONNECT_RETRY_INTERVAL_MS = 20.0  # between two attempts to connect to the predecessor
+JOIN_TIMEOUT_MS = 300.0  # a refusing socket is retried this long: its owner may be replacing the file
+CONNECT_RETRY_INTERVAL_MS = 20.0  # delay between attempts to connect to the predecessor
 
 
 class HotRestartChannel:
@@ -117,9 +117,8 @@
                 yield from self._follow_predecessor(found)
                 if self._closed:
                     return
-                give_up_at_ms = (
-                    self._loop.clock.now()
-                )  # it listened until now, so a refusal means that it has exited
+                # The predecessor listened until now, so a refusal means that it has exited.
+                give_up_at_ms = self._loop.clock.now()
             elif self._is_predecessor_absent(found, give_up_at_ms):
                 break
             yield Wait(until_ms=self._loop.clock.now() + CONNECT_RETRY_INTERVAL_MS)
@@ -162,9 +161,8 @@
             except OSError:
                 continue
             process = socket_file.peer_process(sock)
-            if self._is_third_process(
-                process
-            ):  # a third process retries until the current successor has exited
+            if self._is_third_process(process):
+                # A third process retries until the current successor has exited.
                 sock.close()
                 if process is not None:
                     os.close(process.exit_descriptor)
--- a/snowthread/hot_restart/link.py
+++ b/snowthread/hot_restart/link.py
@@ -12,9 +12,9 @@
 from snowthread.hot_restart.messages import IncomingMessage, OutgoingMessage, decode, encode, unpacker
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, EventLoop, Task, Wait
 
-READ_BYTES = 64 * 1024  # most bytes per read
-ENCODE_BATCH_BYTES = 64 * 1024  # size at which a batch is sent; later messages stay objects until their turn
-QUEUE_MAX_MESSAGES = 20_000  # most unsent messages: a peer that does not read must not fill the memory
+READ_BYTES = 64 * 1024  # most bytes read from the link at a time
+ENCODE_BATCH_BYTES = 64 * 1024  # least bytes encoded ahead; later messages stay in the queue unencoded
+QUEUE_MAX_MESSAGES = 20_000  # limit of unsent messages: a peer that does not read must not fill the memory
 
 
 class PeerLink:
--- a/snowthread/hot_restart/messages.py
+++ b/snowthread/hot_restart/messages.py
@@ -19,9 +19,9 @@
 from snowthread.core import events
 from snowthread.core.idempotency import IdempotencyRecord
 
-VERSION = 1  # of the protocol between the two processes
-MESSAGE_MAX_BYTES = 64 * 1024  # larger than any idempotency record with its result
-UNPACKER_MAX_BYTES = 2 * MESSAGE_MAX_BYTES  # a partial message plus the bytes of one read
+VERSION = 1  # version of the protocol between the two processes
+MESSAGE_MAX_BYTES = 64 * 1024  # size limit of a message; an idempotency record with its result is smaller
+UNPACKER_MAX_BYTES = 2 * MESSAGE_MAX_BYTES  # buffer for a partial message plus the bytes of one read
 ERROR_EXCERPT_CHARACTERS = 80  # length of an unknown message's excerpt in the error text
 
 
@@ -155,7 +155,7 @@
         {"runs": int, "memory_kb": float, "calls": int, "descriptors": int},
     ),
 )
-SIGNAL_FIELDS = (int,)  # the protocol version
+SIGNAL_FIELDS = (int,)  # types of a signal's fields: only the protocol version
 _FORMATS_BY_SOURCE = {message_format.source: message_format for message_format in MESSAGE_FORMATS}
 _FORMATS_BY_NAME = {message_format.name: message_format for message_format in MESSAGE_FORMATS}
 _SIGNALS_BY_NAME = {signal.value: signal for signal in HandoverSignal}
--- a/snowthread/net/limits.py
+++ b/snowthread/net/limits.py
@@ -9,16 +9,17 @@
 
 from snowthread.net.clock import MS_PER_S
 
-SWEEP_INTERVAL_MS = 250.0  # between two sweeps over all connections, which check their timeouts
-FIRST_BYTE_TIMEOUT_MS = 1800.0  # for a new connection to send its first byte
-PARTIAL_MESSAGE_TIMEOUT_MS = 3000.0  # for the rest of a message; slow peers take 2 s to write one
-WRITE_STALL_TIMEOUT_MS = 3000.0  # for a peer to read some of the bytes that the node sends
+SWEEP_INTERVAL_MS = 250.0  # interval between sweeps that check the timeouts of all connections
+FIRST_BYTE_TIMEOUT_MS = 1800.0  # a new connection must send its first byte in this time
+PARTIAL_MESSAGE_TIMEOUT_MS = 3000.0  # a begun message must be complete in this time; slow peers take 2 s
+WRITE_STALL_TIMEOUT_MS = 3000.0  # a peer must read some of the bytes sent to it in this time
 SINGLE_MESSAGE_IDLE_TIMEOUT_MS = 3000.0  # idle timeout of a connection that carried one message
-MIN_IDLE_BEFORE_EVICTION_MS = 250.0  # a connection idle for less may have a request on its way
-MAX_IDLE_CONNECTIONS_RATIO = 0.5  # of the connection limit; of more, the longest idle are closed
+MIN_IDLE_BEFORE_EVICTION_MS = 250.0  # a connection idle for less may have a request on its way, so is kept
+# Share of the connection limit that idle connections may use; of more, the longest idle are closed.
+MAX_IDLE_CONNECTIONS_RATIO = 0.5
 
-ABUSE_TOKENS_MAX = 48.0  # burst of invalid messages and cancellations that a peer may send
-ABUSE_TOKENS_PER_S = 24.0  # sustained rate of invalid messages and cancellations that a peer may send
+ABUSE_TOKENS_MAX = 48.0  # invalid messages and cancellations that a peer may send in one burst
+ABUSE_TOKENS_PER_S = 24.0  # sustained rate of invalid messages and cancellations of a peer
 
 BYTES_PER_MB = 2**20
 RESULT_CACHE_MEMORY_DIVISOR = 8  # cached results may use the memory limit divided by this
--- a/snowthread/net/loop.py
+++ b/snowthread/net/loop.py
@@ -23,8 +23,8 @@
 from snowthread.net.clock import MS_PER_S, Clock
 
 CANCELLED_TIMERS_MAX = 256  # cancelled timers that may stay in the heap, however small it is
-POLL_MAX_S = 3600.0  # longest wait of one round; epoll accepts no infinite timeout
-NO_DESCRIPTOR = -1
+POLL_MAX_S = 3600.0  # longest wait for events in one round; epoll accepts no infinite timeout
+NO_DESCRIPTOR = -1  # a task with this descriptor waits for no descriptor
 
 READABLE = select.EPOLLIN
 WRITABLE = select.EPOLLOUT
@@ -59,8 +59,8 @@
 
     def __init__(self, coroutine: Coroutine) -> None:
         self.coroutine: Coroutine | None = coroutine  # None once the task has ended
-        self.fd = NO_DESCRIPTOR  # the descriptor that the task waits for; ``mask`` holds the epoll events
-        self.mask = 0
+        self.fd = NO_DESCRIPTOR  # the descriptor that the task waits for
+        self.mask = 0  # the epoll events that the task waits for
         self.timer: Timer | None = None  # resumes the task at the timeout of its wait
         self.started = False
         self.woken = False
@@ -73,13 +73,12 @@
         self.clock = clock
         self._epoll = select.epoll()
         self._task_by_fd: dict[int, Task] = {}
-        self._tasks: dict[Task, None] = {}  # in the order of spawning
+        self._tasks: dict[Task, None] = {}  # the tasks that have not ended, in order of spawning
         self._woken_tasks: deque[Task] = deque()
         self._timers: list[tuple[float, int, Timer]] = []  # a heap of (time, sequence number, timer)
         self._cancelled_timers = 0  # the number of cancelled timers that are still in the heap
-        self._timer_numbers = (
-            itertools.count()
-        )  # timers that are due at the same time run in order of creation
+        # Sequence numbers, by which timers that are due at the same time run in order of creation.
+        self._timer_numbers = itertools.count()
         self._stopped = False
 
     def spawn(self, coroutine: Coroutine) -> Task:
@@ -149,7 +148,7 @@
 
     def run_once(self, max_sleep_s: float) -> None:
         """Run one round; it waits at most ``max_sleep_s`` seconds if nothing is ready."""
-        # This is one long function because it runs thousands of times per second.
+        # A round is one long function, without helpers, because it runs thousands of times per second.
         for _ in range(len(self._woken_tasks)):
             task = self._woken_tasks.popleft()
             task.woken = False
--- a/snowthread/net/tls_stream.py
+++ b/snowthread/net/tls_stream.py
@@ -13,8 +13,8 @@
 from snowthread.net.attempt import Failure, Progress
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, EventLoop, Wait
 
-READ_BYTES = 16 * 1024  # read per round of the loop, so that a peer that floods delays no others
-UNSENT_MAX_BYTES = 256 * 1024  # with more bytes unsent, the connection is treated as broken
+READ_BYTES = 16 * 1024  # most bytes read per round of the loop, so that a flood delays no other peer
+UNSENT_MAX_BYTES = 256 * 1024  # a connection with more unsent bytes is treated as broken
 
 
 class Stream:
--- a/snowthread/node/descriptors.py
+++ b/snowthread/node/descriptors.py
@@ -14,8 +14,8 @@
 DATABASE_CALLS_DIVISOR = 8
 """The share of the descriptors that database calls may use is 1 divided by this."""
 
-DATABASE_CALLS_MIN = 4  # lower bound, however few descriptors there are
-BALANCER_CONNECTIONS_MIN = 8  # lower bound, however few descriptors there are
+DATABASE_CALLS_MIN = 4  # database calls get at least this many descriptors
+BALANCER_CONNECTIONS_MIN = 8  # balancers get at least this many connections
 
 
 @dataclass(frozen=True, slots=True)
--- a/snowthread/node/reconfiguration.py
+++ b/snowthread/node/reconfiguration.py
@@ -62,7 +62,9 @@
 
 
 def _apply_addresses(node: ReconfigurableNode, config: Config) -> None:
-    node.registry.set_address(config.registry)  # first, as it alone opens a socket and can fail
+    node.registry.set_address(
+        config.registry
+    )  # the registry first, as only it opens a socket, which can fail
     node.runtime.set_address(config.runtime)
     node.database.set_address(config.database)
 
--- a/snowthread/node/shutdown.py
+++ b/snowthread/node/shutdown.py
@@ -33,14 +33,13 @@
 from snowthread.hot_restart.channel import HotRestartChannel
 from snowthread.net.loop import Coroutine, EventLoop, Wait
 
-CLOSE_LISTENER_BEFORE_KILL_MS = 500.0  # leaves time to answer the last accepted requests before the kill
-EXIT_BEFORE_KILL_MS = 120.0  # the process exits at this time, even with requests unanswered
-POLL_INTERVAL_MS = 10.0  # between two checks whether all requests are answered
-QUIET_BEFORE_EXIT_MS = (
-    100.0  # time without work; a request that crosses a farewell takes up to 50 ms to arrive
-)
-SUPERSEDED_MARGIN_MS = 700.0  # with a successor: added to the longest deadline to get the assumed kill
-SUPERSEDED_DEADLINE_MAX_MS = 3000.0  # with a successor: upper bound for the longest deadline
+CLOSE_LISTENER_BEFORE_KILL_MS = 500.0  # leaves time to answer the requests accepted last
+EXIT_BEFORE_KILL_MS = 120.0  # the process exits this long before the kill, even with requests unanswered
+POLL_INTERVAL_MS = 10.0  # interval between checks whether all requests are answered
+# The process exits after this time without work; a request that crosses a farewell takes up to 50 ms.
+QUIET_BEFORE_EXIT_MS = 100.0
+SUPERSEDED_MARGIN_MS = 700.0  # with a successor, the kill is assumed this long after the longest deadline
+SUPERSEDED_DEADLINE_MAX_MS = 3000.0  # with a successor, longer deadlines are counted as this long
 
 
 class ServingNode(Protocol):
--- a/snowthread/node/signals.py
+++ b/snowthread/node/signals.py
@@ -20,7 +20,7 @@
 BLOCKED_SIGNALS = {signal.SIGHUP, *SHUTDOWN_SIGNALS}
 """Signals that :func:`snowthread.serve.serve` blocks from its start until the node handles them."""
 
-READ_BYTES = 64  # read from the wakeup socket at a time; each signal is one byte
+READ_BYTES = 64  # most bytes read from the wakeup socket at a time; each signal is one byte
 NO_WAKEUP_DESCRIPTOR = -1  # the value by which ``signal.set_wakeup_fd`` unsets the descriptor
 
 
@@ -37,8 +37,9 @@
         self._loop = loop
         self._begin_shutdown = begin_shutdown
         self._reload = reload
-        self._sockets: tuple[socket.socket, socket.socket] | None = None  # stay open until the process exits
-        self._shutdown_signal_at_ms = math.inf
+        # The reading and the writing end of the wakeup socket, which stay open until the process exits.
+        self._sockets: tuple[socket.socket, socket.socket] | None = None
+        self._shutdown_signal_at_ms = math.inf  # time of the first shutdown signal
 
     def start(self) -> None:
         """Install the handlers and unblock the signals; those that were pending arrive immediately."""
--- a/snowthread/serve.py
+++ b/snowthread/serve.py
@@ -12,9 +12,9 @@
 from snowthread.net.clock import Clock
 from snowthread.node import BLOCKED_SIGNALS, Node
 
-YOUNG_COLLECTION_THRESHOLD_OBJECTS = 10_000  # high, because the node creates few reference cycles
-MIDDLE_COLLECTION_THRESHOLD_RUNS = 20  # young collections per middle collection
-OLD_COLLECTION_THRESHOLD_RUNS = 20  # middle collections per old collection
+YOUNG_COLLECTION_THRESHOLD_OBJECTS = 10_000  # objects; high, because the node creates few reference cycles
+MIDDLE_COLLECTION_THRESHOLD_RUNS = 20  # number of young collections per middle collection
+OLD_COLLECTION_THRESHOLD_RUNS = 20  # number of middle collections per old collection
 
 
 def main() -> int:
--- a/tests/frontends/test_connection_limits.py
+++ b/tests/frontends/test_connection_limits.py
@@ -59,9 +59,8 @@
             player.clock.now_ms += pause_ms
         slow_writer.send(piece)
         player.settle()
-        for _ in range(
-            max_connections // 2
-        ):  # enough to replace the whole connection table every second piece
+        # Enough connections to replace the whole connection table every second piece.
+        for _ in range(max_connections // 2):
             other = connect(player)
             if crowd_sends:
                 other.send(crowd_sends)
--- a/tests/net/test_listening.py
+++ b/tests/net/test_listening.py
@@ -25,7 +25,6 @@
         adopted = adopt_listener(os.dup(original.fileno()))
         with socket.create_connection(original.getsockname()), adopted:
             assert adopted.accept()[0].getsockname() == original.getsockname()
-        with socket.create_connection(
-            original.getsockname()
-        ):  # closed by one process, the socket still listens for others
+        # After a close of the adopted socket, the original still listens.
+        with socket.create_connection(original.getsockname()):
             original.accept()[0].close()
--- a/tests/node/test_restart.py
+++ b/tests/node/test_restart.py
@@ -112,9 +112,8 @@
             assert read_answer(connection) == [2, "farewell", []]
             link.complete_run(4, attempt_id, "bmV3")
             assert read_answer(connection)[:2] == [1, 2]
-            while (
-                registry.recv(100) != b"HERE n1 off"
-            ):  # earlier reports of each process said that it accepts work
+            # Earlier reports of each process said that it accepts work.
+            while registry.recv(100) != b"HERE n1 off":
                 pass
             log = process.communicate(timeout=TIMEOUT_S)[1]
             assert process.returncode == 0 and "stopped" in log
