--- a/snowthread/hcl.py
+++ b/snowthread/hcl.py
@@ -101,20 +101,20 @@
         return value
 
     def number(
-        self, key: str, default: float | None = None, least: float = 0.0, most: float = math.inf
+        self, key: str, default: float | None = None, minimum: float = 0.0, maximum: float = math.inf
     ) -> float:
-        """Return a number from ``least`` to ``most``, inclusive; without a default the key is required."""
+        """Return a number from ``minimum`` to ``maximum``; without a default the key is required."""
         value = self._take(key, default)
         if value is None:
             raise self.error(key, "missing")
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-            top = "" if most == math.inf else f" and at most {most:g}"
-            raise self.error(key, f"must be a number of at least {least:g}{top}")
+        if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+            top = "" if maximum == math.inf else f" and at most {maximum:g}"
+            raise self.error(key, f"must be a number of at least {minimum:g}{top}")
         return float(value)
 
-    def integer(self, key: str, default: int, least: int = 0, most: int = 2**31) -> int:
-        """Return an integer between ``least`` and ``most``, inclusive."""
-        value = self.number(key, default, least, most)
+    def integer(self, key: str, default: int, minimum: int = 0, maximum: int = 2**31) -> int:
+        """Return an integer between ``minimum`` and ``maximum``, inclusive."""
+        value = self.number(key, default, minimum, maximum)
         if value != int(value):
             raise self.error(key, "must be a whole number")
         return int(value)
@@ -126,14 +126,14 @@
             raise self.error(key, "must be true or false")
         return value
 
-    def duration_ms(self, key: str, default: str, least_ms: float = 1.0, most_ms: float = math.inf) -> float:
-        """Return a duration in milliseconds, between ``least_ms`` and ``most_ms``, inclusive."""
+    def duration_ms(self, key: str, default: str, min_ms: float = 1.0, max_ms: float = math.inf) -> float:
+        """Return a duration in milliseconds, between ``min_ms`` and ``max_ms``, inclusive."""
         match = _DURATION.fullmatch(self.text(key, default))
         if match is None:
             raise self.error(key, 'must be a duration like "250ms", "30s", "5m" or "2h"')
         duration_ms = float(match[1]) * _UNIT_MS[match[2]]
-        if not least_ms <= duration_ms <= most_ms:
-            raise self.error(key, f"must be at least {least_ms:g} ms and at most {most_ms:g} ms")
+        if not min_ms <= duration_ms <= max_ms:
+            raise self.error(key, f"must be at least {min_ms:g} ms and at most {max_ms:g} ms")
         return duration_ms
 
     def text_list(self, key: str, default: tuple[str, ...] | None = None) -> tuple[str, ...]:
@@ -164,11 +164,11 @@
             raise self.error(key, f"the block occurs {len(bodies)} times, at most one is allowed")
         return Block(self.file, self._name_of(key), bodies[0]) if bodies else None
 
-    def blocks(self, key: str, most: int) -> list[Block]:
-        """Return the nested blocks of a kind, at most ``most``, in the order in the file."""
+    def blocks(self, key: str, maximum: int) -> list[Block]:
+        """Return the nested blocks of a kind, at most ``maximum``, in the order in the file."""
         bodies = self._take_bodies(key)
-        if len(bodies) > most:
-            raise self.error(key, f"the block occurs {len(bodies)} times, at most {most} are allowed")
+        if len(bodies) > maximum:
+            raise self.error(key, f"the block occurs {len(bodies)} times, at most {maximum} are allowed")
         name = self._name_of(key)
         return [Block(self.file, f"{name}[{index}]", body) for index, body in enumerate(bodies)]
 
--- a/snowthread/lab/scenario_file.py
+++ b/snowthread/lab/scenario_file.py
@@ -102,9 +102,9 @@
     file = read_file(path)
     seed = file.integer("seed", 1)
     nodes = file.integer("nodes", 5, 1, NODES_MAX)
-    duration_ms = file.duration_ms("duration", "20s", least_ms=DURATION_MIN_MS, most_ms=DURATION_MAX_MS)
+    duration_ms = file.duration_ms("duration", "20s", min_ms=DURATION_MIN_MS, max_ms=DURATION_MAX_MS)
     cores = file.integer("cores", 4, 1, CORES_MAX)
-    run_ms = file.duration_ms("run_time", "100ms", least_ms=RUN_TIME_MIN_MS, most_ms=RUN_TIME_MAX_MS)
+    run_ms = file.duration_ms("run_time", "100ms", min_ms=RUN_TIME_MIN_MS, max_ms=RUN_TIME_MAX_MS)
     load = _read_load(file.block_or_empty("load"))
     database = _read_database(file.block_or_empty("database"))
     machine = _read_machine(file.block_or_empty("machine"))
@@ -144,7 +144,7 @@
 def _read_database(block: Block) -> _DatabaseSettings:
     settings = _DatabaseSettings(
         slots=block.integer("slots", 6, 1, SLOTS_MAX),
-        call_ms=block.duration_ms("call_time", "80ms", least_ms=CALL_TIME_MIN_MS, most_ms=CALL_TIME_MAX_MS),
+        call_ms=block.duration_ms("call_time", "80ms", min_ms=CALL_TIME_MIN_MS, max_ms=CALL_TIME_MAX_MS),
     )
     block.reject_unknown_keys()
     return settings
@@ -171,7 +171,7 @@
 
     def read(self, block: Block) -> list[Step]:
         """Return the step of a block, and the step that ends its effect if it has a duration."""
-        at_ms = block.duration_ms("at", "0ms", least_ms=0.0, most_ms=self.duration_ms)
+        at_ms = block.duration_ms("at", "0ms", min_ms=0.0, max_ms=self.duration_ms)
         action = Action(block.choice("do", SCENARIO_ACTIONS, Action.KILL))
         named = block.text_list("nodes", ())
         share = block.number("share", 0.0, 0.0, 1.0)
@@ -192,7 +192,7 @@
         if action not in END_OF_ACTION:
             return 0.0
         key = "again_after" if action in RESTARTED_ACTIONS else "for"
-        return block.duration_ms(key, "0ms", least_ms=0.0, most_ms=self.duration_ms)
+        return block.duration_ms(key, "0ms", min_ms=0.0, max_ms=self.duration_ms)
 
     def _draw_nodes(self, action: Action, at_ms: float, share: float) -> tuple[str, ...]:
         if action in FLEET_ACTIONS:
--- a/snowthread/reload.py
+++ b/snowthread/reload.py
@@ -57,7 +57,7 @@
 
 
 def _load_files(node: Reconfigurable, environment: Mapping[str, str]) -> tuple[Config, Features | None]:
-    """Read the configuration and the operator's file; an error in either prevents that both are applied."""
+    """Read the configuration and the operator's file; an error in either rejects both."""
     config = load(environment, node.config)
     features = node.features
     if features is not None:
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -33,17 +33,17 @@
 
 
 class Step(NamedTuple):
-    """One line of an exchange: the peer's name, the action and its argument."""
+    """One line of an exchange: a peer's name or a word such as ``clock``, an action and its argument."""
 
-    who: str
+    peer_name: str
     action: str
     argument: str
 
     @classmethod
     def parse(cls, line: str) -> Step:
         """Split a line into its parts; missing parts are empty."""
-        who, action, argument = (*line.split(" ", 2), "", "")[:3]
-        return cls(who, action, argument)
+        peer_name, action, argument = (*line.split(" ", 2), "", "")[:3]
+        return cls(peer_name, action, argument)
 
 
 def _unescaped(text: str) -> bytes:
@@ -91,8 +91,10 @@
                 if line.strip() and not line.startswith("#"):
                     self._play_line(number, line)
             self.settle()
-            for who in self.peers.keys() - {"roster"}:  # the node sends reports to the registry periodically
-                self.assert_silent(who)
+            for peer_name in self.peers.keys() - {
+                "roster"
+            }:  # the node sends reports to the registry periodically
+                self.assert_silent(peer_name)
         finally:
             for sock in (*self.peers.values(), *self.listeners.values()):
                 sock.close()
@@ -103,16 +105,16 @@
         except AssertionError as error:
             raise AssertionError(f"line {number}: {line}: {error}") from error
 
-    def step(self, who: str, what: str, rest: str) -> None:
+    def step(self, peer_name: str, action: str, argument: str) -> None:
         """Play one step; the arguments are the parts of a line.
 
         Raises:
             ValueError: the step is unknown.
         """
-        handler = self._named_steps.get(who) or self._peer_steps.get(what)
+        handler = self._named_steps.get(peer_name) or self._peer_steps.get(action)
         if handler is None:
-            raise ValueError(f"unknown step: {who} {what}")
-        handler(Step(who, what, rest))
+            raise ValueError(f"unknown step: {peer_name} {action}")
+        handler(Step(peer_name, action, argument))
         for peer in self.peers.values():
             peer.setblocking(False)
 
@@ -135,47 +137,47 @@
         self.node.balancers.set_idle_timeout(float(step.action))
 
     def _step_connect(self, step: Step) -> None:
-        self.open_connection(step.who)
+        self.open_connection(step.peer_name)
 
     def _step_call(self, step: Step) -> None:
-        self.connect_operator(step.who)
+        self.connect_operator(step.peer_name)
 
     def _step_accept(self, step: Step) -> None:
-        self.accept(step.who)
+        self.accept(step.peer_name)
 
     def _step_send(self, step: Step) -> None:
-        self._send_and_settle(step.who, self._data(step.argument))
+        self._send_and_settle(step.peer_name, self._data(step.argument))
 
     def _step_send_repeated(self, step: Step) -> None:
-        self._send_and_settle(step.who, _repeated(step.argument))
+        self._send_and_settle(step.peer_name, _repeated(step.argument))
 
     def _step_receive(self, step: Step) -> None:
-        self._expect(step.who, self._data(step.argument))
+        self._expect(step.peer_name, self._data(step.argument))
 
     def _step_receive_repeated(self, step: Step) -> None:
-        self._expect(step.who, _repeated(step.argument))
+        self._expect(step.peer_name, _repeated(step.argument))
 
     def _step_refuse(self, step: Step) -> None:
-        self.listeners[step.who].close()
+        self.listeners[step.peer_name].close()
 
     def _step_close(self, step: Step) -> None:
-        self.close_peer(step.who)
+        self.close_peer(step.peer_name)
 
     def _step_closed(self, step: Step) -> None:
-        assert self.receive(step.who, 1) == b"" and self.closed_by_node
-        self.peers.pop(step.who).close()
+        assert self.receive(step.peer_name, 1) == b"" and self.closed_by_node
+        self.peers.pop(step.peer_name).close()
 
     def _step_silent(self, step: Step) -> None:
         self.settle()
-        self.assert_silent(step.who)
+        self.assert_silent(step.peer_name)
 
     def _data(self, argument: str) -> bytes:
         return _unescaped(argument).replace(b"{index}", self.index)
 
-    def _send_and_settle(self, who: str, data: bytes) -> None:
-        self.send(who, data)
+    def _send_and_settle(self, peer_name: str, data: bytes) -> None:
+        self.send(peer_name, data)
         self.settle()
 
-    def _expect(self, who: str, data: bytes) -> None:
-        got = self.receive(who, len(data))
+    def _expect(self, peer_name: str, data: bytes) -> None:
+        got = self.receive(peer_name, len(data))
         assert got == data, f"the node sent {got!r}"
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -122,10 +122,10 @@
         """Send bytes to the node, which does not read them until the loop runs."""
         self.peers[name].sendall(data)
 
-    def receive(self, who: str, size: int) -> bytes:
+    def receive(self, peer_name: str, size: int) -> bytes:
         """Return the next ``size`` bytes from the node; fewer if it closes, or sends no more in time."""
         self.closed_by_node = False
-        peer = self.peers[who]
+        peer = self.peers[peer_name]
         data = b""
         end = time.monotonic() + TIMEOUT_S
         while len(data) < size and time.monotonic() < end:
@@ -140,13 +140,13 @@
             data += more
         return data
 
-    def assert_silent(self, who: str) -> None:
+    def assert_silent(self, peer_name: str) -> None:
         """Check that the node has sent nothing more to a peer."""
         try:
-            more = self.peers[who].recv(4096)
+            more = self.peers[peer_name].recv(4096)
         except BlockingIOError:
             return
-        assert more == b"", f"{who}: unexpected {more!r}"
+        assert more == b"", f"{peer_name}: unexpected {more!r}"
 
     def close_peer(self, name: str) -> None:
         """Close a peer's connection and let the node react."""
--- a/tests/support/node_peers.py
+++ b/tests/support/node_peers.py
@@ -45,11 +45,11 @@
     return packed
 
 
-def read_answer(harness: NodeHarness, who: str) -> list[Any]:
+def read_answer(harness: NodeHarness, peer_name: str) -> list[Any]:
     """Return the next message that the node sends to a balancer."""
     unpacker = msgpack.Unpacker()
     while True:
-        more = harness.receive(who, 1)
+        more = harness.receive(peer_name, 1)
         assert more, "the node closed the connection or sent no message in time"
         unpacker.feed(more)
         for found in unpacker:
@@ -115,18 +115,18 @@
     send_load_sample(harness, echo)
 
 
-def serve_request(harness: NodeHarness, who: str, number: int, pos: int) -> None:
+def serve_request(harness: NodeHarness, peer_name: str, number: int, pos: int) -> None:
     """Check that a request is run, and that its result is sent once the run has completed."""
     command = read_work_command(harness)
     assert command["action"] == "start" and command["uid"] == attempt_id(number)
     complete_run(harness, pos, number)
-    found = read_answer(harness, who)
+    found = read_answer(harness, peer_name)
     assert found[:3] == [1, number, None] and found[3][0] == b"made"
 
 
-def is_closed_by_node(harness: NodeHarness, who: str) -> bool:
+def is_closed_by_node(harness: NodeHarness, peer_name: str) -> bool:
     """Return whether the node closes or resets the connection and sends at most a farewell before."""
     try:
-        return harness.receive(who, 100) in (b"", FAREWELL) and harness.closed_by_node
+        return harness.receive(peer_name, 100) in (b"", FAREWELL) and harness.closed_by_node
     except ConnectionError:
         return True
