--- a/snowthread/core/events.py
+++ b/snowthread/core/events.py
@@ -183,12 +183,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TenantQuotasChanged:
-    """Tenants were added, changed or removed."""
+class TenantsChanged:
+    """Tenants were added, changed or removed, or the weight of requests over quota changed."""
 
-    changed: tuple[Tenant, ...] = ()
-    removed: frozenset[str] = frozenset()
-    over_quota_weight: float | None = None  # priority factor of requests over quota; None leaves it unchanged
+    changed: tuple[Tenant, ...] = ()  # tenants that were added or changed
+    removed: frozenset[str] = frozenset()  # names of removed tenants
+    # Factor on the weight of requests beyond their tenant's quota; None leaves it unchanged.
+    over_quota_weight: float | None = None
 
 
 # Recovery.
@@ -311,7 +312,7 @@
     | ShutdownRequested
     | DrainRequested
     | SettingsReloaded
-    | TenantQuotasChanged
+    | TenantsChanged
     | CallPacingChanged
     | LearnedStateRestored
     | PeerProcessConnected
--- a/snowthread/core/settings_changes.py
+++ b/snowthread/core/settings_changes.py
@@ -1,6 +1,6 @@
 """Handles changes of the admission controller's inputs while the node serves.
 
-These are reloaded settings, tenant quotas, the pacing of downstream calls during recovery, and the learned
+These are reloaded settings, tenants, the pacing of downstream calls during recovery, and the learned
 state of an earlier incarnation. :mod:`snowthread.core.effective_settings` computes the settings in effect.
 Only the setting ``starts_cold`` is changed elsewhere, when the runtime connects
 (:mod:`snowthread.core.runtime_resync`).
@@ -49,8 +49,8 @@
 def _extend_idempotency_windows(state: NodeState, old_classes: tuple[RequestClass, ...]) -> None:
     """Extend the expiry of the keys of classes whose idempotency window became longer.
 
-    A window that became shorter does not change existing keys, because callers still retry within the window
-    that they know.
+    A window that became shorter does not change existing keys, because balancers still retry within the
+    window that they know.
     """
     old_window_s = {old.name: old.idempotency_window_s for old in old_classes}
     for request_class in state.settings.classes:
@@ -63,23 +63,23 @@
 
 
 def _apply_tenants(transition: Transition, old: Settings, new: Settings) -> None:
-    """Update the tenant quotas if the reload changed the tenants in the settings."""
+    """Update the tenants if the reload changed them, or changed the weight of requests over quota."""
     if old.tenants == new.tenants and old.over_quota_weight == new.over_quota_weight:
         return
     remaining = {tenant.name for tenant in new.tenants}
     removed = frozenset(tenant.name for tenant in old.tenants if tenant.name not in remaining)
-    tenant_quotas_changed(transition, events.TenantQuotasChanged(new.tenants, removed, new.over_quota_weight))
+    tenants_changed(transition, events.TenantsChanged(new.tenants, removed, new.over_quota_weight))
 
 
-def tenant_quotas_changed(transition: Transition, event: events.TenantQuotasChanged) -> None:
-    """Pass tenant quotas to the admission controller, or merge them into those that wait for its creation."""
+def tenants_changed(transition: Transition, event: events.TenantsChanged) -> None:
+    """Pass changed tenants to the admission controller, or keep them until the controller is created."""
     state = transition.state
     if state.controller is not None:
         transition.dispatch(
             admission_events.TenantsChanged(event.changed, event.removed, event.over_quota_weight)
         )
         return
-    pending = state.pending_quotas
+    pending = state.pending_tenants
     over_quota_weight = event.over_quota_weight
     tenants = {}
     if pending is not None:
@@ -87,7 +87,7 @@
         if over_quota_weight is None:
             over_quota_weight = pending.over_quota_weight
     tenants.update((tenant.name, tenant) for tenant in event.changed)
-    state.pending_quotas = admission_events.TenantsChanged(
+    state.pending_tenants = admission_events.TenantsChanged(
         tuple(tenants.values()), frozenset(), over_quota_weight
     )
 
@@ -106,7 +106,7 @@
 
 HANDLERS: HandlerTable = {
     events.SettingsReloaded: settings_reloaded,
-    events.TenantQuotasChanged: tenant_quotas_changed,
+    events.TenantsChanged: tenants_changed,
     events.CallPacingChanged: call_pacing_changed,
     events.LearnedStateRestored: learned_state_restored,
 }
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -115,8 +115,8 @@
     gauge_names: tuple[str, ...]
     admission_clock: AdmissionClock
     controller: Controller | None = None
-    # Tenant quotas that arrived before the admission controller was created.
-    pending_quotas: admission_events.TenantsChanged | None = None
+    # Tenant changes that arrived before the admission controller was created.
+    pending_tenants: admission_events.TenantsChanged | None = None
     idempotency_table: IdempotencyTable = field(default_factory=IdempotencyTable)
     requests: dict[int, Request] = field(default_factory=dict)
     requests_by_attempt_id: dict[str, Request] = field(default_factory=dict)
--- a/snowthread/core/transition.py
+++ b/snowthread/core/transition.py
@@ -90,9 +90,10 @@
             settings = remaining_limits(state.settings, state.peer_load)
             controller.handle(now_s, admission_events.SettingsChanged(settings))
         apply_learned_state(state)
-        if state.pending_quotas is not None:  # no request is queued yet, so the controller returns no actions
-            controller.handle(now_s, state.pending_quotas)
-            state.pending_quotas = None
+        if state.pending_tenants is not None:
+            # No request is queued yet, so the controller returns no actions.
+            controller.handle(now_s, state.pending_tenants)
+            state.pending_tenants = None
         return controller
 
 
--- a/snowthread/tenants/identification.py
+++ b/snowthread/tenants/identification.py
@@ -54,7 +54,7 @@
         """
         self._peer_address = peer_address
         self._post(
-            events.TenantQuotasChanged(
+            events.TenantsChanged(
                 (self.tenants.default_quota(),), over_quota_weight=self.settings.over_quota_weight
             )
         )
@@ -86,7 +86,7 @@
             log = bound.warning if line.event in _WARNING_EVENTS else bound.info
             log("tenants: {}", line.text)
         if changes.quotas or changes.removed_ids:
-            self._post(events.TenantQuotasChanged(tuple(changes.quotas), frozenset(changes.removed_ids)))
+            self._post(events.TenantsChanged(tuple(changes.quotas), frozenset(changes.removed_ids)))
 
     def apply_settings(self, settings: TenantSettings) -> None:
         """Apply new settings.
@@ -96,7 +96,7 @@
         old = self.settings
         self.settings = settings
         self.publish(self.tenants.apply_rules(settings.rules))
-        self._post(events.TenantQuotasChanged(over_quota_weight=settings.over_quota_weight))
+        self._post(events.TenantsChanged(over_quota_weight=settings.over_quota_weight))
         self._snapshots.apply_settings(settings)
         if self.replicator is not None and not _replication_settings_equal(old, settings):
             self.replicator.apply_settings(settings)
--- a/tests/tenants/test_tenant_changes_in_reducer.py
+++ b/tests/tenants/test_tenant_changes_in_reducer.py
@@ -21,11 +21,11 @@
 START = 1_800_000_000_000.0
 FIELDS = json.loads((Path(__file__).parents[2] / "examples" / "node.json").read_bytes())
 SETTINGS = config.parse(FIELDS).settings
-REMOVED = events.TenantQuotasChanged(removed=frozenset({"a"}))
-SUSPENDED = events.TenantQuotasChanged((Tenant("a", 5.0, suspended=True),))
-RENAMED = events.TenantQuotasChanged(())  # a rename keeps the id, so no quota changes
-SMALLER_QUOTA = events.TenantQuotasChanged((Tenant("a", 0.001),), over_quota_weight=0.05)
-NO_DISPENSE = events.TenantQuotasChanged((Tenant("a", 5.0, allowed_classes=("match",)),))
+REMOVED = events.TenantsChanged(removed=frozenset({"a"}))
+SUSPENDED = events.TenantsChanged((Tenant("a", 5.0, suspended=True),))
+RENAMED = events.TenantsChanged(())  # a rename keeps the id, so no quota changes
+SMALLER_QUOTA = events.TenantsChanged((Tenant("a", 0.001),), over_quota_weight=0.05)
+NO_DISPENSE = events.TenantsChanged((Tenant("a", 5.0, allowed_classes=("match",)),))
 
 
 class Node:
@@ -40,7 +40,7 @@
         self.calls: list[str] = []
         quotas = (Tenant("a", 5.0), Tenant("b", 5.0))
         # Quotas that are posted before the runtime connects find no controller yet.
-        self.post(events.TenantQuotasChanged(quotas))
+        self.post(events.TenantsChanged(quotas))
         self.post(events.RuntimeConnected(False, 0.0))
 
     def post(self, message: events.Event) -> None:
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("change", [REMOVED, SUSPENDED, RENAMED, SMALLER_QUOTA, NO_DISPENSE])
-def test_a_change_in_every_phase_of_a_request(change: events.TenantQuotasChanged) -> None:
+def test_a_change_in_every_phase_of_a_request(change: events.TenantsChanged) -> None:
     node = Node()
     done = node.request(1, "k1")
     node.complete(done, b"first")
@@ -163,8 +163,8 @@
 def test_quotas_set_before_the_runtime_connects_apply_then_and_a_cold_start_stays_cold() -> None:
     state = NodeState(replace(SETTINGS, starts_cold=False), 1, (), AdmissionClock(START))
     for message in (
-        events.TenantQuotasChanged((Tenant("a", 5.0), Tenant("b", 1.0)), over_quota_weight=0.3),
-        events.TenantQuotasChanged((Tenant("a", 6.0),), frozenset({"b"})),
+        events.TenantsChanged((Tenant("a", 5.0), Tenant("b", 1.0)), over_quota_weight=0.3),
+        events.TenantsChanged((Tenant("a", 6.0),), frozenset({"b"})),
     ):
         assert reduce(state, message, START) == [] and state.controller is None
     reduce(state, events.RuntimeConnected(True, 0.0), START)
@@ -175,7 +175,7 @@
 
 def test_a_tenant_over_its_quota_waits_behind_one_within() -> None:
     node = Node()
-    node.post(events.TenantQuotasChanged((Tenant("a", 0.5), Tenant("b", 50.0)), over_quota_weight=0.05))
+    node.post(events.TenantsChanged((Tenant("a", 0.5), Tenant("b", 50.0)), over_quota_weight=0.05))
     blocker = node.request(1, tenant="a")
     for n in range(12, 30):  # only recent runs count against the quota, not the requests sent
         node.complete(blocker)
