--- a/snowthread/core/events.py
+++ b/snowthread/core/events.py
@@ -197,12 +197,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallPacingChanged:
-    """The limit of concurrent downstream calls during recovery changed.
+    """The call quota during recovery changed; 0 restores the configured one.
 
-    Calls beyond the limit wait to be sent.
+    Calls beyond the quota wait, and those that can be skipped may be skipped instead.
     """
 
-    concurrent_calls: float = 0.0  # limit of concurrent downstream calls; 0 restores the configured limit
+    call_quota: float = 0.0  # limit of calls in flight, averaged over ``Settings.call_quota_window_s``
 
 
 @dataclass(frozen=True, slots=True)
--- a/snowthread/core/idempotency.py
+++ b/snowthread/core/idempotency.py
@@ -43,23 +43,25 @@
 
 
 class IndeterminateKeys:
-    """Keys that an earlier incarnation of this node may have run, with an unknown outcome.
+    """Keys of requests that an earlier incarnation of this node may have run, with an unknown outcome.
 
-    No request with such a key is run before the key expires. Until ``all_keys_until_ms`` the set of these
-    keys is not known either, so every key is treated as one of them.
+    No request with such a key is run before the key expires. Until ``all_indeterminate_until_ms`` it is not
+    known either which keys these are, so every key is treated as one of them.
     """
 
-    def __init__(self, expires_at_ms_by_digest: dict[bytes, float], all_keys_until_ms: float) -> None:
+    def __init__(
+        self, expires_at_ms_by_digest: dict[bytes, float], all_indeterminate_until_ms: float
+    ) -> None:
         self._expires_at_ms_by_digest = expires_at_ms_by_digest
-        self.all_keys_until_ms = all_keys_until_ms
-        self.last_expiry_ms = max([all_keys_until_ms, *expires_at_ms_by_digest.values()])
+        self.all_indeterminate_until_ms = all_indeterminate_until_ms
+        self.last_expiry_ms = max([all_indeterminate_until_ms, *expires_at_ms_by_digest.values()])
 
     def __len__(self) -> int:
         return len(self._expires_at_ms_by_digest)
 
     def may_have_run(self, idempotency_key: str, arrived_at_ms: float) -> bool:
         """Return whether a request that arrived at this time may be a retry of one that has run."""
-        return arrived_at_ms < self.all_keys_until_ms or (
+        return arrived_at_ms < self.all_indeterminate_until_ms or (
             arrived_at_ms < self.last_expiry_ms
             and arrived_at_ms < self._expires_at_ms_by_digest.get(key_digest(idempotency_key), 0.0)
         )
--- a/snowthread/core/settings_changes.py
+++ b/snowthread/core/settings_changes.py
@@ -28,7 +28,7 @@
     if state.peer_load is not None:
         settings = remaining_limits(settings, state.peer_load)
     if state.call_pacing is not None:
-        settings = replace(settings, call_quota=state.call_pacing.concurrent_calls)
+        settings = replace(settings, call_quota=state.call_pacing.call_quota)
     transition.dispatch(admission_events.SettingsChanged(settings))
 
 
@@ -93,8 +93,8 @@
 
 
 def call_pacing_changed(transition: Transition, event: events.CallPacingChanged) -> None:
-    """Replace the limit of concurrent calls during recovery; 0 restores the limit of the settings."""
-    transition.state.call_pacing = event if event.concurrent_calls else None
+    """Replace the call quota during recovery; 0 restores the configured one."""
+    transition.state.call_pacing = event if event.call_quota else None
     apply_settings(transition)
 
 
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -139,8 +139,9 @@
     drained: bool = False  # set by an operator's drain call and cleared by a resume call
     handover_role: HandoverRole = HandoverRole.STANDALONE
     peer_load: PeerLoadReported | None = None  # what the peer process uses of the shared limits
-    indeterminate_keys: IndeterminateKeys | None = None  # keys that an earlier incarnation may have run
-    call_pacing: CallPacingChanged | None = None  # limit of concurrent downstream calls during recovery
+    # Keys of requests that an earlier incarnation of this node may have run, with an unknown outcome.
+    indeterminate_keys: IndeterminateKeys | None = None
+    call_pacing: CallPacingChanged | None = None  # call quota in effect during recovery, if it is replaced
     pending_learned_state: LearnedStateRestored | None = None  # learned state for a controller to be created
     superseded: bool = False  # whether the successor process accepts the new connections
     pending_claims: dict[str, PendingClaim] = field(default_factory=dict)  # undecided claims by their key
--- a/snowthread/recovery/request_admission.py
+++ b/snowthread/recovery/request_admission.py
@@ -51,7 +51,7 @@
         weight may not be made. During that time, requests whose calls warm up the machine go first.
         """
         keys = state.indeterminate_keys
-        if keys is None or now_ms >= keys.all_keys_until_ms:
+        if keys is None or now_ms >= keys.all_indeterminate_until_ms:
             return False
         running = sum(request.phase is RequestPhase.RUNNING for request in state.requests.values())
         return running >= state.settings.cores and self._pacer.has_idle_budget(now_ms)
--- a/tests/recovery/test_key_log.py
+++ b/tests/recovery/test_key_log.py
@@ -105,7 +105,7 @@
     ],
 )
 def test_indeterminate_keys_end_with_their_windows(key: str, at_ms: float, may_have_run: bool) -> None:
-    keys = IndeterminateKeys({key_digest("ran"): NOW + 100.0}, all_keys_until_ms=NOW + 10.0)
+    keys = IndeterminateKeys({key_digest("ran"): NOW + 100.0}, all_indeterminate_until_ms=NOW + 10.0)
     assert keys.may_have_run(key, at_ms) is may_have_run
 
 
