--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -127,7 +127,7 @@
     """Make the downstream call that a run waits for, unless it is already in flight."""
     request = transition.state.requests.get(action.request_id)
     run = None if request is None else request.run
-    if request is None or run is None or run.pending_call_notice is None or run.call_in_flight:
+    if request is None or run is None or run.pending_call_notice_number is None or run.call_in_flight:
         return
     run.call_in_flight = True
     timeout_s = action.timeout_s or request.request_class.deadline_s
@@ -145,9 +145,9 @@
     """Let a run continue without the downstream call that it waits for."""
     request = transition.state.requests.get(action.request_id)
     run = None if request is None else request.run
-    if request is not None and run is not None and run.pending_call_notice is not None:
-        send_command(transition, effects.SkipCall(request.attempt_id, run.pending_call_notice))
-        run.pending_call_notice = None
+    if request is not None and run is not None and run.pending_call_notice_number is not None:
+        send_command(transition, effects.SkipCall(request.attempt_id, run.pending_call_notice_number))
+        run.pending_call_notice_number = None
 
 
 def set_timer(transition: Transition, action: actions.SetTimer) -> None:
--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -9,7 +9,7 @@
 from snowthread.admission.settings import Idempotency, RequestClass
 from snowthread.core import effects, events
 from snowthread.core.idempotency import DIGEST_BYTES
-from snowthread.core.key_claims import ClaimDecision, claim_key, withdraw_claim
+from snowthread.core.key_claims import ClaimDecision, claim_key, remove_waiting_request
 from snowthread.core.request_lifecycle import cancel_call, finish_unless_running
 from snowthread.core.state import HandoverRole, NodeState, Request
 from snowthread.core.transition import HandlerTable, Transition
@@ -190,7 +190,7 @@
     """
     request = transition.state.requests_by_response_address.pop(event.response_address, None)
     if request is None:
-        withdraw_claim(transition.state, event.response_address)
+        remove_waiting_request(transition.state, event.response_address)
         return
     request.response_address = None
     cancel_call(transition, request)
@@ -219,7 +219,7 @@
         request_received(transition, request)
 
 
-def retry_pending_claims(transition: Transition) -> None:
+def reprocess_waiting_requests(transition: Transition) -> None:
     """Handle all requests that wait for a key claim again, after the peer process connected or exited."""
     state = transition.state
     claims = state.pending_claims
--- a/snowthread/core/downstream_calls.py
+++ b/snowthread/core/downstream_calls.py
@@ -28,7 +28,7 @@
         return
     run.call_in_flight = False
     if event.outcome is Outcome.SUCCESS:
-        run.record_call_answered()
+        run.record_reply()
         send_command(transition, effects.DeliverReply(request.attempt_id, event.reply))
     duration_s = state.admission_clock.duration_s(event.duration_ms)
     transition.dispatch(admission_events.CallFinished(request.number, event.outcome, duration_s))
--- a/snowthread/core/key_claims.py
+++ b/snowthread/core/key_claims.py
@@ -78,7 +78,7 @@
     transition.emit(effects.ScheduleTimer(decide_by_ms, events.KeyClaimTimedOut(event.response_address)))
 
 
-def withdraw_claim(
+def remove_waiting_request(
     state: NodeState, response_address: events.ResponseAddress
 ) -> events.RequestReceived | None:
     """Remove the request with this response address from its pending claim.
@@ -95,7 +95,7 @@
 
 def key_claim_timed_out(transition: Transition, event: events.KeyClaimTimedOut) -> None:
     """Reject a request that has waited too long for the decision on its key claim."""
-    request = withdraw_claim(transition.state, event.response_address)
+    request = remove_waiting_request(transition.state, event.response_address)
     if request is not None:
         _reject(transition, request, CLAIM_TIMED_OUT)
 
--- a/snowthread/core/load_samples.py
+++ b/snowthread/core/load_samples.py
@@ -7,7 +7,7 @@
 from snowthread.core import effects, events
 from snowthread.core.peer_process import report_load
 from snowthread.core.run_commands import request_load_sample
-from snowthread.core.runtime_resync import end_runs_that_never_started, resume_runs, sync_tag
+from snowthread.core.runtime_resync import end_runs_missing_at_runtime, resynchronise_runs, sync_tag
 from snowthread.core.state import HandoverRole, NodeState
 from snowthread.core.transition import HandlerTable, Transition
 
@@ -72,7 +72,7 @@
 def load_sample_received(transition: Transition, event: events.LoadSampleReceived) -> None:
     """Store a load sample, and use its echo to confirm commands.
 
-    The sample that ends the resynchronisation also resumes the runs of earlier links.
+    The sample that was requested when the link was established also resynchronises the runs of earlier links.
     """
     state = transition.state
     if not _is_stale(state, event.tag):
@@ -81,9 +81,9 @@
         state.load_sample_used = False
     state.command_log.record_sample_received(event.tag)
     if state.runtime_connected:
-        end_runs_that_never_started(transition)
+        end_runs_missing_at_runtime(transition)
     if state.runtime_connected and event.tag == sync_tag(state.link_number):
-        resume_runs(transition)
+        resynchronise_runs(transition)
 
 
 def _is_stale(state: NodeState, tag: str) -> bool:
--- a/snowthread/core/peer_process.py
+++ b/snowthread/core/peer_process.py
@@ -18,7 +18,7 @@
 
 from snowthread.admission import events as admission_events
 from snowthread.core import effects, events
-from snowthread.core.arrivals import retry_pending_claims
+from snowthread.core.arrivals import reprocess_waiting_requests
 from snowthread.core.request_lifecycle import complete_followers
 from snowthread.core.settings_changes import apply_settings
 from snowthread.core.state import HandoverRole, RequestPhase
@@ -45,7 +45,7 @@
         for record in state.idempotency_table.records():
             if not record.owned_by_peer:
                 transition.send_to_peer_process(record)
-        retry_pending_claims(transition)
+        reprocess_waiting_requests(transition)
 
 
 def report_load(transition: Transition) -> None:
@@ -100,7 +100,7 @@
         if record.owned_by_peer and not record.completed:
             record.completed = True
             complete_followers(transition, record, None)
-    retry_pending_claims(transition)
+    reprocess_waiting_requests(transition)
     transition.emit(effects.SetRegistration(state.accepts_work))
     transition.emit(effects.SetAccepting(True))
     transition.emit(effects.ReserveDescriptors(0))
--- a/snowthread/core/run.py
+++ b/snowthread/core/run.py
@@ -29,6 +29,9 @@
 start still decides how a broken link is handled. A run whose start is still queued ends at once when it is
 stopped.
 
+A *notice* is a message of the runtime to the node. The end of a run and the request of a downstream call are
+numbered notices, which the runtime repeats on the next link if the node missed them.
+
 The action ``SkipCall`` does not change the state either: a REPLY_INDETERMINATE run remains so until its next
 ``CallRequested``. :mod:`snowthread.core.runtime_resync` lists the limitations that result.
 """
@@ -62,8 +65,9 @@
     last_command_may_be_lost: bool = False  # whether the last command is unconfirmed and its link was lost
     stop_command: SentCommand | None = None  # the last stop command that was sent
     stop_requested: bool = False  # whether a stop command was sent or is queued until a link is ready
-    pending_call_notice: int | None = None  # number of the notice that requested the current downstream call
-    answered_call_notice: int = 0  # number of the notice whose downstream call was replied to last
+    # Numbers of the notices that requested the downstream call in progress, and the last call with a reply.
+    pending_call_notice_number: int | None = None
+    replied_call_notice_number: int = 0
     call_body: bytes = b""  # the request body of the current downstream call
     call_in_flight: bool = False  # whether the current downstream call was sent to the database
 
@@ -119,13 +123,13 @@
             self.link_number = link_number
         if self.state is not RunState.START_QUEUED:
             self.state = RunState.STARTED
-        self.pending_call_notice = notice_number
+        self.pending_call_notice_number = notice_number
         self.call_body = body
 
-    def record_call_answered(self) -> None:
-        """Record that the current call succeeded and that its reply is about to be delivered."""
-        self.answered_call_notice = self.pending_call_notice or 0
-        self.pending_call_notice = None
+    def record_reply(self) -> None:
+        """Record that the current downstream call succeeded and that its reply is about to be delivered."""
+        self.replied_call_notice_number = self.pending_call_notice_number or 0
+        self.pending_call_notice_number = None
 
     def is_on_earlier_link(self, link_number: int) -> bool:
         """Return whether the run has yet to be resynchronised on the current link, ``link_number``."""
--- a/snowthread/core/runtime_resync.py
+++ b/snowthread/core/runtime_resync.py
@@ -4,12 +4,13 @@
    possibly lost.
 2. On the next link (:func:`runtime_connected`) the node sends the unsent commands and requests a load sample.
    The runtime first repeats the notices that the node missed.
-3. When that sample arrives (:func:`resume_runs`), all missed notices were read. A run without a notice is
-   therefore in the state that its last command led to, unless that command may have been lost.
+3. When that sample arrives (:func:`resynchronise_runs`), all missed notices were read. A run without a
+   notice is therefore in the state that its last command led to, unless that command may have been lost.
 
 A run whose start or last reply may be lost and must not be sent again is reported to the admission controller
-as indeterminate. It counts as running until the runtime sends a notice of it, or until it is presumed lost
-and forgotten (:mod:`snowthread.admission.lost_runs`).
+as indeterminate. It counts as running until the runtime sends a notice of it. Without a notice its request
+fails once the run is presumed lost, and the run stops counting after as long again
+(:mod:`snowthread.admission.lost_runs`).
 
 Limitations:
 
@@ -103,30 +104,31 @@
         run.record_link_lost(last_command_read=command_log.was_read(sent))
 
 
-def resume_runs(transition: Transition) -> None:
+def resynchronise_runs(transition: Transition) -> None:
     """Resynchronise the runs of earlier links, once all missed notices were read."""
     state = transition.state
     for request in list(state.requests.values()):
         run = request.run
         if run is not None and run.is_on_earlier_link(state.link_number):
-            _resume_run(transition, request, run)
+            _resynchronise_run(transition, request, run)
 
 
-def _resume_run(transition: Transition, request: Request, run: Run) -> None:
+def _resynchronise_run(transition: Transition, request: Request, run: Run) -> None:
     """Continue a run on the current link, repeat its last command, or report the run as indeterminate.
 
     The start of an idempotent class and the skip of a call are sent again if they may be lost: the runtime
-    ignores them if they had arrived. The start of a class with side effects is never repeated, because the
-    request would run twice if its run has just ended. A reply is never repeated, because the run might take
-    it for the reply to its next call. The admission controller decides what happens to such runs.
+    ignores them if they had arrived. The start of a class that is not idempotent (keyed or non-idempotent) is
+    never repeated, because the request would run twice if its run has just ended. A reply is never repeated,
+    because the run might take it for the reply to its next call. The admission controller decides what
+    happens to such runs.
     """
     sent = run.last_command
     if request.response_address is None or run.stop_requested:
-        _resume_abandoned_run(transition, request, run)
+        _resynchronise_abandoned_run(transition, request, run)
     elif run.is_indeterminate:
         return  # already indeterminate since an earlier link; only a notice from the runtime can change that
-    elif sent is None or run.pending_call_notice is not None or not run.last_command_may_be_lost:
-        log_run_status(transition, request, "resumed; no command was lost")
+    elif sent is None or run.pending_call_notice_number is not None or not run.last_command_may_be_lost:
+        log_run_status(transition, request, "continues; no command was lost")
         run.link_number = transition.state.link_number
     elif _is_repeatable(sent.command, request.request_class):
         log_run_status(transition, request, "last command may be lost; sending it again")
@@ -137,7 +139,7 @@
         log_run_status(transition, request, "indeterminate; last command may be lost and can't be repeated")
         is_at_call = isinstance(sent.command, effects.DeliverReply)
         if is_at_call:
-            run.pending_call_notice = run.answered_call_notice
+            run.pending_call_notice_number = run.replied_call_notice_number
         transition.dispatch(admission_events.RunIndeterminate(request.number, is_at_call))
 
 
@@ -148,7 +150,7 @@
     return isinstance(command, effects.SkipCall)
 
 
-def _resume_abandoned_run(transition: Transition, request: Request, run: Run) -> None:
+def _resynchronise_abandoned_run(transition: Transition, request: Request, run: Run) -> None:
     """Send a stop for a run to which no response is owed, on the current link, if runs can be stopped.
 
     The run is not considered ended: until the runtime reports its end, it occupies cores and is counted.
@@ -164,23 +166,31 @@
         transition.dispatch(admission_events.RunIndeterminate(request.number))
 
 
-def end_runs_that_never_started(transition: Transition) -> None:
-    """End runs whose start was lost, as shown by a stop that the runtime read on a later link.
+def end_runs_missing_at_runtime(transition: Transition) -> None:
+    """End runs that the runtime no longer has: it read their stop on a later link and reported no end.
 
-    If the runtime had such a run, the stop would have ended it, and the notice of its end would have arrived
-    before the echo that confirms the stop.
+    Otherwise the stop would have ended the run, and the notice of its end would have arrived before
+    the echo that confirms the stop. Most likely its start was lost, but that is not proven. The run therefore
+    counts as cancelled, and its idempotency key stays taken.
     """
     state = transition.state
     for request in list(state.requests.values()):
         run = request.run
-        if run is not None and request.response_address is None and _never_started(state.command_log, run):
+        if (
+            run is not None
+            and request.response_address is None
+            and _is_missing_at_runtime(state.command_log, run)
+        ):
             log_run_status(
-                transition, request, "never ran; the runtime read its stop command and reported no end"
+                transition,
+                request,
+                "no longer at the runtime, which read its stop command and reported no end; "
+                "counted as cancelled",
             )
             run_completed(transition, events.RunCompleted(request.attempt_id, Outcome.CANCELLED, 0.0, b""))
 
 
-def _never_started(command_log: CommandLog, run: Run) -> bool:
+def _is_missing_at_runtime(command_log: CommandLog, run: Run) -> bool:
     start = run.last_command
     stop = run.stop_command
     return (
--- a/snowthread/core/transition.py
+++ b/snowthread/core/transition.py
@@ -1,8 +1,10 @@
 """The context in which one event is handled: the state, the time, and the effects emitted so far.
 
-Event handlers change the state only through a :class:`Transition`. They never decide what is admitted,
-rejected, run or stopped: they dispatch admission events to the admission controller, and the action handlers
-carry out the actions that it returns.
+Event handlers change the state only through a :class:`Transition`. The admission controller decides what is
+admitted, rejected, run or stopped: the handlers dispatch admission events to it, and the action handlers
+carry out the actions that it returns. There are two exceptions. Requests that can't be passed to the
+controller are failed by ``arrivals`` or rejected by ``key_claims``. After a broken link, runs to which no
+response is owed are stopped or ended by ``runtime_resync``.
 """
 
 from __future__ import annotations
--- a/tests/core/test_runtime_resync.py
+++ b/tests/core/test_runtime_resync.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("class_name", ["keyed", "non-idempotent"])
-def test_a_start_that_may_be_lost_is_never_sent_again_where_it_has_side_effects(
+def test_a_start_that_may_be_lost_is_never_sent_again_where_the_class_is_not_idempotent(
     state: NodeState, class_name: str
 ) -> None:
     request = start_run(state, make_request(1, class_name, START))
