--- a/snowthread/clients/database.py
+++ b/snowthread/clients/database.py
@@ -27,7 +27,8 @@
 class DatabaseClient:
     """Makes downstream calls for runs, and posts exactly one completion for each call that is not cancelled.
 
-    Without a configured address every call is completed as unreachable.
+    A call is completed as unreachable without being sent if no address is configured, or if the limit of
+    connections is reached and none of them is idle.
     """
 
     def __init__(
--- a/snowthread/clients/database_codec.py
+++ b/snowthread/clients/database_codec.py
@@ -33,7 +33,8 @@
 def outcome_of(result: DatabaseReply | Failure) -> Outcome:
     """Return the outcome of a call.
 
-    An outcome that says that the call was never run is returned only where that is proven.
+    An outcome that says that the call was never run is returned only where that is proven, or where the call
+    may safely run again: if a reused connection breaks (see :meth:`.DatabaseConnection.exchange`).
     """
     if isinstance(result, Failure):
         if result.progress is Progress.NOT_CONNECTED:
@@ -43,6 +44,7 @@
         return Outcome.SUCCESS
     if result.overloaded and result.status == STATUS_SERVICE_UNAVAILABLE:
         return Outcome.OVERLOADED
+    # With this status too, the overload mark means that the database did not run the call.
     if result.overloaded and result.status == STATUS_CONFLICT:
         return Outcome.NOT_STARTED
     return Outcome.TIMED_OUT if result.status == STATUS_GATEWAY_TIMEOUT else Outcome.FAILURE
--- a/snowthread/clients/runtime.py
+++ b/snowthread/clients/runtime.py
@@ -74,7 +74,8 @@
         """Write a command to the socket as far as possible and queue the rest.
 
         During a migration the command is queued for the next link, except that load sample requests are
-        dropped. Without a link, and with no migration in progress, the command is dropped.
+        dropped. Load sample requests are also dropped while :data:`LOAD_SAMPLE_QUEUE_LIMIT` or more commands
+        are unsent. Without a link, and with no migration in progress, the command is dropped.
         """
         if self._migration_marker or (self._is_between_links and self._sock is None):
             if not isinstance(command, effects.RequestLoadSample):
@@ -88,7 +89,7 @@
     def set_address(self, address: Address) -> None:
         """Migrate the link to a new address, once the runtime has read everything that was written so far.
 
-        A start command that was lost between the two links could not always be sent again, and its client
+        A start command that was lost between the two links could not always be sent again, and its balancer
         would wait for a response that never comes.
         """
         if address == self._address:
@@ -175,7 +176,7 @@
         link = RuntimeLink(clock.now())
         while True:
             self._commands.flush(sock)
-            deadline_ms = link.deadline_ms(clock.now(), bool(self._migration_marker), self._was_ready)
+            deadline_ms = link.update_deadline(clock.now(), bool(self._migration_marker), self._was_ready)
             mask = READABLE | WRITABLE if self._commands.lines else READABLE
             ready = yield Wait(sock.fileno(), mask, deadline_ms)
             is_deadline_reached = clock.now() >= deadline_ms
@@ -201,11 +202,11 @@
             return self._failure(str(error))
         if not data:
             return self._failure("connection closed by the runtime")
-        lines = link.split_lines(data, self._loop.clock.now())
+        lines = link.receive(data, self._loop.clock.now())
         return self._failure("received a line above the size limit") if lines is None else lines
 
     def _check_silence(self, sock: socket.socket, link: RuntimeLink) -> Failure | None:
-        """Send a keepalive request, or return a failure if an echo is overdue.
+        """Send a keepalive request, or return a failure if the link is overdue.
 
         Called when the deadline of the link has passed and there is nothing to read.
         """
--- a/snowthread/clients/runtime_codec.py
+++ b/snowthread/clients/runtime_codec.py
@@ -80,7 +80,9 @@
     try:
         return number, _event(fields)
     except (KeyError, TypeError, ValueError) as error:
-        raise NoticeError(f"{fields.get('action')!r}: {error!r}") from None
+        raise NoticeError(
+            f"notice {fields.get('action')!r} has a missing or invalid field: {error!r}"
+        ) from None
 
 
 def _event(fields: dict[str, Any]) -> events.Event | None:
--- a/snowthread/clients/runtime_link.py
+++ b/snowthread/clients/runtime_link.py
@@ -7,7 +7,7 @@
 
 MAX_LINE_BYTES = 256 * 1024  # size limit of a notice; a longer line closes the link
 KEEPALIVE_AFTER_SILENCE_MS = 4000.0  # time without data from the runtime, after which a keepalive is sent
-KEEPALIVE_TIMEOUT_MS = 1000.0  # how long the link waits for the echo of a keepalive request
+KEEPALIVE_TIMEOUT_MS = 1000.0  # how long the link waits for data after a keepalive request
 MIGRATION_TIMEOUT_MS = 400.0  # how long the link waits for the echo of a migration marker
 
 
@@ -16,13 +16,16 @@
     """The state of one link to the runtime; times are Unix times in milliseconds."""
 
     last_data_at_ms: float
-    keepalive_sent_at_ms: float | None = None  # when an unanswered keepalive request was sent, or None
+    keepalive_sent_at_ms: float | None = None  # when a keepalive request was sent; None once data arrives
     migration_deadline_ms: float = math.inf  # when the link is closed even without the marker's echo
     _partial_line: bytes = field(default=b"", init=False)
 
-    def deadline_ms(self, now_ms: float, is_migrating: bool, was_ready: bool) -> float:
+    def update_deadline(self, now_ms: float, is_migrating: bool, was_ready: bool) -> float:
         """Return the time at which the link must be checked with ``overdue_reason`` if no data arrives.
 
+        The first call during a migration sets ``migration_deadline_ms``, which data that arrives does not
+        extend.
+
         Without these checks a link whose other end vanished without closing it would stay open forever. A
         runtime that has been ready must echo each keepalive request. One that never was ready is still
         starting and is not checked, except for a migration.
@@ -44,10 +47,13 @@
         """Return why a link past its deadline has to be closed, or None to send a keepalive request first."""
         if now_ms >= self.migration_deadline_ms:
             return "migration marker was not echoed in time; some commands may not have been read"
-        return None if self.keepalive_sent_at_ms is None else "no reply to a keepalive request"
+        return None if self.keepalive_sent_at_ms is None else "no data after a keepalive request"
+
+    def receive(self, data: bytes, now_ms: float) -> list[bytes] | None:
+        """Record that data arrived, which ends the wait after a keepalive request, and split it into lines.
 
-    def split_lines(self, data: bytes, now_ms: float) -> list[bytes] | None:
-        """Return the lines that ``data`` completes, or None if a line exceeds :data:`MAX_LINE_BYTES`."""
+        Return the lines that ``data`` completes, or None if a line exceeds :data:`MAX_LINE_BYTES`.
+        """
         self.last_data_at_ms = now_ms
         self.keepalive_sent_at_ms = None
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
