--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -124,7 +124,10 @@
 
 
 def start_call(transition: Transition, action: actions.StartCall) -> None:
-    """Make the downstream call that a run waits for, unless it is already in flight."""
+    """Make the downstream call that a run waits for, unless it is already in flight.
+
+    A timeout of 0 selects the deadline of the request's class.
+    """
     request = transition.state.requests.get(action.request_id)
     run = None if request is None else request.run
     if request is None or run is None or run.pending_call_notice_number is None or run.call_in_flight:
--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -1,4 +1,4 @@
-"""Arriving requests: validation, idempotency key lookup, admission by the controller, and cancellation."""
+"""Arriving requests: checks of class, attempt and idempotency key, admission, and cancellation."""
 
 from __future__ import annotations
 
@@ -183,7 +183,7 @@
 
 
 def request_cancelled(transition: Transition, event: events.RequestCancelled) -> None:
-    """Handle the cancellation of a request by its client.
+    """Handle the cancellation of a request by its balancer.
 
     If runs can be stopped, the run of the request is stopped, and retries that wait for its result then fail.
     Otherwise the run continues to its end.
@@ -213,7 +213,8 @@
         return
     if claim is not None and waiting_requests and waiting_requests[0].attempt_id == claim.attempt_id:
         request_received(transition, waiting_requests.pop(0), ClaimDecision.GRANTED)
-    else:  # the claimant was cancelled meanwhile, so the key is released and the others claim it again
+    else:
+        # The claimant was cancelled or timed out meanwhile: its key is released, and the others claim it.
         transition.send_to_peer_process(events.KeyReleased(event.attempt_id))
     for request in waiting_requests:
         request_received(transition, request)
--- a/snowthread/core/effective_settings.py
+++ b/snowthread/core/effective_settings.py
@@ -12,7 +12,9 @@
 from snowthread.core.events import PeerLoadReported
 from snowthread.core.state import AdmissionClock
 
-MIN_REMAINING_RATIO = 0.01  # least remaining share of a limit; a limit of 0 would mean "unlimited"
+# Least remaining share of a limit. A process would reject every request with a memory limit of 0, and make no
+# calls with a call quota of 0.
+MIN_REMAINING_RATIO = 0.01
 MIN_COLLAPSE_MULTIPLE = 1.0
 
 
--- a/snowthread/core/effects.py
+++ b/snowthread/core/effects.py
@@ -32,9 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The response to an attempt that never ran."""
+    """The response to an attempt that never ran, or whose request may safely run again."""
 
-    retry_after_ms: float = 0.0  # how long the balancer should not use this node; 0 if not specified
+    # Time before the balancer should send its next request to this node; 0 if it may do so at once.
+    retry_after_ms: float = 0.0
     do_not_retry: bool = False  # whether the balancer should not retry the request on another node either
     attempt_id: str = field(default="", compare=False)  # id of the attempt; logged, not sent to the balancer
     reason: str = field(default="", compare=False)  # why it was rejected; logged, not sent to the balancer
@@ -61,7 +62,7 @@
 
     response_address: ResponseAddress
     response: Served | Rejected | Failed | HealthStatus
-    load_report: float | None  # load of the node; None if there is no report yet
+    load_report: float | None  # as ``LoadReportKind`` defines it; None if no load report was published
 
 
 @dataclass(frozen=True, slots=True)
@@ -166,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHandoverComplete:
-    """Notify the successor that all idempotency records were sent, so that it may accept clients."""
+    """Notify the successor that all idempotency records were sent, so that it may accept connections."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -178,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAccepting:
-    """Accept new connections, or leave them to the successor and ask clients to close the existing ones."""
+    """Accept new connections, or leave them to the successor and ask balancers to close the existing ones."""
 
     accepting: bool
 
--- a/snowthread/core/events.py
+++ b/snowthread/core/events.py
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A complete request was read and validated."""
+    """A complete request was read, and its syntax was checked."""
 
     response_address: ResponseAddress
     attempt_id: str
     class_name: str
     body: bytes
-    arrived_at_ms: float  # when the request reached the machine, which may be well before it is read
+    arrived_at_ms: float  # when it reached the node's host, as it states; possibly well before it is read
     timeout_ms: float | None  # counted from ``arrived_at_ms``; None if the deadline of the class applies
     caller_id: int  # identifies the balancer that sent the request
     memory_kb: float  # memory that the request occupies while it is queued
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """The client cancelled a request or closed its connection, so no response is owed any more."""
+    """The balancer cancelled a request or closed its connection, so no response is owed any more."""
 
     response_address: ResponseAddress
 
@@ -115,7 +115,7 @@
 class LoadSampleReceived:
     """A load sample of the runtime was read."""
 
-    tag: str  # the tag of the load sample request that this sample answers
+    tag: str  # the tag of the load sample request, which the runtime echoes
     values: tuple[float, ...]  # the values of the gauges, in the configured order
 
 
@@ -210,7 +210,7 @@
     """The learned state of an earlier incarnation was found valid; the controller starts from it."""
 
     learned_state: LearnedState
-    relative_speed: float  # present speed of the machine as a ratio of its speed when warm
+    relative_speed: float  # present speed of the runtime's host as a ratio of its speed when warm
 
 
 # The peer process of a hot restart.
@@ -235,7 +235,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReady:
-    """The successor process now accepts the connections of clients."""
+    """The successor process now accepts the connections of balancers."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -276,7 +276,7 @@
 
     idempotency_key: str
     attempt_id: str
-    arrived_at_ms: float  # when the attempt reached the machine
+    arrived_at_ms: float  # when the attempt reached the node's host
     body_digest: bytes
 
 
--- a/snowthread/core/runtime_resync.py
+++ b/snowthread/core/runtime_resync.py
@@ -68,7 +68,7 @@
     queued_commands = state.unsent_commands
     state.unsent_commands = []
     log_link_ready(transition, len(queued_commands))
-    if is_first_link:  # the runtime may still run requests that an earlier process of this node started
+    if is_first_link:  # the runtime may still run requests that an earlier incarnation of this node started
         transition.dispatch(admission_events.RunCountUncertain())
     for command in queued_commands:
         if command.attempt_id in state.requests_by_attempt_id:
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -74,7 +74,8 @@
     """A claim of an idempotency key that the predecessor has not decided yet."""
 
     attempt_id: str  # the attempt that the key is claimed for
-    # All requests with this key, in order of arrival. The claimant comes first unless it was cancelled.
+    # All requests with this key, in order of arrival. The claimant comes first unless it was cancelled or was
+    # rejected because the decision took too long.
     waiting_requests: list[RequestReceived]
 
 
@@ -107,7 +108,8 @@
 class NodeState:
     """The complete state of a node.
 
-    The admission controller is created when the runtime connects or when the first request arrives.
+    The admission controller is created when the runtime connects, or earlier by the first event for the
+    controller, such as a request or a shutdown notice.
     """
 
     settings: Settings
@@ -132,7 +134,8 @@
     load_sample_used: bool = False  # whether a controller update has already used the load sample
     last_sample_number: int = 0
     last_stale_sample_number: int = 0  # samples up to this number were requested with another gauge order
-    load_report: float | None = None  # the load value that is sent with each response
+    # Load report sent with each response, as ``LoadReportKind`` defines it; None if none was published.
+    load_report: float | None = None
     healthy: bool = True
     shutting_down: bool = False
     retired_until_ms: dict[str, float] = field(default_factory=dict)  # end of service of each removed class
--- a/tests/core/test_run.py
+++ b/tests/core/test_run.py
@@ -89,14 +89,14 @@
         state, events.LoadSampleReceived(sync_tag(state.link_number), ()), now_ms
     ),
     "call requested": lambda state, now_ms: reduce(state, events.CallRequested(ATTEMPT, 7, b"c"), now_ms),
-    "call answered": lambda state, now_ms: reduce(
+    "reply received": lambda state, now_ms: reduce(
         state, events.CallCompleted(ATTEMPT, Outcome.SUCCESS, 1.0, b"r"), now_ms
     ),
-    "cancelled": lambda state, now_ms: reduce(state, events.RequestCancelled((1, 1)), now_ms),
+    "request cancelled": lambda state, now_ms: reduce(state, events.RequestCancelled((1, 1)), now_ms),
     "succeeded": lambda state, now_ms: reduce(
         state, events.RunCompleted(ATTEMPT, Outcome.SUCCESS, 1.0, b"r"), now_ms
     ),
-    "aborted": lambda state, now_ms: reduce(
+    "run cancelled by the runtime": lambda state, now_ms: reduce(
         state, events.RunCompleted(ATTEMPT, Outcome.CANCELLED, 1.0, b""), now_ms
     ),
     "start rejected": lambda state, now_ms: reduce(state, events.CommandRejected(ATTEMPT, True), now_ms),
@@ -127,8 +127,8 @@
     ),
     pytest.param(
         "keyed",
-        [("link broken, start unsent", QUEUED), ("cancelled", NO_RUN)],
-        id="cancelled while the start is queued",
+        [("link broken, start unsent", QUEUED), ("request cancelled", NO_RUN)],
+        id="request cancelled while the start is queued",
     ),
     pytest.param(
         "idempotent",
@@ -173,7 +173,7 @@
         "keyed",
         [
             ("call requested", STARTED),
-            ("call answered", STARTED),
+            ("reply received", STARTED),
             ("link broken", STARTED),
             ("link ready", STARTED),
             ("resynchronised", REPLY_INDETERMINATE),
@@ -185,18 +185,18 @@
         "idempotent",
         [
             ("call requested", STARTED),
-            ("call answered", STARTED),
+            ("reply received", STARTED),
             ("link broken", STARTED),
             ("link ready", STARTED),
             ("resynchronised", REPLY_INDETERMINATE),
-            ("aborted", SENT),
+            ("run cancelled by the runtime", SENT),
         ],
-        id="aborted without a stop: the request is run again",
+        id="cancelled by the runtime without a stop: the request is run again",
     ),
     pytest.param(
         "keyed",
         [
-            ("cancelled", SENT),
+            ("request cancelled", SENT),
             ("link broken", SENT),
             ("link ready", SENT),
             ("resynchronised", SENT),
@@ -208,12 +208,12 @@
         "keyed",
         [
             ("call requested", STARTED),
-            ("cancelled", STARTED),
+            ("request cancelled", STARTED),
             ("link broken", STARTED),
             ("link ready", STARTED),
             ("resynchronised", STARTED),
             ("commands confirmed", STARTED),
-            ("aborted", NO_RUN),
+            ("run cancelled by the runtime", NO_RUN),
         ],
         id="a started run continues until the runtime reports its end",
     ),
--- a/tests/core/test_runtime_resync.py
+++ b/tests/core/test_runtime_resync.py
@@ -87,7 +87,7 @@
     assert counted_runs(state) == 0 and state.requests == {}
 
 
-def test_a_run_to_which_no_answer_is_owed_is_stopped_and_counts_until_its_end_is_reported(
+def test_a_run_to_which_no_response_is_owed_is_stopped_and_counts_until_its_end_is_reported(
     state: NodeState,
 ) -> None:
     request = start_run(state, make_request(1, "non-idempotent", START))
@@ -177,7 +177,7 @@
     assert state.controller is not None and state.controller.run_load().excess_runs == 6.0
 
 
-def test_runs_of_an_earlier_process_are_measured_after_the_start(state: NodeState) -> None:
+def test_runs_of_an_earlier_incarnation_are_measured_after_the_start(state: NodeState) -> None:
     state.gauge_names = ("on_cores",)
     reduce(state, events.RuntimeConnected(False, 60_000.0), START)
     reduce(state, events.LoadSampleReceived("x", (6.0,)), START + 240.0)
@@ -186,6 +186,6 @@
 
 
 def test_exit_of_a_peer_process_before_the_runtime_is_there_starts_no_controller(state: NodeState) -> None:
-    """Otherwise the controller would assume a warm machine before the age of the runtime is known."""
+    """Otherwise the controller would assume a warm runtime before the age of the runtime is known."""
     reduce(state, events.PeerProcessExited(), START)
     assert state.controller is None
