--- a/snowthread/node/effect_handlers.py
+++ b/snowthread/node/effect_handlers.py
@@ -54,7 +54,7 @@
             effects.CancelCall: self._cancel_call,
             effects.SetRegistration: self._set_registration,
             effects.ScheduleTimer: self._schedule_timer,
-            effects.LogMessage: _log_note,
+            effects.LogMessage: _log_message,
         }
 
     def _set_idle_timeout(self, effect: effects.SetIdleTimeout) -> None:
@@ -70,5 +70,5 @@
         self._loop.call_at(effect.at_ms, lambda: self._post(effect.event))
 
 
-def _log_note(effect: effects.LogMessage) -> None:
+def _log_message(effect: effects.LogMessage) -> None:
     logger.bind(event=effect.event).log("DEBUG" if effect.is_detail else "INFO", "{}", effect.text)
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -16,7 +16,7 @@
 from snowthread.address import Address
 from snowthread.reload import reload
 
-RECORDED = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
+EXCHANGE_PATHS = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
 SOCKET_BUFFER_BYTES = 4096
 PEERS = 12
 ROUNDS_MAX = 100
@@ -24,7 +24,7 @@
 HEALTH_CHECKS = b"\x94\x00\x01\xa6health\x91\x80" * 1000
 
 
-@pytest.mark.parametrize("path", RECORDED, ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", EXCHANGE_PATHS, ids=lambda path: path.stem)
 def test_exchange(path: Path) -> None:
     ExchangePlayer().play(path.read_text())
 
