--- a/snowthread/core/action_handlers.py
+++ b/snowthread/core/action_handlers.py
@@ -79,18 +79,18 @@
     """Answer a retry with the result of its original, at once or when the run of the original ends."""
     state = transition.state
     request = state.requests.get(action.request_id)
-    if request is None or request.original_number is None:
+    if request is None or request.original_id is None:
         return
-    original = state.requests.get(request.original_number)
-    record = state.idempotency_table.find_by_number(request.original_number)
+    original = state.requests.get(request.original_id)
+    record = state.idempotency_table.find_by_request_id(request.original_id)
     if record is not None and record.completed:
         finish_follower(transition, request, record.result)
     elif record is not None and record.owned_by_peer:
         request.phase = RequestPhase.AWAITING_ORIGINAL
-        record.followers.append(request.number)
+        record.followers.append(request.request_id)
     elif original is not None:
         request.phase = RequestPhase.AWAITING_ORIGINAL
-        original.followers.append(request.number)
+        original.followers.append(request.request_id)
     else:
         finish_follower(transition, request, None)
 
@@ -103,7 +103,7 @@
         return
     entry = IdempotencyRecord(
         request.idempotency_key,
-        request.number,
+        request.request_id,
         request.attempt_id,
         transition.now_ms + state.admission_clock.duration_ms(action.lifetime_s),
         request.body_digest,
@@ -117,7 +117,7 @@
 def forget_key(transition: Transition, action: actions.ForgetKey) -> None:
     """Drop the key of a request that never ran, and report that to the peer process of a hot restart."""
     state = transition.state
-    record = state.idempotency_table.find_by_number(action.request_id)
+    record = state.idempotency_table.find_by_request_id(action.request_id)
     state.idempotency_table.remove(action.request_id)
     if record is not None and state.handover_role is not HandoverRole.STANDALONE:
         transition.send_to_peer_process(events.KeyReleased(record.attempt_id))
--- a/snowthread/core/arrivals.py
+++ b/snowthread/core/arrivals.py
@@ -23,7 +23,7 @@
 
     idempotency_key: str | None
     body_digest: bytes
-    original_number: int | None  # number of the request that owns the key; None unless this one is a retry
+    original_id: int | None  # id of the request that owns the key; None unless this one is a retry
 
 
 _NO_KEY = _KeyMatch(None, b"", None)  # the result for a request whose class is not keyed
@@ -49,7 +49,7 @@
     """
     state = transition.state
     transition.ensure_controller()
-    state.last_request_number += 1
+    state.last_request_id += 1
     arrived_at_ms = min(event.arrived_at_ms, transition.now_ms)
     request_class = _find_class(state, event.class_name, transition.now_ms)
     if request_class is None or event.attempt_id in state.requests_by_attempt_id:
@@ -82,8 +82,8 @@
     if not idempotency_key or not _is_key_usable(state, idempotency_key, body_digest, arrived_at_ms):
         transition.respond(event.response_address, effects.Failed(event.attempt_id))
         return None
-    original_number = state.idempotency_table.owner_at(idempotency_key, arrived_at_ms)
-    if original_number is None and state.handover_role is HandoverRole.SUCCESSOR:
+    original_id = state.idempotency_table.owner_at(idempotency_key, arrived_at_ms)
+    if original_id is None and state.handover_role is HandoverRole.SUCCESSOR:
         if claim is ClaimDecision.UNDECIDED:
             claim_request = events.KeyClaimRequested(
                 idempotency_key, event.attempt_id, arrived_at_ms, body_digest
@@ -93,7 +93,7 @@
         if claim is ClaimDecision.DENIED:  # an attempt that is unknown to this process owns the key
             transition.respond(event.response_address, effects.Failed(event.attempt_id))
             return None
-    return _KeyMatch(idempotency_key, body_digest, original_number)
+    return _KeyMatch(idempotency_key, body_digest, original_id)
 
 
 def _release_unused_claim(transition: Transition, attempt_id: str) -> None:
@@ -141,19 +141,19 @@
     """Add the request to the state and pass it to the admission controller."""
     state = transition.state
     request = Request(
-        state.last_request_number,
+        state.last_request_id,
         event.attempt_id,
         event.class_name,
         event.body,
         event.response_address,
         key.idempotency_key,
-        key.original_number,
+        key.original_id,
         transition.now_ms,
         request_class,
         event.memory_kb,
         key.body_digest,
     )
-    state.requests[request.number] = request
+    state.requests[request.request_id] = request
     state.requests_by_attempt_id[event.attempt_id] = request
     state.requests_by_response_address[event.response_address] = request
     transition.dispatch(_arrival_event(transition, event, request, arrived_at_ms))
@@ -169,7 +169,7 @@
     if event.timeout_ms is not None:
         time_left_s = clock.duration_s(max(MIN_TIME_LEFT_MS, arrived_at_ms + event.timeout_ms - now_ms))
     return admission_events.RequestArrived(
-        request_id=request.number,
+        request_id=request.request_id,
         class_name=event.class_name,
         memory_kb=event.memory_kb,
         partition_key=event.partition_key,
@@ -178,7 +178,7 @@
         caller_id=event.caller_id,
         tenant=event.tenant,
         unread_s=clock.duration_s(now_ms - arrived_at_ms),
-        original_id=request.original_number,
+        original_id=request.original_id,
     )
 
 
@@ -194,7 +194,7 @@
         return
     request.response_address = None
     cancel_call(transition, request)
-    transition.dispatch(admission_events.RequestCancelled(request.number))
+    transition.dispatch(admission_events.RequestCancelled(request.request_id))
     finish_unless_running(transition, request)
 
 
--- a/snowthread/core/downstream_calls.py
+++ b/snowthread/core/downstream_calls.py
@@ -16,7 +16,7 @@
     if request is None or request.run is None:
         return
     request.run.record_call_requested(event.notice_number, event.body, state.link_number)
-    transition.dispatch(admission_events.CallNeeded(request.number))
+    transition.dispatch(admission_events.CallNeeded(request.request_id))
 
 
 def call_completed(transition: Transition, event: events.CallCompleted) -> None:
@@ -31,7 +31,7 @@
         run.record_reply()
         send_command(transition, effects.DeliverReply(request.attempt_id, event.reply))
     duration_s = state.admission_clock.duration_s(event.duration_ms)
-    transition.dispatch(admission_events.CallFinished(request.number, event.outcome, duration_s))
+    transition.dispatch(admission_events.CallFinished(request.request_id, event.outcome, duration_s))
 
 
 HANDLERS: HandlerTable = {
--- a/snowthread/core/idempotency.py
+++ b/snowthread/core/idempotency.py
@@ -30,7 +30,7 @@
     """
 
     idempotency_key: str
-    request_number: int
+    request_id: int
     attempt_id: str
     expires_at_ms: float
     body_digest: bytes  # another body under the same key is a conflict, not a retry
@@ -38,7 +38,7 @@
     result: bytes | None = None
     owned_by_peer: bool = False  # whether the peer process of a hot restart owns the key
     class_name: str = ""  # class of the request; empty for a key that the peer process reported
-    # Numbers of the requests in this process that are retries and wait for a run of the peer process.
+    # Ids of the requests in this process that are retries and wait for a run of the peer process.
     followers: list[int] = field(default_factory=list)
 
 
@@ -68,7 +68,7 @@
 
 
 class IdempotencyTable:
-    """Idempotency records by key, by attempt and by request number.
+    """Idempotency records by key, by attempt and by request id.
 
     A record is dropped only when it expires or is removed. It outlives the response to its request and the
     cancellation of its request, because a retry has to find the result of the run in any case.
@@ -77,14 +77,14 @@
     def __init__(self, max_result_bytes: int = MAX_RESULT_BYTES) -> None:
         self._max_result_bytes = max_result_bytes
         self._by_key: dict[str, IdempotencyRecord] = {}
-        self._by_number: dict[int, IdempotencyRecord] = {}
+        self._by_request_id: dict[int, IdempotencyRecord] = {}
         self._by_attempt_id: dict[str, IdempotencyRecord] = {}
-        self._purges: list[tuple[float, int]] = []  # heap of (Unix time in ms, request number)
-        self._result_sizes: OrderedDict[int, int] = OrderedDict()  # request number -> bytes, oldest first
+        self._purges: list[tuple[float, int]] = []  # heap of (Unix time in ms, request id)
+        self._result_sizes: OrderedDict[int, int] = OrderedDict()  # request id -> bytes, oldest first
         self._result_bytes = 0
 
     def __len__(self) -> int:
-        return len(self._by_number)
+        return len(self._by_request_id)
 
     def put(self, entry: IdempotencyRecord, now_ms: float) -> IdempotencyRecord:
         """Add a record and return the one that is in effect.
@@ -93,14 +93,14 @@
         record of another request with the same key is removed.
         """
         self._purge(now_ms)
-        number = entry.request_number
+        request_id = entry.request_id
         old = self._by_key.get(entry.idempotency_key)
-        if old is not None and old.request_number != number:
+        if old is not None and old.request_id != request_id:
             self._remove(old)
-        record = self._by_number.get(number) or entry
+        record = self._by_request_id.get(request_id) or entry
         record.expires_at_ms = entry.expires_at_ms
         self._by_key[entry.idempotency_key] = record
-        self._by_number[number] = record
+        self._by_request_id[request_id] = record
         self._by_attempt_id[entry.attempt_id] = record
         self._schedule_purge(record)
         return record
@@ -110,7 +110,7 @@
 
         Records without a known class are extended too.
         """
-        for record in self._by_number.values():
+        for record in self._by_request_id.values():
             if record.class_name in (class_name, ""):
                 record.expires_at_ms += longer_ms
                 self._schedule_purge(record)
@@ -121,16 +121,16 @@
         return record is not None and record.body_digest != body_digest
 
     def owner_at(self, idempotency_key: str, arrived_at_ms: float) -> int | None:
-        """Return the number of the request that owned the key at this time, or None.
+        """Return the id of the request that owned the key at this time, or None.
 
         A retry is matched by its time of arrival, however late the node reads it.
         """
         record = self._by_key.get(idempotency_key)
-        return record.request_number if record is not None and arrived_at_ms < record.expires_at_ms else None
+        return record.request_id if record is not None and arrived_at_ms < record.expires_at_ms else None
 
-    def remove(self, request_number: int) -> None:
+    def remove(self, request_id: int) -> None:
         """Remove the record of a request that never ran, so that its key is free again."""
-        record = self._by_number.get(request_number)
+        record = self._by_request_id.get(request_id)
         if record is not None:
             self._remove(record)
 
@@ -146,12 +146,12 @@
         record.completed = True
         if result is not None:
             record.result = result
-            self._result_sizes[record.request_number] = len(result)
+            self._result_sizes[record.request_id] = len(result)
             self._result_bytes += len(result)
             while self._result_bytes > self._max_result_bytes:
-                number, size = self._result_sizes.popitem(last=False)
+                request_id, size = self._result_sizes.popitem(last=False)
                 self._result_bytes -= size
-                self._by_number[number].result = None
+                self._by_request_id[request_id].result = None
 
     def find_by_attempt(self, attempt_id: str) -> IdempotencyRecord | None:
         """Return the record of the key that the attempt owns, or None."""
@@ -159,25 +159,25 @@
 
     def records(self) -> list[IdempotencyRecord]:
         """Return all records."""
-        return list(self._by_number.values())
+        return list(self._by_request_id.values())
 
-    def find_by_number(self, request_number: int) -> IdempotencyRecord | None:
+    def find_by_request_id(self, request_id: int) -> IdempotencyRecord | None:
         """Return the record of the key that the request owns, or None."""
-        return self._by_number.get(request_number)
+        return self._by_request_id.get(request_id)
 
     def _schedule_purge(self, record: IdempotencyRecord) -> None:
         purge_at_ms = record.expires_at_ms + LATE_READ_ALLOWANCE_MS
-        heapq.heappush(self._purges, (purge_at_ms, record.request_number))
+        heapq.heappush(self._purges, (purge_at_ms, record.request_id))
 
     def _purge(self, now_ms: float) -> None:
         while self._purges and self._purges[0][0] <= now_ms:
-            record = self._by_number.get(heapq.heappop(self._purges)[1])
+            record = self._by_request_id.get(heapq.heappop(self._purges)[1])
             if record is not None and record.expires_at_ms + LATE_READ_ALLOWANCE_MS <= now_ms:
                 self._remove(record)
 
     def _remove(self, record: IdempotencyRecord) -> None:
-        self._result_bytes -= self._result_sizes.pop(record.request_number, 0)
-        del self._by_number[record.request_number]
+        self._result_bytes -= self._result_sizes.pop(record.request_id, 0)
+        del self._by_request_id[record.request_id]
         self._by_attempt_id.pop(record.attempt_id, None)
         if self._by_key.get(record.idempotency_key) is record:
             del self._by_key[record.idempotency_key]
--- a/snowthread/core/key_claims.py
+++ b/snowthread/core/key_claims.py
@@ -118,11 +118,11 @@
     is_free = table.owner_at(event.idempotency_key, event.arrived_at_ms) is None
     granted = is_free and not table.conflicts_with(event.idempotency_key, event.body_digest)
     if granted:
-        state.last_request_number += 1
+        state.last_request_id += 1
         window_s = max((c.idempotency_window_s for c in state.settings.classes), default=0.0)
         record = IdempotencyRecord(
             event.idempotency_key,
-            state.last_request_number,
+            state.last_request_id,
             event.attempt_id,
             expires_at_ms=transition.now_ms + state.admission_clock.duration_ms(window_s),
             body_digest=event.body_digest,
--- a/snowthread/core/key_replication.py
+++ b/snowthread/core/key_replication.py
@@ -14,10 +14,10 @@
     record = state.idempotency_table.find_by_attempt(event.attempt_id)
     if record is not None and not record.owned_by_peer:
         return
-    state.last_request_number += 1
+    state.last_request_id += 1
     replicated = IdempotencyRecord(
         event.idempotency_key,
-        state.last_request_number if record is None else record.request_number,
+        state.last_request_id if record is None else record.request_id,
         event.attempt_id,
         event.expires_at_ms,
         event.body_digest,
@@ -42,7 +42,7 @@
     table = transition.state.idempotency_table
     record = table.find_by_attempt(event.attempt_id)
     if record is not None and record.owned_by_peer:
-        table.remove(record.request_number)
+        table.remove(record.request_id)
         complete_followers(transition, record, None)
 
 
--- a/snowthread/core/request_lifecycle.py
+++ b/snowthread/core/request_lifecycle.py
@@ -54,17 +54,17 @@
 def finish_request(transition: Transition, request: Request, result: bytes | None) -> None:
     """Remove a request from the node and answer its followers with the result; None means that it failed."""
     state = transition.state
-    if state.requests.pop(request.number, None) is None:
+    if state.requests.pop(request.request_id, None) is None:
         return
     if state.requests_by_attempt_id.get(request.attempt_id) is request:
         del state.requests_by_attempt_id[request.attempt_id]
     cancel_call(transition, request)
-    if request.original_number is not None:
-        original = state.requests.get(request.original_number) or state.idempotency_table.find_by_number(
-            request.original_number
+    if request.original_id is not None:
+        original = state.requests.get(request.original_id) or state.idempotency_table.find_by_request_id(
+            request.original_id
         )
-        if original is not None and request.number in original.followers:
-            original.followers.remove(request.number)
+        if original is not None and request.request_id in original.followers:
+            original.followers.remove(request.request_id)
     complete_followers(transition, request, result)
 
 
@@ -74,8 +74,8 @@
     """Finish all retries that wait for the original with its result; None means that the original failed."""
     followers = original.followers
     original.followers = []
-    for number in followers:
-        follower = transition.state.requests.get(number)
+    for request_id in followers:
+        follower = transition.state.requests.get(request_id)
         if follower is not None:
             finish_follower(transition, follower, result)
 
@@ -87,7 +87,7 @@
     finish_request(transition, follower, None)
     transition.dispatch(
         admission_events.RunFinished(
-            follower.number,
+            follower.request_id,
             Outcome.FAILURE if result is None else Outcome.SUCCESS,
             transition.state.admission_clock.duration_s(transition.now_ms - follower.read_at_ms),
         )
--- a/snowthread/core/run_completion.py
+++ b/snowthread/core/run_completion.py
@@ -39,7 +39,7 @@
         answer_request(transition, request, response)
         finish_request(transition, request, result)
     duration_s = state.admission_clock.duration_s(event.duration_ms)
-    transition.dispatch(admission_events.RunFinished(request.number, event.outcome, duration_s))
+    transition.dispatch(admission_events.RunFinished(request.request_id, event.outcome, duration_s))
 
 
 def record_result(transition: Transition, attempt_id: str, result: bytes | None) -> None:
--- a/snowthread/core/runtime_resync.py
+++ b/snowthread/core/runtime_resync.py
@@ -140,7 +140,7 @@
         is_at_call = isinstance(sent.command, effects.DeliverReply)
         if is_at_call:
             run.pending_call_notice_number = run.replied_call_notice_number
-        transition.dispatch(admission_events.RunIndeterminate(request.number, is_at_call))
+        transition.dispatch(admission_events.RunIndeterminate(request.request_id, is_at_call))
 
 
 def _is_repeatable(command: effects.Command, request_class: RequestClass) -> bool:
@@ -163,7 +163,7 @@
             log_run_status(transition, request, "no response is owed; stopping the run")
             send_command(transition, effects.StopRun(request.attempt_id))
     if not run.is_start_confirmed:
-        transition.dispatch(admission_events.RunIndeterminate(request.number))
+        transition.dispatch(admission_events.RunIndeterminate(request.request_id))
 
 
 def end_runs_missing_at_runtime(transition: Transition) -> None:
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -49,20 +49,20 @@
 class Request:
     """One attempt received from a balancer; ``response_address`` is None once no response is owed."""
 
-    number: int
+    request_id: int  # unique in this process; shared with the admission controller
     attempt_id: str
     class_name: str
     body: bytes
     response_address: ResponseAddress | None
     idempotency_key: str | None
-    original_number: int | None
+    original_id: int | None  # id of the request that this one is a retry of, or None
     read_at_ms: float  # when the request was read, or when its key claim ended if it had to wait for one
     request_class: RequestClass  # the class as it was configured when the request arrived
     memory_kb: float  # memory booked while queued; multiplied by the running memory factor while running
     body_digest: bytes = b""  # digest of class name and body; empty unless the class is keyed
     phase: RequestPhase = RequestPhase.QUEUED
     run: Run | None = None  # the run at the runtime; None unless the request is running
-    followers: list[int] = field(default_factory=list)  # numbers of the retries that wait for this result
+    followers: list[int] = field(default_factory=list)  # request ids of the retries that wait for this result
 
     @property
     def call_in_flight(self) -> bool:
@@ -123,7 +123,7 @@
     requests: dict[int, Request] = field(default_factory=dict)
     requests_by_attempt_id: dict[str, Request] = field(default_factory=dict)
     requests_by_response_address: dict[ResponseAddress, Request] = field(default_factory=dict)
-    last_request_number: int = 0
+    last_request_id: int = 0
     command_log: CommandLog = field(default_factory=CommandLog)
     runtime_connected: bool = False
     disconnected_at_ms: float = -math.inf  # when the link to the runtime was last lost
