--- a/snowthread/core/events.py
+++ b/snowthread/core/events.py
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A complete request was read and validated."""
+    """A complete request was read, and its syntax was checked."""
 
     response_address: ResponseAddress
     attempt_id: str
     class_name: str
     body: bytes
-    arrived_at_ms: float  # when the request reached the machine, which may be well before it is read
+    arrived_at_ms: float  # when it reached the node's host, as it states; possibly well before it is read
     timeout_ms: float | None  # counted from ``arrived_at_ms``; None if the deadline of the class applies
     caller_id: int  # identifies the balancer that sent the request
     memory_kb: float  # memory that the request occupies while it is queued
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """The client cancelled a request or closed its connection, so no response is owed any more."""
+    """The balancer cancelled a request or closed its connection, so no response is owed any more."""
 
     response_address: ResponseAddress
 
@@ -115,7 +115,7 @@
 class LoadSampleReceived:
     """A load sample of the runtime was read."""
 
-    tag: str  # the tag of the load sample request that this sample answers
+    tag: str  # the tag of the load sample request, which the runtime echoes
     values: tuple[float, ...]  # the values of the gauges, in the configured order
 
 
@@ -183,12 +183,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TenantQuotasChanged:
-    """Tenants were added, changed or removed."""
+class TenantsChanged:
+    """Tenants were added, changed or removed, or the weight of requests over quota changed."""
 
-    changed: tuple[Tenant, ...] = ()
-    removed: frozenset[str] = frozenset()
-    over_quota_weight: float | None = None  # priority factor of requests over quota; None leaves it unchanged
+    changed: tuple[Tenant, ...] = ()  # tenants that were added or changed
+    removed: frozenset[str] = frozenset()  # names of removed tenants
+    # Factor on the weight of requests beyond their tenant's quota; None leaves it unchanged.
+    over_quota_weight: float | None = None
 
 
 # Recovery.
@@ -196,12 +197,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallPacingChanged:
-    """The limit of concurrent downstream calls during recovery changed.
+    """The call quota during recovery changed; 0 restores the configured one.
 
-    Calls beyond the limit wait to be sent.
+    Calls beyond the quota wait, and those that can be skipped may be skipped instead.
     """
 
-    concurrent_calls: float = 0.0  # limit of concurrent downstream calls; 0 restores the configured limit
+    call_quota: float = 0.0  # limit of calls in flight, averaged over ``Settings.call_quota_window_s``
 
 
 @dataclass(frozen=True, slots=True)
@@ -209,7 +210,7 @@
     """The learned state of an earlier incarnation was found valid; the controller starts from it."""
 
     learned_state: LearnedState
-    relative_speed: float  # present speed of the machine as a ratio of its speed when warm
+    relative_speed: float  # present speed of the runtime's host as a ratio of its speed when warm
 
 
 # The peer process of a hot restart.
@@ -234,7 +235,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReady:
-    """The successor process now accepts the connections of clients."""
+    """The successor process now accepts the connections of balancers."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -275,7 +276,7 @@
 
     idempotency_key: str
     attempt_id: str
-    arrived_at_ms: float  # when the attempt reached the machine
+    arrived_at_ms: float  # when the attempt reached the node's host
     body_digest: bytes
 
 
@@ -311,7 +312,7 @@
     | ShutdownRequested
     | DrainRequested
     | SettingsReloaded
-    | TenantQuotasChanged
+    | TenantsChanged
     | CallPacingChanged
     | LearnedStateRestored
     | PeerProcessConnected
--- a/snowthread/core/state.py
+++ b/snowthread/core/state.py
@@ -49,20 +49,20 @@
 class Request:
     """One attempt received from a balancer; ``response_address`` is None once no response is owed."""
 
-    number: int
+    request_id: int  # unique in this process; shared with the admission controller
     attempt_id: str
     class_name: str
     body: bytes
     response_address: ResponseAddress | None
     idempotency_key: str | None
-    original_number: int | None
+    original_id: int | None  # id of the request that this one is a retry of, or None
     read_at_ms: float  # when the request was read, or when its key claim ended if it had to wait for one
     request_class: RequestClass  # the class as it was configured when the request arrived
     memory_kb: float  # memory booked while queued; multiplied by the running memory factor while running
     body_digest: bytes = b""  # digest of class name and body; empty unless the class is keyed
     phase: RequestPhase = RequestPhase.QUEUED
     run: Run | None = None  # the run at the runtime; None unless the request is running
-    followers: list[int] = field(default_factory=list)  # numbers of the retries that wait for this result
+    followers: list[int] = field(default_factory=list)  # request ids of the retries that wait for this result
 
     @property
     def call_in_flight(self) -> bool:
@@ -74,7 +74,8 @@
     """A claim of an idempotency key that the predecessor has not decided yet."""
 
     attempt_id: str  # the attempt that the key is claimed for
-    # All requests with this key, in order of arrival. The claimant comes first unless it was cancelled.
+    # All requests with this key, in order of arrival. The claimant comes first unless it was cancelled or was
+    # rejected because the decision took too long.
     waiting_requests: list[RequestReceived]
 
 
@@ -107,7 +108,8 @@
 class NodeState:
     """The complete state of a node.
 
-    The admission controller is created when the runtime connects or when the first request arrives.
+    The admission controller is created when the runtime connects, or earlier by the first event for the
+    controller, such as a request or a shutdown notice.
     """
 
     settings: Settings
@@ -115,13 +117,13 @@
     gauge_names: tuple[str, ...]
     admission_clock: AdmissionClock
     controller: Controller | None = None
-    # Tenant quotas that arrived before the admission controller was created.
-    pending_quotas: admission_events.TenantsChanged | None = None
+    # Tenant changes that arrived before the admission controller was created.
+    pending_tenants: admission_events.TenantsChanged | None = None
     idempotency_table: IdempotencyTable = field(default_factory=IdempotencyTable)
     requests: dict[int, Request] = field(default_factory=dict)
     requests_by_attempt_id: dict[str, Request] = field(default_factory=dict)
     requests_by_response_address: dict[ResponseAddress, Request] = field(default_factory=dict)
-    last_request_number: int = 0
+    last_request_id: int = 0
     command_log: CommandLog = field(default_factory=CommandLog)
     runtime_connected: bool = False
     disconnected_at_ms: float = -math.inf  # when the link to the runtime was last lost
@@ -132,15 +134,17 @@
     load_sample_used: bool = False  # whether a controller update has already used the load sample
     last_sample_number: int = 0
     last_stale_sample_number: int = 0  # samples up to this number were requested with another gauge order
-    load_report: float | None = None  # the load value that is sent with each response
+    # Load report sent with each response, as ``LoadReportKind`` defines it; None if none was published.
+    load_report: float | None = None
     healthy: bool = True
     shutting_down: bool = False
     retired_until_ms: dict[str, float] = field(default_factory=dict)  # end of service of each removed class
     drained: bool = False  # set by an operator's drain call and cleared by a resume call
     handover_role: HandoverRole = HandoverRole.STANDALONE
     peer_load: PeerLoadReported | None = None  # what the peer process uses of the shared limits
-    indeterminate_keys: IndeterminateKeys | None = None  # keys that an earlier incarnation may have run
-    call_pacing: CallPacingChanged | None = None  # limit of concurrent downstream calls during recovery
+    # Keys of requests that an earlier incarnation of this node may have run, with an unknown outcome.
+    indeterminate_keys: IndeterminateKeys | None = None
+    call_pacing: CallPacingChanged | None = None  # call quota in effect during recovery, if it is replaced
     pending_learned_state: LearnedStateRestored | None = None  # learned state for a controller to be created
     superseded: bool = False  # whether the successor process accepts the new connections
     pending_claims: dict[str, PendingClaim] = field(default_factory=dict)  # undecided claims by their key
