--- a/snowthread/admission/__init__.py
+++ b/snowthread/admission/__init__.py
@@ -11,7 +11,7 @@
 - ``settlement`` rejects, fails and removes requests, ``retry_rule`` builds rejections, and ``idempotency``
   remembers keys;
 - ``run_results``, ``downstream_calls`` and ``lost_runs`` process the ends of runs and of calls;
-- ``periodic_update`` updates ``estimators``, ``load_report``, ``idle_connections`` and ``health``;
+- ``periodic_update`` updates ``estimators``, ``load_report``, ``idle_timeout`` and ``outlier_ejection``;
 - ``graceful_shutdown`` answers all requests before the stop, at the times set by ``shutdown_times``.
 
 The other modules make no admission decisions. They hold the state (``controller_context``, ``state``) and
--- a/snowthread/admission/state.py
+++ b/snowthread/admission/state.py
@@ -6,9 +6,9 @@
 from snowthread.admission.concurrency import ConcurrencyLimit
 from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.downstream_calls import DownstreamCalls
-from snowthread.admission.health import OutlierDetector
-from snowthread.admission.idle_connections import IdleTimeout
+from snowthread.admission.idle_timeout import IdleTimeout
 from snowthread.admission.load_report import LoadReport
+from snowthread.admission.outlier_ejection import OutlierDetector
 from snowthread.admission.quotas import TenantQuotas
 from snowthread.admission.settings import Settings
 from snowthread.admission.shutdown_times import ShutdownTimes
--- a/tests/admission/test_health.py
+++ b/tests/admission/test_outlier_ejection.py
@@ -8,7 +8,7 @@
 from snowthread.admission.actions import SetHealth
 from snowthread.admission.concurrency import UPDATE_PERIOD_S
 from snowthread.admission.events import ShutdownNotice, TimerFired
-from snowthread.admission.health import EJECTION_S
+from snowthread.admission.outlier_ejection import EJECTION_S
 from snowthread.admission.timer_queue import UPDATE_TIMER
 
 
