--- a/emulators/soak_rules.py
+++ b/emulators/soak_rules.py
@@ -11,7 +11,7 @@
 from emulators.request_protocol import KEYED_BODY_PREFIX, REJECTED
 from emulators.soak_plan import SoakPlan
 from emulators.strict_runtime import Peak
-from snowthread.admission.concurrency import CAPACITY_MARGIN_RATIO
+from snowthread.admission.concurrency import CEILING_RATIO
 
 ANSWER_SLACK_MS = 110.0  # the settings' 60 ms and the protocol's 50 ms
 MACHINE_SLACK_MS = 100.0  # of the machine that plays: node, emulators and clients share it
@@ -116,7 +116,7 @@
     quota = observed.plan.scenario.settings()["domain"]["calls_out"]
     if observed.peak.share_of_survived >= 1.0:
         broken.append(f"the machine fell: {observed.peak}")
-    elif observed.peak.share_of_survived > CAPACITY_MARGIN_RATIO:
+    elif observed.peak.share_of_survived > CEILING_RATIO:
         broken.append(f"the machine had more than the margin allows: {observed.peak}")
     if observed.calls_in_hand > quota:
         broken.append(f"{observed.calls_in_hand:.2f} calls in hand, {quota} allowed")
--- a/snowthread/admission/concurrency.py
+++ b/snowthread/admission/concurrency.py
@@ -12,7 +12,7 @@
 LIMIT_DECREASE_RUNS = 1.0  # decrease of the run limit per update while at least one run per core wants a core
 LIMIT_CUT_FACTOR = 0.7  # factor applied to the run limit after a slow run
 SLOW_RUN_TIME_FACTOR = 4.0  # a run is slow if it takes longer than this many times its core time
-CAPACITY_MARGIN_RATIO = 0.8  # part of the runs that the server survives, up to which the run limit may grow
+CEILING_RATIO = 0.8  # ceiling of the run limit, as a part of the runs that the server survives
 
 
 class ConcurrencyLimit:
@@ -31,9 +31,7 @@
 
     def ceiling(self, age_s: float) -> float:
         """Return the runs that a server of this age survives at its present speed, less a margin."""
-        return max(
-            float(self._state.settings.cores), CAPACITY_MARGIN_RATIO * self._max_survivable_runs(age_s)
-        )
+        return max(float(self._state.settings.cores), CEILING_RATIO * self._max_survivable_runs(age_s))
 
     def allows_another_run(self, runs: float, age_s: float) -> bool:
         """Return whether the server survives one more run than ``runs``, with a margin.
--- a/tests/incidents/test_runtime_overload.py
+++ b/tests/incidents/test_runtime_overload.py
@@ -28,7 +28,7 @@
 
 from emulators.node_under_faults import NodeScenario, NodeUnderFaults
 from emulators.strict_runtime import MachineModel
-from snowthread.admission.concurrency import CAPACITY_MARGIN_RATIO
+from snowthread.admission.concurrency import CEILING_RATIO
 
 BEFORE_FAULTS_MS = 2000.0
 FAULTS_MS = 9000.0
@@ -117,4 +117,4 @@
         uncounted = uncounted_runs_per_core(node)
         print(f"{peak}, {uncounted:.2f} uncounted runs a core")
         assert uncounted < UNCOUNTED_MAX
-        assert peak.share_of_survived < CAPACITY_MARGIN_RATIO
+        assert peak.share_of_survived < CEILING_RATIO
