--- a/snowthread/admission/admission_rule.py
+++ b/snowthread/admission/admission_rule.py
@@ -44,7 +44,7 @@
     """Return whether queued work of the same or higher priority leaves the request too little time."""
     estimates = state.estimates
     queued = state.open_requests.queued.values()
-    work_per_s = estimates.service_rate or estimates.saturated_rate(estimates.core_time_s)
+    work_per_s = estimates.service_rate or estimates.full_core_rate(estimates.core_time_s)
     if work_per_s <= 0.0:
         return len(queued) > MAX_QUEUED_PER_CORE * estimates.cores
     time_left_s = request.objective_at - now - estimates.expected_run_s(request)
--- a/snowthread/admission/class_times.py
+++ b/snowthread/admission/class_times.py
@@ -42,7 +42,7 @@
                 times[index : index + 1] = [0.0]
             self.hint_fit.reset_class(index)
 
-    def saturated_rate(self, times_s: list[float]) -> float:
+    def full_core_rate(self, times_s: list[float]) -> float:
         """Return how many items per second full cores complete (0: unknown).
 
         ``times_s`` holds the core seconds of one item by class, where an item is a run or a unit of
--- a/snowthread/admission/estimators.py
+++ b/snowthread/admission/estimators.py
@@ -69,7 +69,7 @@
         self.work_speed = 0.0  # the service rate plus the work of reading requests, in units per second
         self.best_work_speed = 0.0  # highest work speed so far, slowly decaying, in units per second
         # Units of work done and requests read while the cores were full.
-        self._saturated_sums = DecayingSums(2, SERVICE_RATE_WINDOW_S)
+        self._full_core_sums = DecayingSums(2, SERVICE_RATE_WINDOW_S)
         # Estimate of the downstream calls.
         self.slow_call_share = 0.0  # share of calls that were slow, 0 to 1
         self.apply_settings(settings, range(len(settings.classes)))
@@ -79,7 +79,7 @@
         if work_hint_s:
             return self.hint_fit.scale(class_index, work_hint_s)
         return (
-            self.base_core_time_s[class_index] * self.saturated_rate(self.base_core_time_s) / self.cores
+            self.base_core_time_s[class_index] * self.full_core_rate(self.base_core_time_s) / self.cores
             or 1.0
         )
 
@@ -87,7 +87,7 @@
         """Return Berger's beta: the abandonment rate of waiting requests divided by the service rate."""
         if self.service_rate <= 0.0:
             return INITIAL_ABANDONMENT_RATIO
-        run_rate = self.saturated_rate(self.base_core_time_s) or 1.0
+        run_rate = self.full_core_rate(self.base_core_time_s) or 1.0
         ratio = -math.log(OBJECTIVE_SUCCESS_RATIO) / (run_rate * self.mean_objective_s)
         return min(INITIAL_ABANDONMENT_RATIO, ratio)
 
@@ -159,7 +159,7 @@
 
         Whatever slowed this server down may be over.
         """
-        self._saturated_sums = DecayingSums(2, SERVICE_RATE_WINDOW_S)
+        self._full_core_sums = DecayingSums(2, SERVICE_RATE_WINDOW_S)
         self.work_speed = self.best_work_speed
 
     def update(self, elapsed_s: float, is_full: bool) -> None:
@@ -170,15 +170,15 @@
         self.arrival_rate = average_rate(self.arrival_rate, self.work_arrived, elapsed_s, self._observed_s)
         self.request_rate = average_rate(self.request_rate, self.requests_read, elapsed_s, self._observed_s)
         if is_full:
-            self._saturated_sums.add(elapsed_s, self.work_done, self.requests_read)
+            self._full_core_sums.add(elapsed_s, self.work_done, self.requests_read)
             self._update_speed(elapsed_s)
         self.requests_read = 0
         self.work_arrived = 0.0
         self.work_done = 0.0
 
     def _update_speed(self, elapsed_s: float) -> None:
-        work_done, requests_read = self._saturated_sums.sums
-        full_s = self._saturated_sums.observed_s
+        work_done, requests_read = self._full_core_sums.sums
+        full_s = self._full_core_sums.observed_s
         if full_s >= MIN_SERVICE_RATE_TIME_S:
             self.service_rate = work_done / full_s
             self.work_speed = self.service_rate + READ_WORK_RATIO * requests_read / full_s
--- a/snowthread/admission/learned_state.py
+++ b/snowthread/admission/learned_state.py
@@ -96,7 +96,7 @@
     return controller.settings.speed_at_age(controller.state.age_s(now_s))
 
 
-def runs_within_factor(controller: Controller, restored: LearnedState, factor: float) -> bool | None:
+def core_times_within_factor(controller: Controller, restored: LearnedState, factor: float) -> bool | None:
     """Return whether runs of every restored class take at most ``factor`` times their restored time.
 
     The result is None if there is nothing to compare.
@@ -146,7 +146,7 @@
         # The service rate is learned only while the cores are full. With a rate learned during warm-up, so
         # many requests are rejected that the cores are never full again. A rate derived from current run
         # times that is higher replaces it.
-        rate_by_runs = estimates.saturated_rate(estimates.core_time_s)
+        rate_by_runs = estimates.full_core_rate(estimates.core_time_s)
         if rate_by_runs > estimates.service_rate:
             estimates.service_rate = rate_by_runs
             self._service_rate = rate_by_runs
--- a/snowthread/recovery/warmup.py
+++ b/snowthread/recovery/warmup.py
@@ -71,7 +71,7 @@
             restored_state: The state restored from a snapshot.
             at_s: Current time on the controller's clock, in seconds.
         """
-        is_at_warm_speed = learned_state.runs_within_factor(
+        is_at_warm_speed = learned_state.core_times_within_factor(
             controller, restored_state, MAX_WARM_RUN_TIME_RATIO
         )
         # Without restored times to compare with, the speed follows from the machine's age.
--- a/tests/admission/test_learned_state.py
+++ b/tests/admission/test_learned_state.py
@@ -52,7 +52,7 @@
         and estimates.best_work_speed == 0.0
         and cold_controller.blocking_probability == 0.0
     )
-    assert learned_state.runs_within_factor(cold_controller, learned, 1.25) is False
+    assert learned_state.core_times_within_factor(cold_controller, learned, 1.25) is False
 
 
 def test_restoring_never_replaces_what_this_process_has_measured() -> None:
@@ -98,7 +98,7 @@
     assert controller.estimates.service_rate == 0.5
     aging.update(controller, end + 1.1)
     assert controller.estimates.service_rate == pytest.approx(
-        controller.estimates.saturated_rate(controller.estimates.core_time_s)
+        controller.estimates.full_core_rate(controller.estimates.core_time_s)
     )
 
 
