--- a/snowthread/admission/admission_rule.py
+++ b/snowthread/admission/admission_rule.py
@@ -5,7 +5,7 @@
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.start_rule import refresh_priorities
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 
 # A request may wait at most for this part of the time that its expected run leaves until the objective.
 MAX_WAIT_RATIO = 0.7
@@ -15,7 +15,7 @@
 
 
 def reject_reason(
-    state: State, now: float, request: RequestRecord, key_memory_kb: float
+    state: ControllerState, now: float, request: RequestRecord, key_memory_kb: float
 ) -> RejectReason | None:
     """Return why an arriving request is rejected, or None if it stays queued.
 
@@ -40,7 +40,7 @@
     return RejectReason.CANNOT_MEET_DEADLINE if is_too_late else None
 
 
-def wait_is_too_long(state: State, now: float, request: RequestRecord) -> bool:
+def wait_is_too_long(state: ControllerState, now: float, request: RequestRecord) -> bool:
     """Return whether queued work of the same or higher priority leaves the request too little time."""
     estimates = state.estimates
     queued = state.open_requests.queued.values()
@@ -57,12 +57,12 @@
     return sum(work_ahead) > max_work
 
 
-def cannot_meet_deadline(state: State, now: float, request: RequestRecord) -> bool:
+def cannot_meet_deadline(state: ControllerState, now: float, request: RequestRecord) -> bool:
     """Return whether a run that starts now would probably end too late."""
     return now >= latest_start_at(state.estimates, request)
 
 
-def admits_probe(state: State, now: float, request: RequestRecord) -> bool:
+def admits_probe(state: ControllerState, now: float, request: RequestRecord) -> bool:
     """Return whether to admit a late request as a probe of its class, and record the time of the probe.
 
     A probe is admitted if no run is on the cores and no run of the class succeeded lately. Without
--- a/snowthread/admission/arrivals.py
+++ b/snowthread/admission/arrivals.py
@@ -11,10 +11,10 @@
 from snowthread.admission.settings import Idempotency
 from snowthread.admission.settlement import reject_or_fail
 from snowthread.admission.start_rule import priority
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 
 
-def request_arrived(state: State, now: float, event: RequestArrived) -> list[Action]:
+def request_arrived(state: ControllerState, now: float, event: RequestArrived) -> list[Action]:
     """Queue an arriving request, reject it, or make it wait for the result of its original attempt."""
     class_index = state.class_index.get(event.class_name)
     if class_index is None:
@@ -33,7 +33,7 @@
     return [remember_key(state, now, request)] if is_keyed else []
 
 
-def _record(state: State, now: float, event: RequestArrived, class_index: int) -> RequestRecord:
+def _record(state: ControllerState, now: float, event: RequestArrived, class_index: int) -> RequestRecord:
     """Return the record of an arriving request, with its deadline, work, weight and priority."""
     settings = state.settings
     request_class = settings.classes[class_index]
--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -16,7 +16,7 @@
 from snowthread.admission.settings import Settings, check_settings
 from snowthread.admission.settlement import reject_or_fail, request_cancelled
 from snowthread.admission.start_rule import start_queued
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 from snowthread.admission.timer_queue import DEADLINE_TIMER, UPDATE_TIMER, TimerQueue
 
 
@@ -34,7 +34,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         check_settings(settings)
         deadlines = TimerQueue(DEADLINE_TIMER, ANSWER_MARGIN_S, TIME_TOLERANCE_S)
-        self.state = State(settings, seed, deadlines)
+        self.state = ControllerState(settings, seed, deadlines)
         self.estimates = self.state.estimates
         self.concurrency = self.state.concurrency
         self._now = 0.0
@@ -68,7 +68,7 @@
         return actions
 
 
-def _dispatch(state: State, now: float, event: events.Event) -> list[Action]:
+def _dispatch(state: ControllerState, now: float, event: events.Event) -> list[Action]:
     handler = _HANDLERS.get(type(event))
     if handler is None:
         return []
@@ -78,7 +78,7 @@
     return handler(state, now, request, event) if request is not None else []
 
 
-def _started(state: State, now: float, _: events.Started) -> list[Action]:
+def _started(state: ControllerState, now: float, _: events.Started) -> list[Action]:
     state.started_at = now
     actions: list[Action] = [begin_period(state, now)]
     if state.settings.deep_health_checks:
@@ -86,7 +86,7 @@
     return actions
 
 
-def _settings_changed(state: State, _: float, event: events.SettingsChanged) -> list[Action]:
+def _settings_changed(state: ControllerState, _: float, event: events.SettingsChanged) -> list[Action]:
     """Apply new settings.
 
     Open requests keep their class. A class that keeps its name and its position in the list also keeps
@@ -102,14 +102,14 @@
     return []
 
 
-def _tenants_changed(state: State, now: float, event: events.TenantsChanged) -> list[Action]:
+def _tenants_changed(state: ControllerState, now: float, event: events.TenantsChanged) -> list[Action]:
     actions: list[Action] = []
     for request in state.quotas.apply_tenant_changes(event):
         actions += reject_or_fail(state, now, request, RejectReason.TENANT)
     return actions
 
 
-def _timer_fired(state: State, now: float, event: events.TimerFired) -> list[Action]:
+def _timer_fired(state: ControllerState, now: float, event: events.TimerFired) -> list[Action]:
     actions: list[Action] = []
     if event.label == UPDATE_TIMER:
         actions = update(state, now, event)
--- a/snowthread/admission/controller_context.py
+++ b/snowthread/admission/controller_context.py
@@ -11,8 +11,8 @@
 class ControllerContext:
     """The part of a controller's state that every rule uses.
 
-    The members of ``State`` take it as their argument, so that they need not import ``State``. Points in
-    time are seconds of the controller's clock.
+    The members of ``ControllerState`` take it as their argument, so that they need not import
+    ``ControllerState``. Points in time are seconds of the controller's clock.
     """
 
     def __init__(self, settings: Settings, seed: int, deadlines: TimerQueue) -> None:
--- a/snowthread/admission/deadline_rule.py
+++ b/snowthread/admission/deadline_rule.py
@@ -5,7 +5,7 @@
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.request import RequestRecord, RequestState
 from snowthread.admission.settlement import reject_or_fail
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 
 # Seconds before its deadline at which a request is answered, so that the answer arrives in time.
 ANSWER_MARGIN_S = 0.03
@@ -25,7 +25,7 @@
     return request.expires_at - ratio * estimates.expected_run_s(request)
 
 
-def check_deadline(state: State, now: float, request: RequestRecord) -> list[Action]:
+def check_deadline(state: ControllerState, now: float, request: RequestRecord) -> list[Action]:
     """Reject or fail a request whose time is over, or else schedule its next check."""
     horizon = now + ANSWER_MARGIN_S + TIME_TOLERANCE_S
     check_at = request.deadline_at
--- a/snowthread/admission/graceful_shutdown.py
+++ b/snowthread/admission/graceful_shutdown.py
@@ -7,10 +7,10 @@
 from snowthread.admission.events import ShutdownNotice
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.settlement import reject_or_fail
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 
 
-def shutdown_noticed(state: State, now: float, event: ShutdownNotice) -> list[Action]:
+def shutdown_noticed(state: ControllerState, now: float, event: ShutdownNotice) -> list[Action]:
     """Begin the shutdown: leave the registry and ask callers to send nothing more.
 
     Queued and running requests continue.
@@ -20,7 +20,7 @@
     return [message, SetHealth(False), *state.load_report.shut_down()]
 
 
-def answer_all_before_stop(state: State, now: float) -> list[Action]:
+def answer_all_before_stop(state: ControllerState, now: float) -> list[Action]:
     """Answer every open request once the stop is near.
 
     A request is rejected, or failed if it may have run and is not idempotent.
--- a/snowthread/admission/idempotency.py
+++ b/snowthread/admission/idempotency.py
@@ -6,19 +6,21 @@
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.settings import Idempotency
 from snowthread.admission.settlement import reject_or_fail
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 
 KEY_LIFETIME_MARGIN_S = 0.1  # seconds added to the idempotency window, since the clocks of callers differ
 MIN_KEY_LIFETIME_S = 0.01  # shortest time in seconds for which a key is remembered
 
 
-def shares_result(state: State, request: RequestRecord) -> bool:
+def shares_result(state: ControllerState, request: RequestRecord) -> bool:
     """Return whether a retry of this request never runs, but gets the result of its original attempt."""
     is_keyed = request.request_class.idempotency is Idempotency.KEYED
     return is_keyed or state.settings.shared_result_ttl_s > 0.0
 
 
-def await_original(state: State, now: float, request: RequestRecord, original_id: int) -> list[Action]:
+def await_original(
+    state: ControllerState, now: float, request: RequestRecord, original_id: int
+) -> list[Action]:
     """Let a retry wait for the result of its original attempt, or answer it at once if it can't wait.
 
     A retry that can't wait is rejected, or failed if its original may have run and is not idempotent.
@@ -36,7 +38,7 @@
     return [AwaitOriginal(request.id)]
 
 
-def remember_key(state: State, now: float, request: RequestRecord) -> RememberKey:
+def remember_key(state: ControllerState, now: float, request: RequestRecord) -> RememberKey:
     """Remember the key of a request from now until the end of its idempotency window."""
     window_s = request.request_class.idempotency_window_s
     lifetime_s = window_s - (now - request.arrived_at) + KEY_LIFETIME_MARGIN_S
--- a/snowthread/admission/lost_runs.py
+++ b/snowthread/admission/lost_runs.py
@@ -11,7 +11,7 @@
 from snowthread.admission.events import RunCountUncertain, RunIndeterminate
 from snowthread.admission.request import RequestRecord, RequestState
 from snowthread.admission.settlement import fail, remove
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 
 # A run of which nothing is heard is presumed lost after this many times its expected duration.
 LOST_RUN_TIME_FACTOR = 4.0
@@ -20,7 +20,7 @@
 
 
 def run_indeterminate(
-    state: State, now: float, request: RequestRecord, event: RunIndeterminate
+    state: ControllerState, now: float, request: RequestRecord, event: RunIndeterminate
 ) -> list[Action]:
     """Process that the host lost sight of a run.
 
@@ -35,7 +35,7 @@
     return []
 
 
-def _schedule_presumed_loss(state: State, now: float, request: RequestRecord) -> None:
+def _schedule_presumed_loss(state: ControllerState, now: float, request: RequestRecord) -> None:
     """Set when the run counts as lost, and schedule the check for that time."""
     run_s = max(UPDATE_PERIOD_S, state.estimates.expected_run_s(request))
     state.open_requests.cores.mark_indeterminate(request, now + LOST_RUN_TIME_FACTOR * run_s)
@@ -43,7 +43,7 @@
     state.deadlines.watch_deadline(request, request.presumed_lost_at + ANSWER_MARGIN_S)
 
 
-def check_lost_run(state: State, now: float, request: RequestRecord) -> list[Action]:
+def check_lost_run(state: ControllerState, now: float, request: RequestRecord) -> list[Action]:
     """Fail a run that is presumed lost, and stop counting it after the same time again."""
     if request.state is not RequestState.RUNNING or request.presumed_lost_at > now + TIME_TOLERANCE_S:
         return []
@@ -55,13 +55,13 @@
     return [ForgetLostRun(request.id), *remove(state, now, request)]
 
 
-def run_count_uncertain(state: State, now: float, _: RunCountUncertain) -> list[Action]:
+def run_count_uncertain(state: ControllerState, now: float, _: RunCountUncertain) -> list[Action]:
     """Count measured excess runs for a while, since the host has lost its link to the machine."""
     state.run_count_uncertain_until = now + RUN_COUNT_UNCERTAIN_S
     return []
 
 
-def reconcile_run_count(state: State, now: float, measured_runs: float | None) -> None:
+def reconcile_run_count(state: ControllerState, now: float, measured_runs: float | None) -> None:
     """Compare the count with the runs measured on the cores (None: not measured).
 
     This is done only after a broken link. At other times everything else that wants a core, above all the
--- a/snowthread/admission/periodic_update.py
+++ b/snowthread/admission/periodic_update.py
@@ -7,7 +7,7 @@
 from snowthread.admission.concurrency import FULL_UTILIZATION_RATIO, UPDATE_PERIOD_S
 from snowthread.admission.events import TimerFired
 from snowthread.admission.lost_runs import reconcile_run_count
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 from snowthread.admission.timer_queue import UPDATE_TIMER
 
 # Part of a period with a run for each core, from which the whole period counts as saturated.
@@ -16,14 +16,14 @@
 MIN_UTILIZATION_RATIO = 0.4
 
 
-def begin_period(state: State, now: float) -> SetTimer:
+def begin_period(state: ControllerState, now: float) -> SetTimer:
     """Begin a period and return the timer that ends it."""
     state.period_started_at = now
     state.open_requests.cores.saturated_s = 0.0
     return SetTimer(UPDATE_PERIOD_S, UPDATE_TIMER)
 
 
-def update(state: State, now: float, event: TimerFired) -> list[Action]:
+def update(state: ControllerState, now: float, event: TimerFired) -> list[Action]:
     """End a period, learn from it and begin the next one."""
     state.open_requests.memory.expire_keys(now)
     elapsed_s = now - state.period_started_at
@@ -32,7 +32,7 @@
     return actions
 
 
-def _close_period(state: State, now: float, elapsed_s: float, event: TimerFired) -> list[Action]:
+def _close_period(state: ControllerState, now: float, elapsed_s: float, event: TimerFired) -> list[Action]:
     """Learn from the period and adapt all limits; return the changes for the host to carry out."""
     cores = state.open_requests.cores
     utilization = event.core_utilization
@@ -49,7 +49,7 @@
     return actions
 
 
-def _learn(state: State, elapsed_s: float, utilization: float) -> list[Action]:
+def _learn(state: ControllerState, elapsed_s: float, utilization: float) -> list[Action]:
     """Update the estimates, the blocking probability and the load report."""
     estimates = state.estimates
     is_full = utilization >= FULL_UTILIZATION_RATIO
--- a/snowthread/admission/retry_rule.py
+++ b/snowthread/admission/retry_rule.py
@@ -6,7 +6,7 @@
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.settings import LoadReportKind
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 
 # Weight of a retry relative to a first attempt. A retry does not say how old it is and may be late already.
 RETRY_WEIGHT_RATIO = 0.25
@@ -23,7 +23,7 @@
     return RETRY_WEIGHT_RATIO if is_retry else 1.0
 
 
-def rejection(state: State, now: float, request: RequestRecord, reason: RejectReason) -> Reject:
+def rejection(state: ControllerState, now: float, request: RequestRecord, reason: RejectReason) -> Reject:
     """Return the rejection of a request, with the advice on retries that it carries."""
     do_not_retry = is_too_late_to_retry(state, now, request) or (
         state.generator.random() < elsewhere_rejection_probability(state, now)
@@ -31,13 +31,13 @@
     return Reject(request.id, retry_after_s(state), do_not_retry, reason)
 
 
-def is_too_late_to_retry(state: State, now: float, request: RequestRecord) -> bool:
+def is_too_late_to_retry(state: ControllerState, now: float, request: RequestRecord) -> bool:
     """Return whether no other server, however fast, could serve a retry within the latency objective."""
     run_s = state.estimates.expected_run_s(request)
     return now >= request.objective_at - MIN_RETRY_TIME_RATIO * run_s
 
 
-def elsewhere_rejection_probability(state: State, now: float) -> float:
+def elsewhere_rejection_probability(state: ControllerState, now: float) -> float:
     """Return the probability that another server would reject a retry, estimated from this one.
 
     It is the probability with which this server would block requests at its best speed, since others may
@@ -54,7 +54,7 @@
     return 1.0 - (1.0 - blocked_elsewhere) * (1.0 - state.load_report.effective_share)
 
 
-def retry_after_s(state: State) -> float:
+def retry_after_s(state: ControllerState) -> float:
     """Return a caller's usual interval between requests, in seconds, or 0 if it may retry at once.
 
     If no load report is published, the interval is extended so that callers send only as much as is not
--- a/snowthread/admission/run_results.py
+++ b/snowthread/admission/run_results.py
@@ -8,10 +8,12 @@
 from snowthread.admission.settings import Outcome, Preemption
 from snowthread.admission.settlement import fail, reject_or_fail, remove
 from snowthread.admission.start_rule import may_start
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 
 
-def run_finished(state: State, now: float, request: RequestRecord, event: RunFinished) -> list[Action]:
+def run_finished(
+    state: ControllerState, now: float, request: RequestRecord, event: RunFinished
+) -> list[Action]:
     """Process the end of a run and remove its request.
 
     A run that was stopped is queued again, or its request is rejected or failed if it may not run again.
@@ -35,13 +37,15 @@
     return actions
 
 
-def call_needed(state: State, now: float, request: RequestRecord, _: CallNeeded) -> list[Action]:
+def call_needed(state: ControllerState, now: float, request: RequestRecord, _: CallNeeded) -> list[Action]:
     """Take a run off the cores until its call has ended or is skipped."""
     state.calls.add(now, request)
     return []
 
 
-def call_finished(state: State, now: float, request: RequestRecord, event: CallFinished) -> list[Action]:
+def call_finished(
+    state: ControllerState, now: float, request: RequestRecord, event: CallFinished
+) -> list[Action]:
     """Continue the run with or without the result of its call, retry the call, or fail the request."""
     if request.state is not RequestState.CALLING:
         return []
--- a/snowthread/admission/settlement.py
+++ b/snowthread/admission/settlement.py
@@ -6,29 +6,35 @@
 from snowthread.admission.request import RequestRecord, RequestState
 from snowthread.admission.retry_rule import rejection
 from snowthread.admission.settings import Preemption
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 
 WAITING_STATES = (RequestState.QUEUED, RequestState.PAUSED, RequestState.AWAITING_ORIGINAL)
 
 
-def reject_or_fail(state: State, now: float, request: RequestRecord, reason: RejectReason) -> list[Action]:
+def reject_or_fail(
+    state: ControllerState, now: float, request: RequestRecord, reason: RejectReason
+) -> list[Action]:
     """Reject a request, or fail it if it may have run and is not idempotent."""
     if request.may_have_run and not request.is_idempotent:
         return fail(state, now, request, reason)
     return [rejection(state, now, request, reason), *settle(state, now, request)]
 
 
-def fail(state: State, now: float, request: RequestRecord, reason: RejectReason | None) -> list[Action]:
+def fail(
+    state: ControllerState, now: float, request: RequestRecord, reason: RejectReason | None
+) -> list[Action]:
     """Fail a request: the answer leaves open whether it ran."""
     return [Fail(request.id, reason), *settle(state, now, request)]
 
 
-def request_cancelled(state: State, now: float, request: RequestRecord, _: RequestCancelled) -> list[Action]:
+def request_cancelled(
+    state: ControllerState, now: float, request: RequestRecord, _: RequestCancelled
+) -> list[Action]:
     """Settle a request whose caller has cancelled it or disconnected."""
     return settle(state, now, request)
 
 
-def settle(state: State, now: float, request: RequestRecord) -> list[Action]:
+def settle(state: ControllerState, now: float, request: RequestRecord) -> list[Action]:
     """Mark that no answer is owed any more: remove the request, or stop its run if possible."""
     request.is_settled = True
     if request.state in WAITING_STATES:
@@ -38,7 +44,9 @@
     return []
 
 
-def remove(state: State, now: float, request: RequestRecord, forget_key: bool = False) -> list[Action]:
+def remove(
+    state: ControllerState, now: float, request: RequestRecord, forget_key: bool = False
+) -> list[Action]:
     """Remove a request that is over, and forget its key if it never ran."""
     actions = state.open_requests.memory.forget_key(request) if forget_key else []
     state.calls.remove(now, request)
--- a/snowthread/admission/start_rule.py
+++ b/snowthread/admission/start_rule.py
@@ -5,7 +5,7 @@
 from snowthread.admission.actions import Action, StartRun
 from snowthread.admission.memory_limit import exceeds_memory_limit
 from snowthread.admission.request import RequestRecord, RequestState
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 
 # Seconds between two computations of all priorities, which cost more than most events.
 PRIORITY_REFRESH_INTERVAL_S = 0.02
@@ -13,7 +13,7 @@
 MIN_PRIORITY_TIME_S = 0.05
 
 
-def start_queued(state: State, now: float) -> list[Action]:
+def start_queued(state: ControllerState, now: float) -> list[Action]:
     """Start queued requests, the highest priority first, as long as the limits allow one more."""
     queued = state.open_requests.queued
     cores = state.open_requests.cores
@@ -30,7 +30,7 @@
     return actions
 
 
-def _next_request(state: State, now: float) -> RequestRecord | None:
+def _next_request(state: ControllerState, now: float) -> RequestRecord | None:
     """Return the request that starts next, or None if the ceiling or the memory allows no other run."""
     open_requests = state.open_requests
     # All runs that may be on the cores at the same time. Runs that wait for calls return to the cores
@@ -49,7 +49,7 @@
     return None if exceeds_memory_limit(memory, memory.start_extra_kb(request)) else request
 
 
-def may_start(state: State, now: float, request: RequestRecord) -> bool:
+def may_start(state: ControllerState, now: float, request: RequestRecord) -> bool:
     """Return whether a request may start or resume.
 
     It may not once it is answered or the shutdown forbids it, nor may a request with effects run twice.
@@ -59,7 +59,7 @@
     return not request.may_have_run or request.state is not RequestState.QUEUED or request.is_idempotent
 
 
-def priority(state: State, now: float, request: RequestRecord) -> float:
+def priority(state: ControllerState, now: float, request: RequestRecord) -> float:
     """Return the priority: weight, times the chance to end in time if started now, over the time left.
 
     So the most urgent request goes first, unless it would probably be late. The chance is 1 - exp(-time
@@ -73,7 +73,7 @@
     return weight * chance / (left_s + run_s + MIN_PRIORITY_TIME_S)
 
 
-def refresh_priorities(state: State, now: float) -> None:
+def refresh_priorities(state: ControllerState, now: float) -> None:
     """Compute the priorities of all queued requests again, unless that was done a moment ago."""
     if now >= state.priorities_refreshed_at + PRIORITY_REFRESH_INTERVAL_S:
         state.priorities_refreshed_at = now
--- a/snowthread/admission/state.py
+++ b/snowthread/admission/state.py
@@ -15,10 +15,10 @@
 from snowthread.admission.timer_queue import TimerQueue
 
 
-class State(ControllerContext):
+class ControllerState(ControllerContext):
     """The state that the rules, which are functions, read and change.
 
-    It is not the ``State`` of ``snowthread.core``. Points in time are seconds of the controller's clock.
+    Points in time are seconds of the controller's clock.
     """
 
     def __init__(self, settings: Settings, seed: int, deadlines: TimerQueue) -> None:
