--- a/snowthread/admission/actions.py
+++ b/snowthread/admission/actions.py
@@ -34,8 +34,8 @@
 class Reject:
     """Answer that a request was rejected: it never ran, or running it again does no harm.
 
-    ``retry_after_s`` is 0 if the caller may retry at once. ``do_not_retry`` asks the caller not to retry
-    elsewhere either.
+    ``retry_after_s`` is the time before the caller should send its next request to this node; 0: at once.
+    ``do_not_retry`` asks the caller not to retry elsewhere either.
     """
 
     request_id: int
@@ -79,7 +79,8 @@
 class ForgetLostRun:
     """Forget a run that is presumed lost.
 
-    Its request is answered, and nothing was heard of the run for longer than it can take.
+    No answer is owed to its request any more, and nothing was heard of the run for several times its expected
+    duration.
     """
 
     request_id: int
--- a/snowthread/admission/call_table.py
+++ b/snowthread/admission/call_table.py
@@ -22,7 +22,7 @@
     def add(self, now: float, request: RequestRecord) -> None:
         """Take a run off the cores until its call has ended or is skipped."""
         self._cores.leave(request)
-        request.call_attempts = 0
+        request.call_tries = 0
         request.retry_at = now
         self._set_pending(request)
 
@@ -34,7 +34,7 @@
         """Record that a pending call is in flight."""
         request.state = RequestState.CALLING
         request.called_at = now
-        request.call_attempts += 1
+        request.call_tries += 1
         del self.pending[request.id]
         self.in_flight[request.id] = request
 
--- a/snowthread/admission/concurrency.py
+++ b/snowthread/admission/concurrency.py
@@ -78,6 +78,6 @@
         """
         core_time_s = max(request.core_time_s, base_core_time_s)
         is_slow = now - request.started_at > SLOW_RUN_TIME_FACTOR * core_time_s
-        if is_slow and not request.call_attempts and now - self._cut_at >= UPDATE_PERIOD_S:
+        if is_slow and not request.call_tries and now - self._cut_at >= UPDATE_PERIOD_S:
             self._cut_at = now
             self.limit = max(float(self._state.settings.cores), self.limit * LIMIT_CUT_FACTOR)
--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -62,7 +62,7 @@
         state.open_requests.cores.advance(elapsed_s)
         state.calls.advance(elapsed_s)
         actions = _dispatch(state, now, event)
-        actions += state.calls.dispatch(now)
+        actions += state.calls.check_pending(now)
         actions += start_queued(state, now)
         actions += state.deadlines.arm(now, state.open_requests.by_id)
         return actions
@@ -115,7 +115,7 @@
         actions = update(state, now, event)
     elif not state.deadlines.fire(now):
         return []  # an earlier timer has replaced this one, so its event is ignored
-    state.calls.next_dispatch_at = now
+    state.calls.next_check_at = now
     for request_id in state.deadlines.pop_due(now):
         request = state.open_requests.by_id.get(request_id)
         if request is None:
--- a/snowthread/admission/cores.py
+++ b/snowthread/admission/cores.py
@@ -58,22 +58,22 @@
         self.running += 1
 
     def leave(self, request: RequestRecord) -> None:
-        """Take a run off the cores if it is on them; the caller sets its next state."""
+        """Take a run off the cores if it is on them; the calling function sets its next state."""
         if request.state is not RequestState.RUNNING:
             return
         request.core_time_s += self._core_clock_s - request.core_clock_at_entry
         self.running -= 1
         self.mark_determinate(request)
 
-    def mark_indeterminate(self, request: RequestRecord, presumed_lost_at: float) -> None:
-        """Count a run as indeterminate; from ``presumed_lost_at`` on it is presumed lost."""
+    def mark_indeterminate(self, request: RequestRecord, loss_check_at: float) -> None:
+        """Count a run as indeterminate, and set when it is next checked for loss."""
         self.indeterminate += not request.is_indeterminate
-        request.presumed_lost_at = presumed_lost_at
+        request.loss_check_at = loss_check_at
 
     def mark_determinate(self, request: RequestRecord) -> None:
         """Count a run as determinate again, because something was heard of it."""
         self.indeterminate -= request.is_indeterminate
-        request.presumed_lost_at = math.inf
+        request.loss_check_at = math.inf
 
     def add_progress(
         self, work_done: float, requests: Iterable[RequestRecord], core_time_s: Sequence[float]
--- a/snowthread/admission/downstream_calls.py
+++ b/snowthread/admission/downstream_calls.py
@@ -11,8 +11,9 @@
 from snowthread.admission.request import RequestRecord, RequestState
 from snowthread.admission.settings import Dependency, Outcome, Settings
 
-DISPATCH_INTERVAL_S = 0.02  # seconds between two dispatches of pending calls, unless a call is added or ends
-MAX_ATTEMPTS = 4  # attempts of one call, the first one included
+# Seconds between two checks of the pending calls, unless a call is added or ends or a timer fires.
+PENDING_CHECK_INTERVAL_S = 0.02
+MAX_CALL_TRIES = 4  # tries of one call, the first one included
 BACKOFF_S = 0.05  # seconds before the first retry of a call
 BACKOFF_FACTOR = 2.0  # growth of the delay with each further retry of a call
 BUDGET_RATE_RATIO = 0.55  # part of the quota that calls may use on average
@@ -33,7 +34,8 @@
 # A call in flight for longer than this many times the usual call time is hung; the dependency no longer works
 # on it.
 HUNG_CALL_FACTOR = 6.0
-QUOTA_PER_SLOT = 5.0  # calls in flight that the dependency survives for each call that it works on at a time
+# Call quota, the calls in flight that the dependency survives, divided by the calls that it works on at once.
+QUOTA_PER_SLOT = 5.0
 OVERLOAD_SLOW_CALL_RATIO = 0.3  # share of slow calls from which the dependency counts as overloaded
 LIMIT_GROWTH_FACTOR = 1.15  # growth of the limit on calls in flight, per update in which it was reached
 # Factor applied to the limit on calls in flight, per update with an overloaded dependency.
@@ -52,8 +54,8 @@
 class DownstreamCalls:
     """Decides on the downstream calls of runs, within a budget and a limit that all calls share.
 
-    The budget is a number of call-seconds that refills at a part of the quota; the limit bounds the calls
-    in flight. Both apply only to a dependency that is shared with other nodes.
+    The budget holds call-seconds, which refill at a part of the call quota of the settings. The limit bounds
+    the number of calls in flight. Both apply only to a dependency that is shared with other nodes.
     """
 
     def __init__(self, state: ControllerContext) -> None:
@@ -64,14 +66,14 @@
         self._budget.available = self._budget.capacity
         self._limit = self._min_limit  # limit on calls in flight
         self._is_limit_reached = False  # a call had to wait for the limit since the last update
-        self.next_dispatch_at = 0.0
+        self.next_check_at = 0.0
 
     def apply_settings(self, settings: Settings) -> None:
         """Apply new settings. Calls in flight are not affected."""
         self._settings = settings
         self._is_dependency_shared = settings.dependency is Dependency.SHARED
         self._budget.capacity = BUDGET_CAPACITY_RATIO * settings.call_quota * settings.call_quota_window_s
-        # This node's part of the calls that the dependency works on at a time.
+        # The calls of this node that the dependency works on at once.
         self._min_limit = max(1.0, settings.call_quota / QUOTA_PER_SLOT)
 
     def advance(self, elapsed_s: float) -> None:
@@ -94,14 +96,14 @@
     def add(self, now: float, request: RequestRecord) -> None:
         """Take a run off the cores until its call has ended or is skipped."""
         self._table.add(now, request)
-        self.next_dispatch_at = now
+        self.next_check_at = now
 
-    def dispatch(self, now: float) -> list[Action]:
+    def check_pending(self, now: float) -> list[Action]:
         """Start, skip or delay the pending calls, required ones first."""
         pending = self._table.pending
-        if not pending or now < self.next_dispatch_at:
+        if not pending or now < self.next_check_at:
             return []
-        self.next_dispatch_at = now + DISPATCH_INTERVAL_S
+        self.next_check_at = now + PENDING_CHECK_INTERVAL_S
         actions: list[Action] = []
         in_flight = self._active_calls(now)
         waiting_calls = 0
@@ -123,7 +125,11 @@
         return actions
 
     def _active_calls(self, now: float) -> int:
-        """Return the number of calls in flight that the dependency works on; hung calls do not count."""
+        """Return the number of calls in flight that the dependency works on; hung calls do not count.
+
+        As long as the usual call time of a class is unknown, its calls practically never count as hung:
+        ``expires_at``, a point in time on the controller's clock, stands in for the unknown duration.
+        """
         usual_s = self._estimates.call_time_s
         return sum(
             now - r.called_at <= HUNG_CALL_FACTOR * (usual_s[r.class_index] or r.expires_at)
@@ -184,14 +190,14 @@
         self._table.pending.pop(request.id, None)
 
     def _end(self, now: float, request: RequestRecord, is_given_up: bool) -> None:
-        self.next_dispatch_at = now
+        self.next_check_at = now
         used_s = now - request.called_at + (self._settings.given_up_call_s if is_given_up else 0.0)
         self._table.end(request, used_s)
 
     def finish(self, now: float, request: RequestRecord, outcome: Outcome) -> CallDecision:
         """Process the end of a call and return what happens to its run.
 
-        For a retry or a skip the run is prepared here already.
+        Before it returns, a skip has put the run back on the cores, and a retry has its time set.
         """
         self._end(now, request, is_given_up=outcome in (Outcome.TIMED_OUT, Outcome.DISCONNECTED))
         if outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
@@ -204,7 +210,7 @@
         if decision is CallDecision.SKIP:
             self._table.resume(request)
         elif decision is CallDecision.RETRY:
-            request.retry_at = now + BACKOFF_S * BACKOFF_FACTOR ** (request.call_attempts - 1)
+            request.retry_at = now + BACKOFF_S * BACKOFF_FACTOR ** (request.call_tries - 1)
         return decision
 
     def decision_after_failure(self, request: RequestRecord, outcome: Outcome) -> CallDecision:
@@ -213,7 +219,7 @@
         A call is retried only if it is idempotent or never ran. A skippable call is skipped where a
         retry would probably fail as well.
         """
-        can_retry = (outcome.never_ran or request.is_idempotent) and request.call_attempts < MAX_ATTEMPTS
+        can_retry = (outcome.never_ran or request.is_idempotent) and request.call_tries < MAX_CALL_TRIES
         is_overloaded = self._estimates.slow_call_share >= OVERLOAD_SLOW_CALL_RATIO
         was_hung = outcome is Outcome.TIMED_OUT and not is_overloaded
         may_succeed = was_hung or outcome in (Outcome.DISCONNECTED, Outcome.UNREACHABLE)
--- a/snowthread/admission/estimators.py
+++ b/snowthread/admission/estimators.py
@@ -32,8 +32,9 @@
 HINT_EXPONENT = 0.5
 HINT_WEIGHT_RUNS = 4.0  # weight of the initial exponent, in runs
 HINT_MEMORY_RUNS = 200.0  # runs after which what a run taught about hints has decayed to 1/e
-RUN_WINDOW_RUNS = 15.0  # runs that rising run and core times are averaged over
-RUN_FALL_WINDOW_RUNS = 3.0  # runs that falling run and core times are averaged over
+RUN_WINDOW_RUNS = 15.0  # runs that run and core times are averaged over
+# Runs that run and core times are averaged over while runs take at most half of the average.
+RUN_FALL_WINDOW_RUNS = 3.0
 BASE_WINDOW_RUNS = 30.0  # runs or calls that the baseline times are averaged over
 # Runs that the baseline core time is averaged over while runs are far shorter than it.
 BASE_FALL_WINDOW_RUNS = 3.0
--- a/snowthread/admission/events.py
+++ b/snowthread/admission/events.py
@@ -108,7 +108,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunCountUncertain:
-    """The host lost its link to the machine: for a while more runs may be active there than are counted."""
+    """More runs may be active at the runtime than are counted.
+
+    A link to the runtime was lost, this process has just started, or a peer process exited.
+    """
 
 
 @dataclass(frozen=True, slots=True)
--- a/snowthread/admission/open_requests.py
+++ b/snowthread/admission/open_requests.py
@@ -50,7 +50,7 @@
         self.cores.enter(request)
 
     def requeue(self, request: RequestRecord, keeps_progress: bool) -> None:
-        """Queue a run that was stopped.
+        """Queue a run that the host cancelled without a ``StopRun``.
 
         ``keeps_progress`` says whether the run was paused; otherwise it starts from the beginning.
         """
--- a/snowthread/admission/reasons.py
+++ b/snowthread/admission/reasons.py
@@ -10,8 +10,8 @@
 
     # The settings have no class of this name (``arrivals.request_arrived``).
     UNKNOWN_CLASS = "unknown class"
-    # The request arrived after the drain grace period (``admission_rule.reject_reason``), or was still open
-    # shortly before the stop (``graceful_shutdown.answer_all_before_stop``).
+    # The request arrived after the shutdown grace period (``admission_rule.reject_reason``), or it was still
+    # open shortly before the end of the process (``graceful_shutdown.answer_all_before_stop``).
     SHUTDOWN = "shutting down"
     # The tenant is suspended or may not send the class (``admission_rule.reject_reason``, and ``controller``
     # when tenants change).
@@ -30,5 +30,5 @@
     ORIGINAL_UNAVAILABLE = "original attempt unavailable"
     # The deadline, or the latest start of the run, was reached (``deadline_rule.check_deadline``).
     DEADLINE_REACHED = "deadline reached"
-    # The run was stopped and may not start again (``run_results.run_finished``).
+    # The runtime cancelled the run, and it may not start again (``run_results.run_finished``).
     PREEMPTED = "run preempted"
--- a/snowthread/admission/request.py
+++ b/snowthread/admission/request.py
@@ -21,7 +21,7 @@
     RUNNING = 1  # the run is on the cores
     CALL_PENDING = 2  # the run waits for a call that has not been started
     CALLING = 3  # the run waits for a call in flight
-    PAUSED = 4  # the run was stopped with its progress and is queued to resume
+    PAUSED = 4  # the host cancelled the run without a StopRun; it is queued to resume
     AWAITING_ORIGINAL = 5  # a retry that gets the result of its original attempt
 
 
@@ -32,7 +32,7 @@
     id: int
     class_index: int  # index of its class in the settings
     request_class: RequestClass
-    arrived_at: float  # when it reached the machine, before it was read
+    arrived_at: float  # when it reached the host, before it was read
     deadline_at: float  # latest time for an answer
     objective_at: float  # end of its latency objective; a later answer is late
     expires_at: float  # time from which an answer has no weight
@@ -49,10 +49,11 @@
     core_clock_at_entry: float = 0.0
     core_time_s: float = 0.0  # seconds of core time used before the run last entered the cores
     started_at: float = 0.0  # when its run started
-    call_attempts: int = 0  # attempts so far of the call that its run waits for
-    retry_at: float = 0.0  # earliest time of the next attempt of its call
-    # When an indeterminate run is presumed lost; infinite for any other run.
-    presumed_lost_at: float = math.inf
+    call_tries: int = 0  # tries of its current or last call; 0 if none was started
+    retry_at: float = 0.0  # earliest time of the next try of its call
+    # When an indeterminate run is next checked for loss: at the first check its request fails, at the second
+    # the run no longer counts. Infinite for any other run.
+    loss_check_at: float = math.inf
     called_at: float = 0.0  # when its call in flight was started
     reserved_call_s: float = 0.0  # call-seconds reserved for its call in flight
     priority: float = 0.0  # priority in the queue; the highest starts first
@@ -87,7 +88,7 @@
     @property
     def is_indeterminate(self) -> bool:
         """True if the host lost sight of the run and has heard nothing of it since."""
-        return self.presumed_lost_at < math.inf
+        return self.loss_check_at < math.inf
 
     @property
     def can_skip_call(self) -> bool:
--- a/snowthread/admission/run_results.py
+++ b/snowthread/admission/run_results.py
@@ -16,7 +16,8 @@
 ) -> list[Action]:
     """Process the end of a run and remove its request.
 
-    A run that was stopped is queued again, or its request is rejected or failed if it may not run again.
+    A run that the host cancelled without a ``StopRun`` is queued again, or its request is rejected or failed
+    if it may not run again.
     """
     never_ran = event.outcome is Outcome.NOT_STARTED
     if never_ran or request.state is RequestState.AWAITING_ORIGINAL:
--- a/snowthread/admission/settings.py
+++ b/snowthread/admission/settings.py
@@ -26,7 +26,7 @@
     TIMED_OUT = "timed_out"  # no result arrived in time; it may have run
     UNREACHABLE = "unreachable"  # there was no connection, so it never started
     DISCONNECTED = "broken"  # the connection broke; it may have run
-    CANCELLED = "withdrawn"  # it was stopped on request
+    CANCELLED = "withdrawn"  # it was stopped, on request or by the runtime itself
     NOT_STARTED = "void"  # it is known that it never started
 
     @property
