--- a/snowthread/admission/admission_rule.py
+++ b/snowthread/admission/admission_rule.py
@@ -7,10 +7,11 @@
 from snowthread.admission.start_rule import refresh_priorities
 from snowthread.admission.state import ControllerState
 
-# A request may wait at most for this part of the time that its expected run leaves until the objective.
+# Longest wait, as a part of the time until the latency objective less the expected run time.
 MAX_WAIT_RATIO = 0.7
 MAX_QUEUED_PER_CORE = 4  # queued requests per core that are allowed as long as the service rate is unknown
-# A class may send a probe when none of its runs succeeded, and no probe started, for this long.
+# Seconds without a successful run or a probe of a class, after which a request of the class may be admitted
+# as a probe.
 PROBE_INTERVAL_S = 1.0
 
 
--- a/snowthread/admission/berger.py
+++ b/snowthread/admission/berger.py
@@ -1,8 +1,9 @@
-"""Berger's formulas for an overloaded server, in the symbols of the paper. Arithmetic only.
+"""Berger's formulas for an overloaded server, in the symbols of his paper. Arithmetic only.
 
-The formulas are A. W. Berger's. lambda is the arrival rate and mu the service rate, both in units of work per
-second; rho is the utilization, b the blocking probability, and beta the abandonment ratio: the rate at which
-waiting requests become useless, divided by mu.
+The paper is Arthur W. Berger, "Comparison of call gapping and percent blocking for overload control in
+distributed switching systems and telecommunications networks". In the formulas lambda is the arrival rate and
+mu the service rate, both in units of work per second; rho is the utilization, b the blocking probability, and
+beta the abandonment ratio: the rate at which waiting requests become useless, divided by mu.
 """
 
 from __future__ import annotations
--- a/snowthread/admission/blocking.py
+++ b/snowthread/admission/blocking.py
@@ -5,8 +5,9 @@
 from snowthread.admission.estimators import AVERAGED_REQUESTS
 from snowthread.admission.request import RequestRecord
 
-# Rejections of heavy requests that may be deferred, per core, in multiples of the work of the request at
-# hand. Once as many are deferred, the request itself is rejected.
+# Upper limit on the work of deferred rejections, per core, in multiples of the work of the request that is
+# being decided on. A rejection drawn for a request above the mean weight is deferred, and requests below the
+# mean weight are rejected in its place. At the limit the request itself is rejected.
 MAX_DEFERRED_REJECTIONS_PER_CORE = 4.0
 
 
@@ -18,7 +19,7 @@
         self.probability = 0.0  # blocking probability of every arriving request, constant between updates
         self._mean_weight = 0.0
         # Units of work of the requests above mean weight that were drawn for rejection but admitted, for
-        # which no lighter request has been rejected yet.
+        # which no request of lower weight has been rejected yet.
         self._deferred_work = 0.0
 
     def update(self, abandonment_ratio: float, headroom_ratio: float) -> None:
@@ -42,12 +43,12 @@
         change = request.weight - self._mean_weight
         self._mean_weight += change / AVERAGED_REQUESTS if self._mean_weight else change
         is_blocked = self._state.generator.random() < probability
-        is_light = request.weight < self._mean_weight
+        has_low_weight = request.weight < self._mean_weight
         if is_blocked and request.weight > self._mean_weight:
             max_deferred_work = MAX_DEFERRED_REJECTIONS_PER_CORE * self._state.settings.cores * request.work
             is_blocked = self._deferred_work >= max_deferred_work
             self._deferred_work += 0.0 if is_blocked else request.work
-        elif probability and is_light and self._deferred_work > 0.0 and not is_blocked:
+        elif probability and has_low_weight and self._deferred_work > 0.0 and not is_blocked:
             self._deferred_work -= request.work
             is_blocked = True
         return is_blocked
--- a/snowthread/admission/call_budget.py
+++ b/snowthread/admission/call_budget.py
@@ -3,7 +3,7 @@
 The budget is a token bucket. Its rate is the budget of the fleet divided by the number of nodes that share
 it. The rate is halved, at most once per duration of a call, if the latency of the database is far above its
 baseline. It grows back by a tenth of the fair rate per second, and by a tenth of itself with each quick call.
-Times are arguments, in milliseconds of the node's single clock.
+Times are arguments, in milliseconds of Unix time.
 """
 
 from __future__ import annotations
--- a/snowthread/admission/class_times.py
+++ b/snowthread/admission/class_times.py
@@ -20,7 +20,9 @@
         self.core_time_s: list[float] = []  # recent seconds on a core per unit of work
         self.run_time_s: list[float] = []  # recent seconds from start to end per unit of work, calls included
         self.base_core_time_s: list[float] = []  # baseline seconds of one run on a core
-        self.last_run_at_s: list[float] = []  # when a run last succeeded or a probe started (0: never)
+        # When a run last succeeded, a probe was admitted, or an outdated run time was replaced by the
+        # restored one (0: never).
+        self.last_run_at_s: list[float] = []
         self.call_time_s: list[float] = []  # recent duration of a call in seconds
         self.base_call_time_s: list[float] = []  # baseline duration of a call in seconds
         self.last_call_at_s: list[float] = []  # when a call last ended (0: never)
--- a/snowthread/admission/concurrency.py
+++ b/snowthread/admission/concurrency.py
@@ -12,14 +12,14 @@
 LIMIT_DECREASE_RUNS = 1.0  # decrease of the run limit per update while at least one run per core wants a core
 LIMIT_CUT_FACTOR = 0.7  # factor applied to the run limit after a slow run
 SLOW_RUN_TIME_FACTOR = 4.0  # a run is slow if it takes longer than this many times its core time
-CEILING_RATIO = 0.8  # ceiling of the run limit, as a part of the runs that the server survives
+CEILING_RATIO = 0.8  # ceiling of the run limit, as a part of the runs that the machine survives
 
 
 class ConcurrencyLimit:
     """Adapts the number of runs allowed on the cores, between the number of cores and the ceiling.
 
     The limit grows while cores idle and requests wait, falls while the cores have as many runs as they
-    can serve, and is cut by a factor after a slow run. The ceiling guards against collapse: a server
+    can serve, and is cut by a factor after a slow run. The ceiling guards against collapse: a machine
     collapses if the number of runs on its cores, averaged over a while, exceeds what it survives.
     """
 
@@ -30,21 +30,21 @@
         self._was_saturated = False
 
     def ceiling(self, age_s: float) -> float:
-        """Return the runs that a server of this age survives at its present speed, less a margin."""
+        """Return the runs that a machine of this age survives at its present speed, less a margin."""
         return max(float(self._state.settings.cores), CEILING_RATIO * self._max_survivable_runs(age_s))
 
     def allows_another_run(self, runs: float, age_s: float) -> bool:
-        """Return whether the server survives one more run than ``runs``, with a margin.
+        """Return whether the machine survives one more run than ``runs``, with a margin.
 
         The ceiling is not an integer: a run that starts just below it exceeds it by part of a run,
         and on few cores that is one run too many. So the count after the start is compared with what
-        the server survives as well.
+        the machine survives as well.
         """
         is_survived = runs < self._state.settings.cores or runs + 1.0 < self._max_survivable_runs(age_s)
         return is_survived and runs < self.ceiling(age_s)
 
     def _max_survivable_runs(self, age_s: float) -> float:
-        """Return the runs on the cores that a server of this age survives."""
+        """Return the runs on the cores that a machine of this age survives."""
         settings = self._state.settings
         per_core = 1.0 + (settings.collapse_multiple - 1.0) * settings.speed_at_age(age_s)
         return settings.cores * per_core
--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -46,7 +46,7 @@
 
     @property
     def blocking_probability(self) -> float:
-        """The share of arriving requests, 0 to 1, that is rejected while other requests wait."""
+        """The share, 0 to 1, that is rejected of the arriving requests that would have to wait."""
         return self.state.blocking.probability
 
     def run_load(self) -> RunLoad:
--- a/snowthread/admission/cores.py
+++ b/snowthread/admission/cores.py
@@ -15,7 +15,7 @@
     An indeterminate run stays among those ``running``, since it may still run. ``occupied`` leaves out
     the runs that were not on the cores at the last measurement. The run limit is compared with
     ``occupied``, because a run that is not there leaves its core to another. The ceiling is compared with
-    ``running``, because one run more than the server survives does more harm than an idle core.
+    ``running``, because one run more than the machine survives does more harm than an idle core.
     """
 
     def __init__(self, settings: Settings) -> None:
--- a/snowthread/admission/estimators.py
+++ b/snowthread/admission/estimators.py
@@ -1,4 +1,4 @@
-"""Estimates of the load and of this server's speed, learned from requests, runs and calls.
+"""Estimates of the load and of this machine's speed, learned from requests, runs and calls.
 
 Baseline times are those under normal conditions: slow averages on which overlong runs and calls have little
 effect. A unit of work is the baseline core time of a mean request; for requests with work hints it is one
@@ -15,7 +15,7 @@
 # Times closer than this count as equal; otherwise rounding could arm a timer again and again for the same
 # moment.
 TIME_TOLERANCE_S = 1e-6
-AVERAGED_REQUESTS = 16.0  # arrivals that an average of the load spans, whatever the size of the server
+AVERAGED_REQUESTS = 16.0  # arrivals that an average of the load spans, whatever the size of the machine
 MAX_AVERAGED_OBJECTIVES = 2.0  # longest span of an average of arrivals, in mean latency objectives
 MIN_REQUEST_RATE_PER_S = 1e-9  # lower bound of the request rate as a divisor
 UNREAD_BACKLOG_S = 1.0  # seconds within which the backlog of requests that waited unread is to be worked off
@@ -50,7 +50,7 @@
 
 
 class Estimates(ClassTimeTable):
-    """Learns arrival and service rates, the server's speed, and the run and call times of each class."""
+    """Learns arrival and service rates, the machine's speed, and the run and call times of each class."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(PowerLawFit(HINT_EXPONENT, HINT_WEIGHT_RUNS, HINT_MEMORY_RUNS, BASE_WINDOW_RUNS))
@@ -158,7 +158,7 @@
     def reset_speed(self) -> None:
         """Restart the measurement of the speed from its best value.
 
-        Whatever slowed this server down may be over.
+        Whatever slowed this machine down may be over.
         """
         self._full_core_sums = DecayingSums(2, SERVICE_RATE_WINDOW_S)
         self.work_speed = self.best_work_speed
--- a/snowthread/admission/events.py
+++ b/snowthread/admission/events.py
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownNotice:
-    """The process will be stopped in ``time_left_s``; the notice arrived ``received_ago_s`` ago."""
+    """The process will end in ``time_left_s``; the notice arrived ``received_ago_s`` ago."""
 
     time_left_s: float
     received_ago_s: float = 0.0
--- a/snowthread/admission/graceful_shutdown.py
+++ b/snowthread/admission/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown: what happens at the notice, and shortly before the process is stopped.
+"""The graceful shutdown: what happens at the notice, and shortly before the end of the process.
 
 Requests that arrive after the grace period are rejected by ``ShutdownTimes.forbids_start``.
 """
@@ -21,7 +21,7 @@
 
 
 def answer_all_before_stop(state: ControllerState, now: float) -> list[Action]:
-    """Answer every open request once the stop is near.
+    """Answer every open request once the end of the process is near.
 
     A request is rejected, or failed if it may have run and is not idempotent.
     """
--- a/snowthread/admission/idempotency.py
+++ b/snowthread/admission/idempotency.py
@@ -13,7 +13,7 @@
 
 
 def shares_result(state: ControllerState, request: RequestRecord) -> bool:
-    """Return whether a retry of this request never runs, but gets the result of its original attempt."""
+    """Return whether a retry never runs, but gets the result of its original attempt."""
     is_keyed = request.request_class.idempotency is Idempotency.KEYED
     return is_keyed or state.settings.shared_result_ttl_s > 0.0
 
--- a/snowthread/admission/learned_state.py
+++ b/snowthread/admission/learned_state.py
@@ -1,15 +1,16 @@
 """What a controller has learned: exported for a snapshot, restored at a start, and aged.
 
 Performs no I/O and reads no clock. Times are seconds; 0 is an unknown time, as everywhere in the controller.
-b is the blocking probability.
-
-| learned              | restored at a start                      | once too old                        |
-| -------------------- | ---------------------------------------- | ----------------------------------- |
-| run times            | baseline, scaled to the machine's speed  | as restored, or else unknown        |
-| call times           | baseline                                 | kept: calls are compared with them  |
-| arrival rate         | until this process has measured one      | -                                   |
-| service rate         | no: it is that of the warm machine       | as by current run times, if higher  |
-| best speed, b, limit | no: stale on a cold machine              | updated every quarter of a second   |
+
+| learned                | restored at a start                      | once too old                        |
+| ---------------------- | ---------------------------------------- | ----------------------------------- |
+| run times              | scaled to the machine's speed            | as restored, or else unknown        |
+| call times             | baseline                                 | kept: calls are compared with them  |
+| request rate           | until this process has measured one      | -                                   |
+| service rate           | no: it is that of the warm machine       | as by current run times, if higher  |
+| best speed             | no: stale on a cold machine              | updated every quarter of a second   |
+| blocking probability   | no: stale on a cold machine              | updated every quarter of a second   |
+| run limit              | no: stale on a cold machine              | updated every quarter of a second   |
 """
 
 from __future__ import annotations
@@ -27,10 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedClassTimes:
-    """The times of a class under normal conditions.
+    """The times of a class, in seconds (0: unknown).
 
-    They are the time of a run on a core, of a run from start to end with its calls, and of a call, in
-    seconds.
+    ``core_time_s`` and ``call_time_s`` are the baselines of a run on a core and of a call, which are times
+    under normal conditions. ``run_time_s`` is the recent average of a run from start to end with its calls,
+    and at least ``core_time_s``.
     """
 
     core_time_s: float = 0.0
@@ -97,9 +99,9 @@
 
 
 def core_times_within_factor(controller: Controller, restored: LearnedState, factor: float) -> bool | None:
-    """Return whether runs of every restored class take at most ``factor`` times their restored time.
+    """Return whether core times of all classes are at most ``factor`` times the restored ones.
 
-    The result is None if there is nothing to compare.
+    Only classes with a known core time and a restored one are compared. The result is None if there are none.
     """
     estimates = controller.estimates
     ratios = [
@@ -114,9 +116,9 @@
 class LearnedStateAging:
     """Ages the run times and the service rate of a controller.
 
-    A run time that no run has confirmed for longer than a request of its class may take says nothing
-    about the next run. It moves towards the restored time with each update, and from its maximum age on
-    it is the restored time, or unknown if there is none.
+    A run time that no run has confirmed for too long says nothing about the next run. After
+    ``fresh_age_objectives`` latency objectives of its class it moves towards the restored time with each
+    update. From ``max_age_objectives`` on it is the restored time, or unknown if there is none.
     """
 
     restored: LearnedState
--- a/snowthread/admission/outlier_ejection.py
+++ b/snowthread/admission/outlier_ejection.py
@@ -5,16 +5,16 @@
 from snowthread.admission.actions import Action, LogMessage, OperatorMessage, SetHealth
 from snowthread.admission.estimators import Estimates
 
-OUTLIER_SPEED_RATIO = 0.35  # part of the best speed learned, below which this server is an outlier
+OUTLIER_SPEED_RATIO = 0.35  # part of the best speed learned, below which this node is an outlier
 # Seconds that an ejection lasts, as Envoy's base_ejection_time; it ends with the next periodic update.
 EJECTION_S = 10.0
 
 
 class OutlierDetector:
-    """Ejects this server as an outlier, and measures its speed anew when the ejection ends.
+    """Ejects this node as an outlier, and measures its speed anew when the ejection ends.
 
     The speed includes the work of reading requests. Without it, a burst of requests that are rejected
-    would look like a slow server.
+    would look like a slow node.
     """
 
     def __init__(self, estimates: Estimates) -> None:
--- a/snowthread/admission/quotas.py
+++ b/snowthread/admission/quotas.py
@@ -8,7 +8,8 @@
 
 # Use of a tenant's quota, as a ratio, from which its next request gets the full reduction of weight.
 MAX_QUOTA_USE_RATIO = 1.5
-# Window over which a tenant's runs are counted, as the number of runs that it makes in it at its quota.
+# Time constant with which counted runs of a tenant decay, expressed as the number of runs that a tenant which
+# uses exactly its quota makes in that time.
 QUOTA_WINDOW_RUNS = AVERAGED_REQUESTS / 2.0
 
 
--- a/snowthread/admission/recovery_pacer.py
+++ b/snowthread/admission/recovery_pacer.py
@@ -1,6 +1,6 @@
 """Paces runs and calls until this node and the fleet are warm, so that a recovery overloads nothing.
 
-The methods take the time as ``now_ms``, in milliseconds of the node's single clock; random draws come from a
+The methods take the time as ``now_ms``, in milliseconds of Unix time; random draws come from a
 seeded generator::
 
     phase       event                                next
@@ -11,8 +11,9 @@
     recovered   the slow start records a loss        recovering
 
 A call that can't be skipped is queued. The calls of runs that have made the most calls go first, because the
-most work would be lost with these runs. A call that can be skipped is granted only while no other call is
-queued and the budget has more than one token.
+most work would be lost with these runs. While calls are paced, a call that can be skipped is granted
+only on a cold node, and only if no other call is queued, a slot is free and the budget holds the reserve of
+``SKIPPABLE_RESERVE_TOKENS`` besides its own token.
 """
 
 from __future__ import annotations
@@ -84,7 +85,7 @@
 
     @property
     def cold(self) -> bool:
-        """True until this node has recovered."""
+        """True while this node recovers: from its start, and again after a loss."""
         return not self.slow_start.is_complete
 
     @property
@@ -126,7 +127,8 @@
     ) -> CallPermission:
         """Decide on a call that a run wants to start.
 
-        A call that can't be skipped and may not start now is queued until it expires.
+        The result is GRANTED if the call may start now. Otherwise it is DENIED if the call can be skipped
+        or the queue is full, and else QUEUED until the call is released or expires.
         """
         if not self.is_pacing:
             self.calls_in_flight[attempt_id] = now_ms
@@ -176,11 +178,11 @@
         duration_ms = self.usual_call_ms or self.budget.base_latency_ms
         self.given_up_until_ms.append(max(now_ms, called_at_ms + duration_ms))
 
-    def call_ended(self, now_ms: float, attempt_id: str, reached: bool, answered: bool) -> None:
+    def call_ended(self, now_ms: float, attempt_id: str, reached: bool, shows_latency: bool) -> None:
         """Process the end of a call.
 
-        ``reached`` says whether there was a connection, ``answered`` whether the duration is the
-        latency of the database.
+        ``reached`` says whether there was a connection, ``shows_latency`` whether the duration of the
+        call is the latency of the database.
         """
         called_at_ms = self.calls_in_flight.pop(attempt_id, None)
         if called_at_ms is None:
@@ -189,7 +191,7 @@
             self.unreachable_until_ms = now_ms + self.backoff.next_delay_ms(self.random)
             return
         self.backoff.reset()
-        if answered:
+        if shows_latency:
             duration_ms = now_ms - called_at_ms
             change_ms = (
                 (duration_ms - self.usual_call_ms) / AVERAGED_CALLS if self.usual_call_ms else duration_ms
--- a/snowthread/admission/retry_rule.py
+++ b/snowthread/admission/retry_rule.py
@@ -10,7 +10,7 @@
 
 # Weight of a retry relative to a first attempt. A retry does not say how old it is and may be late already.
 RETRY_WEIGHT_RATIO = 0.25
-# Part of the expected run time that a retry elsewhere needs at least: in less time even a much faster server
+# Part of the expected run time that a retry elsewhere needs at least: in less time even a much faster node
 # can't serve it.
 MIN_RETRY_TIME_RATIO = 0.25
 
@@ -32,15 +32,15 @@
 
 
 def is_too_late_to_retry(state: ControllerState, now: float, request: RequestRecord) -> bool:
-    """Return whether no other server, however fast, could serve a retry within the latency objective."""
+    """Return whether no other node, however fast, could serve a retry within the latency objective."""
     run_s = state.estimates.expected_run_s(request)
     return now >= request.objective_at - MIN_RETRY_TIME_RATIO * run_s
 
 
 def elsewhere_rejection_probability(state: ControllerState, now: float) -> float:
-    """Return the probability that another server would reject a retry, estimated from this one.
+    """Return the probability that another node would reject a retry, estimated from this one.
 
-    It is the probability with which this server would block requests at its best speed, since others may
+    It is the probability with which this node would block requests at its best speed, since others may
     not be slowed down. During warm-up, and while nothing is blocked here, it is 0.
     """
     estimates = state.estimates
@@ -55,14 +55,15 @@
 
 
 def retry_after_s(state: ControllerState) -> float:
-    """Return a caller's usual interval between requests, in seconds, or 0 if it may retry at once.
+    """Return the Retry-After of a rejection in seconds: a caller's usual interval between its requests.
 
-    If no load report is published, the interval is extended so that callers send only as much as is not
-    blocked.
+    It is at most ``max_retry_after_s``. It is 0 if the site does not support Retry-After, while nothing is
+    blocked, or while the request rate is unknown. If no load report is published, the interval is extended so
+    that callers send only as much as is not blocked.
     """
     settings = state.settings
-    blocked_ratio = state.blocking.probability
-    if not settings.supports_retry_after or not blocked_ratio * state.estimates.request_rate:
+    probability = state.blocking.probability
+    if not settings.supports_retry_after or not probability * state.estimates.request_rate:
         return 0.0
-    admitted_ratio = 1.0 - blocked_ratio if settings.load_report_kind is LoadReportKind.NONE else 1.0
+    admitted_ratio = 1.0 - probability if settings.load_report_kind is LoadReportKind.NONE else 1.0
     return round(min(settings.max_retry_after_s, state.estimates.caller_interval_s() / admitted_ratio), 3)
--- a/snowthread/admission/settings.py
+++ b/snowthread/admission/settings.py
@@ -112,9 +112,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of a node. A default means that the site does not have the feature.
+    """The settings of a node.
 
-    No rule uses ``collapse_after_s``, which is part of the host's interface.
+    The default of a feature means that the site does not have it. ``collapse_multiple``,
+    ``collapse_after_s``, ``drain_grace_s``, ``caller_count`` and ``node_count`` have working values as
+    defaults. No rule uses ``collapse_after_s``, which is part of the host's interface.
     """
 
     classes: tuple[RequestClass, ...]
@@ -126,9 +128,9 @@
     starts_cold: bool = False  # the machine is slower at first and warms up
     cold_speed: float = 1.0  # lowest speed at a cold start, relative to the warm speed
     warmup_s: float = 0.0  # time from a cold start until the machine is warm
-    collapse_multiple: float = 3.0  # runs per core that a warm server survives
+    collapse_multiple: float = 3.0  # runs per core that a warm machine survives
     collapse_after_s: float = 2.0  # time over which the runs on the cores are averaged to detect a collapse
-    drain_grace_s: float = 1.0  # time after a shutdown notice in which new requests are still admitted
+    drain_grace_s: float = 1.0  # grace period after a shutdown notice: new requests are admitted
     preemption: Preemption = Preemption.NONE
     propagates_deadline: bool = False  # callers send the time that is left to them
     marks_retries: bool = False  # callers mark retries as such
@@ -143,7 +145,7 @@
     given_up_call_s: float = 0.0  # longest time for which the dependency works on a call that was given up
     supports_retry_after: bool = False  # callers observe Retry-After
     max_retry_after_s: float = 0.0  # upper limit of the Retry-After that is sent
-    # Time for which the answer to a read may serve other requests (0: never).
+    # Time for which the result of an idempotent request may also answer other requests (0: never).
     shared_result_ttl_s: float = 0.0
     idle_timeout_s: float = 0.0  # longest time for which an idle connection stays open
     weighs_by_work: bool = False  # weights are per unit of work, not per request
--- a/snowthread/admission/shutdown_times.py
+++ b/snowthread/admission/shutdown_times.py
@@ -1,4 +1,4 @@
-"""The times of a graceful shutdown: those of its notice and of the stop."""
+"""The times of a graceful shutdown: those of its notice and of the end of the process."""
 
 import math
 
@@ -6,7 +6,7 @@
 from snowthread.admission.events import ShutdownNotice
 from snowthread.admission.request import RequestRecord
 
-# Seconds before the stop at which all requests are answered, so that the answers arrive.
+# Seconds before the end of the process at which all requests are answered, so that the answers arrive.
 ANSWER_ALL_MARGIN_S = 0.3
 
 
@@ -30,13 +30,13 @@
         self._state.deadlines.add(max(now, self._stop_at - ANSWER_ALL_MARGIN_S))
 
     def must_answer_all(self, now: float) -> bool:
-        """Return whether the stop is so near that every open request is answered now."""
+        """Return whether the end of the process is so near that every open request is answered now."""
         return now >= self._stop_at - ANSWER_ALL_MARGIN_S
 
     def forbids_start(self, now: float, request: RequestRecord) -> bool:
         """Return whether a request must not start any more.
 
-        That is so if it arrived after the drain grace period, or if everything has to be answered
+        That is so if it arrived after the shutdown grace period, or if everything has to be answered
         now.
         """
         is_late = request.arrived_at > self._noticed_at + self._state.settings.drain_grace_s
--- a/snowthread/admission/slow_start.py
+++ b/snowthread/admission/slow_start.py
@@ -1,13 +1,13 @@
 """Slow start: limits the runs of a cold node to a window that grows with measured success, not with time.
 
-Times are arguments, in milliseconds of the node's single clock. As in TCP, the window doubles every round up
+Times are arguments, in milliseconds of Unix time. As in TCP, the window doubles every round up
 to a threshold and grows by one per round beyond it::
 
     state     event                                next
     --------  -----------------------------------  --------------------------------------------------
     growing   success, window below threshold      window += 1 (doubles per round), <= max_window
     growing   success, window from threshold on    window += 1 / window (one per round), <= max_window
-    growing   loss (rejected, late, timed out)     window = max(min_window, window * backoff_factor);
+    growing   loss (a run late or cancelled)       window = max(min_window, window * backoff_factor);
                                                    threshold = window
     growing   success, settle_ms at max_window     complete, unless the machine is known to be cold
     complete  loss                                 growing, as above
@@ -66,7 +66,7 @@
             self.is_complete = True
 
     def loss(self) -> None:
-        """Cut the window, because a run was rejected, late or timed out: too much was admitted."""
+        """Cut the window, because a run was late or cancelled: too much was admitted."""
         self.loss_count += 1
         self.is_complete = False
         self.window = max(self.min_window, self.window * self.backoff_factor)
--- a/snowthread/admission/start_rule.py
+++ b/snowthread/admission/start_rule.py
@@ -31,7 +31,10 @@
 
 
 def _next_request(state: ControllerState, now: float) -> RequestRecord | None:
-    """Return the request that starts next, or None if the ceiling or the memory allows no other run."""
+    """Return the request that starts next.
+
+    The result is None if the ceiling or the memory allows no other run, or no queued request may start.
+    """
     open_requests = state.open_requests
     # All runs that may be on the cores at the same time. Runs that wait for calls return to the cores
     # without another decision here.
--- a/snowthread/admission/statistics.py
+++ b/snowthread/admission/statistics.py
@@ -22,7 +22,11 @@
     counted_at: float = 0.0
 
     def add(self, now: float, events: float, rate: float, span: float) -> float:
-        """Add events and return the count; an event has decayed to 1/e after ``span / rate`` seconds."""
+        """Add events at ``now`` seconds and return the count.
+
+        ``rate`` is in events per second and ``span`` in events: an event has decayed to 1/e after
+        ``span / rate`` seconds.
+        """
         count = self.count * math.exp((self.counted_at - now) * rate / span) + events
         if events:
             self.count = count
--- a/snowthread/admission/timer_queue.py
+++ b/snowthread/admission/timer_queue.py
@@ -17,6 +17,10 @@
 class TimerQueue:
     """The times at which requests have to be checked.
 
+    An entry is a check of one request: whether its time is over, whether the next try of its call is due, or
+    whether its run is lost. ``watch_deadline`` subtracts a margin, so that an answer arrives in time; where a
+    check must not be early, the calling function adds the margin first.
+
     Entries are not removed when a request ends; they are skipped when they are due. Times within the
     tolerance count as equal: otherwise a timer that fires early by a rounding error would be armed again
     and again.
