--- a/snowthread/admission/actions.py
+++ b/snowthread/admission/actions.py
@@ -130,9 +130,12 @@
     """A message for the operators; the value is the line in the node's log."""
 
     GRACEFUL_SHUTDOWN_BEGUN = (
-        "shutting down gracefully: open requests are answered, requests after the grace period are rejected"
+        "shutting down gracefully: open requests are answered, "
+        "requests that arrive after the grace period are rejected"
+    )
+    EJECTED_AS_OUTLIER = (
+        "ejected as an outlier: far slower than at its best; leaving the registry for a fixed time"
     )
-    EJECTED_AS_OUTLIER = "ejected as an outlier: far slower than at its best; leaving the registry"
     OUTLIER_EJECTION_ENDED = "outlier ejection ended: returning to the registry"
 
 
--- a/snowthread/admission/run_load.py
+++ b/snowthread/admission/run_load.py
@@ -27,7 +27,7 @@
 
     def __str__(self) -> str:
         return (
-            f"{self.running} runs counted, {self.indeterminate} of them indeterminate, "
-            f"{self.excess_runs:.0f} more measured, {self.at_calls} at calls, "
-            f"limit {self.limit:.1f}, ceiling {self.ceiling:.1f}"
+            f"{self.running} runs counted on the cores, {self.indeterminate} of them indeterminate, "
+            f"{self.excess_runs:.0f} more measured there, {self.at_calls} waiting for calls, "
+            f"run limit {self.limit:.1f}, ceiling {self.ceiling:.1f}"
         )
