--- a/tests/admission/test_blocking.py
+++ b/tests/admission/test_blocking.py
@@ -33,13 +33,13 @@
     assert blocking_probability(1.0, 0.0, beta) == 0.0
 
 
-def test_rejections_pass_from_heavy_to_light_requests() -> None:
-    # The probability sets how many requests are rejected, and mostly light ones are; requests of equal weight
-    # are rejected at random.
-    heavy = dataclasses.replace(KEYED, priority_weight=10.0, idempotency=Idempotency.IDEMPOTENT)
-    for request_classes, max_heavy_ratio in (
-        ((READ, heavy), 0.06),
-        ((READ, dataclasses.replace(heavy, priority_weight=1.0)), 0.5),
+def test_rejections_pass_from_high_weight_to_low_weight_requests() -> None:
+    # The probability sets how many requests are rejected, and mostly those of low weight are. Requests of
+    # equal weight are rejected at random.
+    high_weight = dataclasses.replace(KEYED, priority_weight=10.0, idempotency=Idempotency.IDEMPOTENT)
+    for request_classes, max_high_weight_ratio in (
+        ((READ, high_weight), 0.06),
+        ((READ, dataclasses.replace(high_weight, priority_weight=1.0)), 0.5),
     ):
         controller = started_controller(classes=request_classes, memory_kb=1e6)
         controller.state.blocking.probability = 0.4
@@ -50,14 +50,16 @@
             rejected[class_name] += is_blocked(controller, request)
             count[class_name] += 1
         assert sum(rejected.values()) / 2000 == pytest.approx(0.4, abs=0.04)
-        assert rejected["keyed"] / count["keyed"] <= max_heavy_ratio
-        assert max_heavy_ratio < 0.1 or rejected["keyed"] / count["keyed"] == pytest.approx(0.4, abs=0.08)
+        assert rejected["keyed"] / count["keyed"] <= max_high_weight_ratio
+        assert max_high_weight_ratio < 0.1 or rejected["keyed"] / count["keyed"] == pytest.approx(
+            0.4, abs=0.08
+        )
 
 
 def test_work_of_deferred_rejections_is_bounded() -> None:
     controller = started_controller(memory_kb=1e6)
     controller.state.blocking.probability = 1.0
-    controller.state.blocking._mean_weight = 1.0  # no lighter requests arrive
+    controller.state.blocking._mean_weight = 1.0  # no request of lower weight arrives
     requests = [record(n, 10.0 + n) for n in range(50)]
     assert (
         sum(not is_blocked(controller, request) for request in requests)
@@ -68,10 +70,10 @@
 def test_nothing_is_rejected_for_deferred_work_while_the_blocking_probability_is_zero() -> None:
     controller = started_controller(memory_kb=1e6)
     controller.state.blocking._mean_weight, controller.state.blocking._deferred_work = 2.0, 3.0
-    light = record(1, 1.0)
-    assert not is_blocked(controller, light)
+    low_weight = record(1, 1.0)
+    assert not is_blocked(controller, low_weight)
     controller.state.blocking.probability = 1e-9
-    assert is_blocked(controller, light)
+    assert is_blocked(controller, low_weight)
 
 
 def test_blocking_and_limit_recover_after_an_overload() -> None:
--- a/tests/admission/test_deadlines.py
+++ b/tests/admission/test_deadlines.py
@@ -101,7 +101,7 @@
 def test_deadline_timers_do_not_multiply() -> None:
     controller, rng = started_controller(propagates_deadline=True, cores=4), random.Random(1)
     due: list[tuple[float, int]] = []
-    alarms, now, arrives, read = 0, 0.0, 0.02, 0
+    deadline_timers, now, next_arrival_at, arrived = 0, 0.0, 0.02, 0
 
     def post(event: Event) -> None:
         for action in controller.handle(now, event):
@@ -109,15 +109,15 @@
                 heapq.heappush(due, (now + action.delay_s, action.label))
 
     while now < 20.0:
-        if due and due[0][0] < arrives:
+        if due and due[0][0] < next_arrival_at:
             now, label = heapq.heappop(due)
-            alarms += label == DEADLINE_TIMER
+            deadline_timers += label == DEADLINE_TIMER
             post(TimerFired(label))
         else:
-            now, arrives, read = arrives, arrives + 0.02, read + 1
-            post(RequestArrived(read, "read", time_left_s=rng.uniform(0.2, 3.0)))
-            post(RunFinished(read - 10, Outcome.SUCCESS))
-    assert alarms < 300 < read
+            now, next_arrival_at, arrived = next_arrival_at, next_arrival_at + 0.02, arrived + 1
+            post(RequestArrived(arrived, "read", time_left_s=rng.uniform(0.2, 3.0)))
+            post(RunFinished(arrived - 10, Outcome.SUCCESS))
+    assert deadline_timers < 300 < arrived
 
 
 def test_a_retry_timer_that_fires_slightly_early_is_not_armed_again_and_again() -> None:
--- a/tests/admission/test_decisions_page.py
+++ b/tests/admission/test_decisions_page.py
@@ -119,13 +119,13 @@
 
 
 @pytest.mark.parametrize("member", RejectReason, ids=lambda member: member.name)
-def test_each_reject_reason_stands_on_the_page_with_its_text(member: RejectReason) -> None:
+def test_each_reject_reason_is_on_the_page_with_its_text(member: RejectReason) -> None:
     assert f"| `{member.name}`:" in PAGE
     assert f"`{member.value}`" in PAGE
 
 
 @pytest.mark.parametrize("message", OperatorMessage, ids=lambda message: message.name)
-def test_each_operator_message_stands_on_the_page(message: OperatorMessage) -> None:
+def test_each_operator_message_is_on_the_page(message: OperatorMessage) -> None:
     assert f"`{message.value.partition(':')[0]}: " in PAGE
 
 
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("path", POLICY)
-def test_each_module_of_the_policy_stands_on_the_page_with_its_constants(path: str) -> None:
+def test_each_module_of_the_policy_is_on_the_page_with_its_constants(path: str) -> None:
     module = importlib.import_module(path.removesuffix(".py").replace("/", "."))
     assert any(resolve_module(name) is module for name in NAME.findall(PAGE))
     shown = {
--- a/tests/admission/test_estimators.py
+++ b/tests/admission/test_estimators.py
@@ -25,6 +25,8 @@
     for period in range(1, 20):
         now = 1.01 + 0.25 * period
         if period % 4 == 0:
+            # Requests are numbered in the order of arrival. Once a second the two runs on the cores end and
+            # two more requests arrive, so the cores stay full.
             for n in (3, 4):
                 controller.handle(now - 0.001, RunFinished(period // 4 * 2 + n - 2, Outcome.SUCCESS, 1.0))
             for n in (1, 2):
--- a/tests/admission/test_learned_state.py
+++ b/tests/admission/test_learned_state.py
@@ -82,8 +82,8 @@
     aging = learned_state.LearnedStateAging(
         learned_state.LearnedState({"match": learned_state.LearnedClassTimes(0.3, 0.5, 0.1)})
     )
-    for tick in range(40):
-        aging.update(controller, end + tick * 0.25)
+    for update_number in range(40):
+        aging.update(controller, end + update_number * 0.25)
     work = controller.estimates.work_units(0, None)
     assert controller.estimates.core_time_s[0] * work == pytest.approx(0.3)
     assert controller.estimates.run_time_s[0] * work == pytest.approx(0.5)
--- a/tests/admission/test_load_report.py
+++ b/tests/admission/test_load_report.py
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize(
     ("load_report_kind", "retry_after_s"), [(LoadReportKind.NONE, 1.0), (LoadReportKind.LEVEL, 0.2)]
 )
-def test_retry_after_carries_the_blocking_probability_where_no_load_report_does(
+def test_retry_after_grows_with_blocking_only_where_no_load_report_is_published(
     load_report_kind: LoadReportKind, retry_after_s: float
 ) -> None:
     controller = started_controller(
--- a/tests/admission/test_policy_bounds.py
+++ b/tests/admission/test_policy_bounds.py
@@ -1,4 +1,4 @@
-"""The bounds of the decision module: the size of its files, and what it may import."""
+"""The bounds of the policy, the modules that make decisions: their size, and what they may import."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 STATE = [  # the state that the rules share; it makes no decisions but holds parts of the policy
     ROOT / "snowthread/admission" / name for name in ("controller_context.py", "state.py")
 ]
-OTHER = {  # modules of the package that are not part of the decision module
+OTHER = {  # modules of the package that the policy may not import
     "__init__.py",
     "backoff.py",
     "call_budget.py",
@@ -109,7 +109,7 @@
     return lines - docstring_lines
 
 
-def test_each_file_of_the_module_is_short() -> None:
+def test_each_file_of_the_policy_is_short() -> None:
     assert Path(controller.__file__) in POLICY
     for path in POLICY + STATE + TYPES:
         lines = path.read_text().splitlines()
@@ -131,16 +131,16 @@
     assert code_lines(source) == {4, 5, 8, 9, 12, 17, 18, 19}
 
 
-def test_module_and_its_types_import_nothing_else_of_the_program_and_do_no_io() -> None:
-    module_files = POLICY + STATE + TYPES
-    for paths, allowed_files in ((POLICY + STATE, module_files), (TYPES, TYPES)):
+def test_policy_and_its_types_import_nothing_else_of_the_program_and_do_no_io() -> None:
+    policy_files = POLICY + STATE + TYPES
+    for paths, allowed_files in ((POLICY + STATE, policy_files), (TYPES, TYPES)):
         allowed = set(map(module_name, allowed_files))
         for path in paths:
             for name in imported(path):
                 assert name in allowed or name.split(".")[0] in PURE_MODULES, (path, name)
 
 
-def test_module_and_its_types_open_nothing_and_print_nothing() -> None:
+def test_policy_and_its_types_open_nothing_and_print_nothing() -> None:
     for path in POLICY + STATE + TYPES:
         calls = [node.func for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.Call)]
         names = {call.id for call in calls if isinstance(call, ast.Name)}
--- a/tests/admission/test_properties.py
+++ b/tests/admission/test_properties.py
@@ -48,6 +48,11 @@
 
 
 def arrive(host: RuleCheckingHost, choice: int, request: int) -> None:
+    """Let a request arrive whose fields follow from ``choice``, a number from 0 to 127.
+
+    From the lowest bit on, two bits set the class, two the time unread, one the time left, and one whether
+    it is a retry if its class is keyed. Memory, tenant and work hint follow from remainders of the number.
+    """
     request_class = CLASSES[choice % 4]
     unread_s = (0.0, 0.0, 0.3, 1.5)[choice // 4 % 4]
     time_left_s = (request_class.deadline_s, 0.3)[choice // 16 % 2]
@@ -93,7 +98,7 @@
         host.cancel(sorted(host.unanswered)[choice % len(host.unanswered)])
 
 
-def play(host: RuleCheckingHost, operation: Operation, choice: int, request: int) -> None:
+def perform(host: RuleCheckingHost, operation: Operation, choice: int, request: int) -> None:
     if operation is Operation.ARRIVE:
         arrive(host, choice, request)
     elif operation is Operation.FINISH_RUN:
@@ -118,7 +123,7 @@
     Operation.FINISH_CALL,
     Operation.CANCEL,
 )
-SITES = st.builds(
+SITE_SETTINGS = st.builds(
     Settings,
     st.just(CLASSES),
     cores=st.sampled_from((1, 2, 6)),
@@ -151,7 +156,7 @@
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(
-    SITES,
+    SITE_SETTINGS,
     st.lists(
         st.tuples(
             st.sampled_from(DRAWN_OPERATIONS),
@@ -172,6 +177,6 @@
         if host.now >= host.stop_at:
             return
         drawn = Operation.NOTICE_SHUTDOWN if number == shutdown_step else operation
-        play(host, drawn, choice, number + 1)
+        perform(host, drawn, choice, number + 1)
     host.advance(min(6.0, max(0.0, host.stop_at - host.now)))
     assert not host.unanswered or host.now < host.stop_at
--- a/tests/admission/test_recovery_pacer.py
+++ b/tests/admission/test_recovery_pacer.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("nodes", [3, 7, 40])
-def test_fleets_of_any_size_keep_to_the_slots_on_average(nodes: int) -> None:
+def test_calls_in_flight_of_a_whole_fleet_never_exceed_its_slots_by_much(nodes: int) -> None:
     pacers = [recovery_pacer(sharing_nodes=nodes, slots=60.0) for _ in range(nodes)]
     in_flight = []
     for step in range(50):
@@ -61,21 +61,25 @@
 def test_runs_with_most_calls_go_first_and_calls_that_wait_too_long_expire() -> None:
     pacer = recovery_pacer(slots=1.0)
     pacer.request_call(0.0, "first", 0, False, 500.0)
-    for attempt_id, calls_made, expires_at_ms in (("new", 0, 400.0), ("far", 3, 450.0), ("late", 1, 20.0)):
+    for attempt_id, calls_made, expires_at_ms in (
+        ("no calls", 0, 400.0),
+        ("most calls", 3, 450.0),
+        ("expired", 1, 20.0),
+    ):
         assert pacer.request_call(1.0, attempt_id, calls_made, False, expires_at_ms) is CallPermission.QUEUED
     pacer.call_ended(30.0, "first", True, True)
-    assert pacer.release_calls(30.0) == (["far"], ["late"]) and pacer.denied_calls == 1
+    assert pacer.release_calls(30.0) == (["most calls"], ["expired"]) and pacer.denied_calls == 1
 
 
 def test_skippable_calls_are_never_queued_and_never_overtake_queued_calls() -> None:
     pacer = recovery_pacer(slots=1.0)
-    pacer.request_call(0.0, "a", 0, False, 500.0)
-    assert pacer.request_call(1.0, "s", 0, True, 500.0) is CallPermission.DENIED
-    pacer.request_call(1.0, "b", 0, False, 500.0)
-    pacer.call_ended(2.0, "a", True, True)
-    assert pacer.request_call(2.0, "t", 0, True, 500.0) is CallPermission.DENIED  # the call of b is queued
+    pacer.request_call(0.0, "in flight", 0, False, 500.0)
+    assert pacer.request_call(1.0, "skippable 1", 0, True, 500.0) is CallPermission.DENIED
+    pacer.request_call(1.0, "queued", 0, False, 500.0)
+    pacer.call_ended(2.0, "in flight", True, True)
+    assert pacer.request_call(2.0, "skippable 2", 0, True, 500.0) is CallPermission.DENIED
     for n in range(MAX_QUEUED_CALLS + 5):
-        pacer.request_call(2.0, f"w{n}", 0, False, 500.0)
+        pacer.request_call(2.0, f"queued {n}", 0, False, 500.0)
     assert len(pacer.queued_calls) == MAX_QUEUED_CALLS
 
 
--- a/tests/admission/test_run_count.py
+++ b/tests/admission/test_run_count.py
@@ -47,10 +47,10 @@
     assert not request_ids(arrive(controller, 0.3, 9), StartRun)
 
 
-def test_excess_runs_measured_count_for_a_while_after_a_broken_link() -> None:
+def test_measured_excess_runs_count_only_while_the_run_count_is_uncertain() -> None:
     controller = started_controller()
     measure(controller, 0.25, 7.0)
-    # No link was lost, so what is measured beyond the count may be the reading of requests.
+    # The count of runs is certain, so what is measured beyond it may be the reading of requests.
     assert request_ids(arrive(controller, 0.3, 1), StartRun) == [1]
     controller.handle(0.4, RunFinished(1, Outcome.SUCCESS))
     controller.handle(0.4, RunCountUncertain())
@@ -80,7 +80,7 @@
 
 
 def test_cold_machine_of_few_cores_gets_no_more_runs_than_it_survives() -> None:
-    """The ceiling is not an integer, and rounding it up allowed more runs than the machine survives."""
+    """The ceiling is not an integer: a run started just below it was one more than the machine survives."""
     controller = started_controller(
         cores=2, collapse_multiple=5.0, starts_cold=True, cold_speed=0.23, warmup_s=17.0
     )
--- a/tests/admission/test_simulator_adapter.py
+++ b/tests/admission/test_simulator_adapter.py
@@ -38,7 +38,7 @@
     assert {"run": {"i": "worker/1", "op_id": 5}} in reply
 
 
-def test_unknown_events_are_skipped_and_down_forgets() -> None:
+def test_unknown_events_and_events_after_down_are_ignored() -> None:
     _, reply, reply_after_down = process_batches(
         [BOOT],
         [{"novelty": {"i": "worker/1"}}],
--- a/tests/admission/test_start_rule.py
+++ b/tests/admission/test_start_rule.py
@@ -11,7 +11,7 @@
 from snowthread.admission.timer_queue import UPDATE_TIMER
 
 
-def test_runs_up_to_the_cores_and_queues_the_rest() -> None:
+def test_as_many_requests_as_cores_run_and_the_next_one_starts_when_a_run_ends() -> None:
     controller = started_controller()
     assert request_ids(arrive(controller, 0.1, 1), StartRun) == [1]
     assert request_ids(arrive(controller, 0.1, 2), StartRun) == [2]
--- a/tests/support/admission_scenarios.py
+++ b/tests/support/admission_scenarios.py
@@ -192,6 +192,12 @@
     return replace(settings, classes=CHANGED_CLASSES, cores=cores)
 
 
+# The names of the scenarios, which are also those of the recorded files, say what is special
+# about the settings:
+# - shared-dependency: the dependency is shared with other nodes; the load report is a level.
+# - narrow-share: this node's quota of the shared dependency is small for its cores; no load report.
+# - tier-credit: runs call the next tier; the load report is a credit.
+# - unsignalled-weight: no load report at first; the changed settings publish a weight.
 SCENARIOS = (
     Scenario("shared-dependency", 11, SHARED_DEPENDENCY, changed(SHARED_DEPENDENCY, 5), ShutdownNotice(4.0)),
     Scenario("narrow-share", 14, SMALL_QUOTA, changed(SMALL_QUOTA, 6), ShutdownNotice(2.0), first_call_s=0.1),
