--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -7,7 +7,7 @@
 from snowthread.admission.arrivals import request_arrived
 from snowthread.admission.deadline_rule import ANSWER_MARGIN_S, check_deadline
 from snowthread.admission.estimators import TIME_TOLERANCE_S
-from snowthread.admission.graceful_shutdown import answer_all_before_stop, shutdown_noticed
+from snowthread.admission.graceful_shutdown import answer_all_before_exit, shutdown_noticed
 from snowthread.admission.lost_runs import check_lost_run, run_count_uncertain, run_indeterminate
 from snowthread.admission.periodic_update import begin_period, update
 from snowthread.admission.reasons import RejectReason
@@ -123,7 +123,7 @@
         if not request.is_settled:
             actions += check_deadline(state, now, request)
         actions += check_lost_run(state, now, request)
-    actions += answer_all_before_stop(state, now)
+    actions += answer_all_before_exit(state, now)
     return actions
 
 
--- a/snowthread/admission/graceful_shutdown.py
+++ b/snowthread/admission/graceful_shutdown.py
@@ -20,7 +20,7 @@
     return [message, SetHealth(False), *state.load_report.shut_down()]
 
 
-def answer_all_before_stop(state: ControllerState, now: float) -> list[Action]:
+def answer_all_before_exit(state: ControllerState, now: float) -> list[Action]:
     """Answer every open request once the end of the process is near.
 
     A request is rejected, or failed if it may have run and is not idempotent.
--- a/snowthread/admission/learned_state.py
+++ b/snowthread/admission/learned_state.py
@@ -4,7 +4,8 @@
 
 | learned                | restored at a start                      | once too old                        |
 | ---------------------- | ---------------------------------------- | ----------------------------------- |
-| run times              | scaled to the machine's speed            | as restored, or else unknown        |
+| core times             | baseline, scaled to the machine's speed  | as restored, or else unknown        |
+| run times              | recent average, core time scaled as well | as restored, or else unknown        |
 | call times             | baseline                                 | kept: calls are compared with them  |
 | request rate           | until this process has measured one      | -                                   |
 | service rate           | no: it is that of the warm machine       | as by current run times, if higher  |
--- a/snowthread/admission/lost_runs.py
+++ b/snowthread/admission/lost_runs.py
@@ -27,7 +27,7 @@
     """Process that the host lost sight of a run.
 
     The run may never have started. It counts until something is heard of it, or until the second of its
-    checks for loss. If it waits for a call that can be skipped, the call is skipped instead.
+    checks for loss. If it may wait for a call that can be skipped, the call is skipped instead.
     """
     if request.state is not RequestState.RUNNING or request.is_indeterminate:
         return []
--- a/snowthread/admission/reasons.py
+++ b/snowthread/admission/reasons.py
@@ -11,7 +11,7 @@
     # The settings have no class of this name (``arrivals.request_arrived``).
     UNKNOWN_CLASS = "unknown class"
     # The request arrived after the shutdown grace period (``admission_rule.reject_reason``), or it was still
-    # open shortly before the end of the process (``graceful_shutdown.answer_all_before_stop``).
+    # open shortly before the end of the process (``graceful_shutdown.answer_all_before_exit``).
     SHUTDOWN = "shutting down"
     # The tenant is suspended or may not send the class (``admission_rule.reject_reason``, and ``controller``
     # when tenants change).
--- a/snowthread/admission/request.py
+++ b/snowthread/admission/request.py
@@ -21,7 +21,7 @@
     RUNNING = 1  # the run is on the cores
     CALL_PENDING = 2  # the run waits for a call that has not been started
     CALLING = 3  # the run waits for a call in flight
-    PAUSED = 4  # the host cancelled the run without a StopRun; it is queued to resume
+    PAUSED = 4  # the run was cancelled by the host, with its progress kept, and is queued to resume
     AWAITING_ORIGINAL = 5  # a retry that gets the result of its original attempt
 
 
--- a/snowthread/admission/settings.py
+++ b/snowthread/admission/settings.py
@@ -52,10 +52,10 @@
     WEIGHT = "weight"  # the weight of this node in the callers' load balancing
 
     def encode(self, shed_share: float, credit: float) -> float:
-        """Return the value that asks callers to send this share (0 to 1) of their requests elsewhere.
+        """Return the load report that asks callers to send part of their requests elsewhere.
 
-        ``credit`` is the number of open requests that a caller is granted while it sends nothing
-        elsewhere.
+        ``shed_share`` is that part of their requests, 0 to 1. ``credit`` is the number of open requests that
+        a caller is granted while it sends nothing elsewhere.
         """
         if self is LoadReportKind.LEVEL:
             return shed_share
@@ -130,7 +130,7 @@
     warmup_s: float = 0.0  # time from a cold start until the machine is warm
     collapse_multiple: float = 3.0  # runs per core that a warm machine survives
     collapse_after_s: float = 2.0  # time over which the runs on the cores are averaged to detect a collapse
-    drain_grace_s: float = 1.0  # grace period after a shutdown notice: new requests are admitted
+    drain_grace_s: float = 1.0  # shutdown grace period, in which new requests are still admitted
     preemption: Preemption = Preemption.NONE
     propagates_deadline: bool = False  # callers send the time that is left to them
     marks_retries: bool = False  # callers mark retries as such
--- a/snowthread/admission/shutdown_times.py
+++ b/snowthread/admission/shutdown_times.py
@@ -16,22 +16,22 @@
     def __init__(self, state: ControllerContext) -> None:
         self._state = state
         self._noticed_at = math.inf
-        self._stop_at = math.inf
+        self._exit_at = math.inf
 
     @property
     def has_begun(self) -> bool:
         """True from the shutdown notice on."""
-        return self._stop_at < math.inf
+        return self._exit_at < math.inf
 
     def begin(self, now: float, event: ShutdownNotice) -> None:
         """Record the notice and schedule the time at which every open request is answered."""
         self._noticed_at = min(self._noticed_at, now - event.received_ago_s)
-        self._stop_at = now + event.time_left_s
-        self._state.deadlines.add(max(now, self._stop_at - ANSWER_ALL_MARGIN_S))
+        self._exit_at = now + event.time_left_s
+        self._state.deadlines.add(max(now, self._exit_at - ANSWER_ALL_MARGIN_S))
 
     def must_answer_all(self, now: float) -> bool:
         """Return whether the end of the process is so near that every open request is answered now."""
-        return now >= self._stop_at - ANSWER_ALL_MARGIN_S
+        return now >= self._exit_at - ANSWER_ALL_MARGIN_S
 
     def forbids_start(self, now: float, request: RequestRecord) -> bool:
         """Return whether a request must not start any more.
--- a/snowthread/admission/statistics.py
+++ b/snowthread/admission/statistics.py
@@ -19,7 +19,7 @@
     """A count of events that decays exponentially with time."""
 
     count: float = 0.0
-    counted_at: float = 0.0
+    counted_at: float = 0.0  # when ``count`` was last updated, in seconds
 
     def add(self, now: float, events: float, rate: float, span: float) -> float:
         """Add events at ``now`` seconds and return the count.
--- a/tests/admission/test_properties.py
+++ b/tests/admission/test_properties.py
@@ -174,9 +174,9 @@
     host = RuleCheckingHost(site, seed=7)
     for number, (operation, choice, elapsed_s) in enumerate(steps):
         host.advance(elapsed_s)
-        if host.now >= host.stop_at:
+        if host.now >= host.exit_at:
             return
         drawn = Operation.NOTICE_SHUTDOWN if number == shutdown_step else operation
         perform(host, drawn, choice, number + 1)
-    host.advance(min(6.0, max(0.0, host.stop_at - host.now)))
-    assert not host.unanswered or host.now < host.stop_at
+    host.advance(min(6.0, max(0.0, host.exit_at - host.now)))
+    assert not host.unanswered or host.now < host.exit_at
--- a/tests/admission/test_reject_reasons.py
+++ b/tests/admission/test_reject_reasons.py
@@ -35,7 +35,7 @@
     return arrive(controller, 1.2, 1)
 
 
-def near_the_stop() -> list[Action]:
+def near_the_exit() -> list[Action]:
     controller = controller_with_full_cores()
     controller.handle(0.2, ShutdownNotice(1.0))
     return controller.handle(0.95, TimerFired(DEADLINE_TIMER))
@@ -91,7 +91,7 @@
     return controller.handle(3.08, TimerFired(DEADLINE_TIMER))
 
 
-def stopped_shortly_before_the_stop() -> list[Action]:
+def cancelled_shortly_before_the_exit() -> list[Action]:
     controller = started_controller(preemption=Preemption.DROP)
     arrive(controller, 0.1, 1)
     controller.handle(0.2, ShutdownNotice(1.0))
@@ -103,7 +103,7 @@
     [
         (unknown_class, RejectReason.UNKNOWN_CLASS),
         (shutting_down, RejectReason.SHUTDOWN),
-        (near_the_stop, RejectReason.SHUTDOWN),
+        (near_the_exit, RejectReason.SHUTDOWN),
         (suspended_tenant, RejectReason.TENANT),
         (tenant_suspended_while_queued, RejectReason.TENANT),
         (memory_limit_reached, RejectReason.MEMORY),
@@ -112,7 +112,7 @@
         (late_request_on_idle_cores, RejectReason.CANNOT_MEET_DEADLINE),
         (retry_without_memory, RejectReason.ORIGINAL_UNAVAILABLE),
         (deadline_reached_while_queued, RejectReason.DEADLINE_REACHED),
-        (stopped_shortly_before_the_stop, RejectReason.PREEMPTED),
+        (cancelled_shortly_before_the_exit, RejectReason.PREEMPTED),
     ],
 )
 def test_rejection_gives_the_reason_of_its_rule(
--- a/tests/admission/test_shutdown.py
+++ b/tests/admission/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Which requests are admitted and answered between the shutdown notice and the stop."""
+"""Which requests are admitted and answered between the shutdown notice and the end of the process."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 @pytest.mark.parametrize("busy", [0, 6])
-def test_a_request_read_just_before_the_stop_is_answered_at_once(busy: int) -> None:
-    # The request reached the machine within the grace period and waited unread until all others were
-    # answered. No timer of its own fires before the stop.
+def test_a_request_read_just_before_the_exit_is_answered_at_once(busy: int) -> None:
+    # The request reached the host within the grace period and waited unread until all others were
+    # answered. No timer of its own fires before the end of the process.
     controller = started_controller(propagates_deadline=True)
     for n in range(busy):
         arrive(controller, 0.5, 10 + n, time_left_s=9.0)
@@ -43,7 +43,7 @@
     assert request_ids(arrive(controller, 2.2, 3, unread_s=0.5), StartRun) == [3]
 
 
-def test_all_requests_are_answered_before_the_stop() -> None:
+def test_all_requests_are_answered_before_the_exit() -> None:
     controller = started_controller(cores=1)
     arrive(controller, 0.1, 1)
     arrive(controller, 0.1, 2)
--- a/tests/support/admission_rules.py
+++ b/tests/support/admission_rules.py
@@ -1,8 +1,8 @@
 """A host that sends legal events to a controller and checks the rules of admission after each of them.
 
 The rules: each request gets exactly one answer, in time; no request with effects runs twice or is rejected
-after it ran; no request that arrived after the drain grace period starts, and all requests are answered
-before the stop; memory, cores and the shared dependency are never overloaded.
+after it ran; no request that arrived after the shutdown grace period starts, and all requests are answered
+before the end of the process; memory, cores and the shared dependency are never overloaded.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from snowthread.admission.settings import Dependency, Idempotency, Outcome, Preemption, RequestClass, Settings
 
 ANSWER_SLACK_S = 0.06  # seconds after its deadline within which an answer still counts as in time
-DRAIN_SLACK_S = 1e-6  # tolerance in seconds for the end of the drain grace period
+SHUTDOWN_GRACE_SLACK_S = 1e-6  # tolerance in seconds for the end of the shutdown grace period
 MIN_TIMER_DELAY_S = 1e-4  # shortest delay of a timer in seconds, so that time advances
 CALL_DURATION_S = 0.1  # seconds that events give as the duration of a call or run
-NOTICE_S = 3.5  # seconds between the shutdown notice and the stop
+NOTICE_S = 3.5  # seconds between the shutdown notice and the end of the process
 
 QUEUED_STATES = (RequestState.QUEUED, RequestState.PAUSED, RequestState.AWAITING_ORIGINAL)
 CALL_STATES = (RequestState.CALL_PENDING, RequestState.CALLING)
@@ -59,7 +59,7 @@
         self.finished_calls: list[tuple[float, float]] = []
         self.called_at: dict[int, float] = {}  # start of each call in flight
         self.notice_at = inf
-        self.stop_at = inf
+        self.exit_at = inf
         # Time and label of each timer; for the timeout of a call: its negative request id.
         self._timers: list[tuple[float, int]] = []
         self.send(events.Started())
@@ -83,7 +83,7 @@
     def notice_shutdown(self) -> None:
         """Send a shutdown notice."""
         self.notice_at = self.now
-        self.stop_at = self.now + NOTICE_S
+        self.exit_at = self.now + NOTICE_S
         self.send(events.ShutdownNotice(NOTICE_S))
 
     def cancel(self, request_id: int) -> None:
@@ -200,12 +200,12 @@
         is_resumed = self.state[request_id] is RequestState.PAUSED
         assert is_resumed or request_id not in self.started or hosted.is_idempotent, "unsafe second run"
         assert hosted.event.original_id is None, "a retry runs beside its original"
-        assert hosted.arrived_at <= self._latest_arrival(), "a request from after the drain grace starts"
+        assert hosted.arrived_at <= self._latest_arrival(), "a request from after the grace period starts"
         self.started.add(request_id)
         self.state[request_id] = RequestState.RUNNING
 
     def _latest_arrival(self) -> float:
-        return self.notice_at + self.settings.drain_grace_s + DRAIN_SLACK_S
+        return self.notice_at + self.settings.drain_grace_s + SHUTDOWN_GRACE_SLACK_S
 
     def check(self) -> None:
         """Check the rules that hold at any time."""
@@ -226,8 +226,8 @@
                 assert request_id not in self.started or hosted.is_idempotent, (
                     "queued for an unsafe second run"
                 )
-                assert hosted.arrived_at <= self._latest_arrival(), "queued after the drain grace"
-        assert not (self.unanswered and self.now >= self.stop_at), "unanswered at the stop"
+                assert hosted.arrived_at <= self._latest_arrival(), "queued after the grace period"
+        assert not (self.unanswered and self.now >= self.exit_at), "unanswered at the end of the process"
 
     def _memory_kb(self) -> float:
         self.key_expires_at = {key: at for key, at in self.key_expires_at.items() if at > self.now}
