--- a/snowthread/admission/class_times.py
+++ b/snowthread/admission/class_times.py
@@ -20,7 +20,9 @@
         self.core_time_s: list[float] = []  # recent seconds on a core per unit of work
         self.run_time_s: list[float] = []  # recent seconds from start to end per unit of work, calls included
         self.base_core_time_s: list[float] = []  # baseline seconds of one run on a core
-        self.last_run_at_s: list[float] = []  # when a run last succeeded or a probe started (0: never)
+        # When a run last succeeded, a probe was admitted, or an outdated run time was replaced by the
+        # restored one (0: never).
+        self.last_run_at_s: list[float] = []
         self.call_time_s: list[float] = []  # recent duration of a call in seconds
         self.base_call_time_s: list[float] = []  # baseline duration of a call in seconds
         self.last_call_at_s: list[float] = []  # when a call last ended (0: never)
@@ -42,7 +44,7 @@
                 times[index : index + 1] = [0.0]
             self.hint_fit.reset_class(index)
 
-    def saturated_rate(self, times_s: list[float]) -> float:
+    def full_core_rate(self, times_s: list[float]) -> float:
         """Return how many items per second full cores complete (0: unknown).
 
         ``times_s`` holds the core seconds of one item by class, where an item is a run or a unit of
--- a/snowthread/admission/controller.py
+++ b/snowthread/admission/controller.py
@@ -7,7 +7,7 @@
 from snowthread.admission.arrivals import request_arrived
 from snowthread.admission.deadline_rule import ANSWER_MARGIN_S, check_deadline
 from snowthread.admission.estimators import TIME_TOLERANCE_S
-from snowthread.admission.graceful_shutdown import answer_all_before_stop, shutdown_noticed
+from snowthread.admission.graceful_shutdown import answer_all_before_exit, shutdown_noticed
 from snowthread.admission.lost_runs import check_lost_run, run_count_uncertain, run_indeterminate
 from snowthread.admission.periodic_update import begin_period, update
 from snowthread.admission.reasons import RejectReason
@@ -16,7 +16,7 @@
 from snowthread.admission.settings import Settings, check_settings
 from snowthread.admission.settlement import reject_or_fail, request_cancelled
 from snowthread.admission.start_rule import start_queued
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 from snowthread.admission.timer_queue import DEADLINE_TIMER, UPDATE_TIMER, TimerQueue
 
 
@@ -34,7 +34,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         check_settings(settings)
         deadlines = TimerQueue(DEADLINE_TIMER, ANSWER_MARGIN_S, TIME_TOLERANCE_S)
-        self.state = State(settings, seed, deadlines)
+        self.state = ControllerState(settings, seed, deadlines)
         self.estimates = self.state.estimates
         self.concurrency = self.state.concurrency
         self._now = 0.0
@@ -46,7 +46,7 @@
 
     @property
     def blocking_probability(self) -> float:
-        """The share of arriving requests, 0 to 1, that is rejected while other requests wait."""
+        """The share, 0 to 1, that is rejected of the arriving requests that would have to wait."""
         return self.state.blocking.probability
 
     def run_load(self) -> RunLoad:
@@ -62,13 +62,13 @@
         state.open_requests.cores.advance(elapsed_s)
         state.calls.advance(elapsed_s)
         actions = _dispatch(state, now, event)
-        actions += state.calls.dispatch(now)
+        actions += state.calls.check_pending(now)
         actions += start_queued(state, now)
         actions += state.deadlines.arm(now, state.open_requests.by_id)
         return actions
 
 
-def _dispatch(state: State, now: float, event: events.Event) -> list[Action]:
+def _dispatch(state: ControllerState, now: float, event: events.Event) -> list[Action]:
     handler = _HANDLERS.get(type(event))
     if handler is None:
         return []
@@ -78,7 +78,7 @@
     return handler(state, now, request, event) if request is not None else []
 
 
-def _started(state: State, now: float, _: events.Started) -> list[Action]:
+def _started(state: ControllerState, now: float, _: events.Started) -> list[Action]:
     state.started_at = now
     actions: list[Action] = [begin_period(state, now)]
     if state.settings.deep_health_checks:
@@ -86,7 +86,7 @@
     return actions
 
 
-def _settings_changed(state: State, _: float, event: events.SettingsChanged) -> list[Action]:
+def _settings_changed(state: ControllerState, _: float, event: events.SettingsChanged) -> list[Action]:
     """Apply new settings.
 
     Open requests keep their class. A class that keeps its name and its position in the list also keeps
@@ -102,20 +102,20 @@
     return []
 
 
-def _tenants_changed(state: State, now: float, event: events.TenantsChanged) -> list[Action]:
+def _tenants_changed(state: ControllerState, now: float, event: events.TenantsChanged) -> list[Action]:
     actions: list[Action] = []
     for request in state.quotas.apply_tenant_changes(event):
         actions += reject_or_fail(state, now, request, RejectReason.TENANT)
     return actions
 
 
-def _timer_fired(state: State, now: float, event: events.TimerFired) -> list[Action]:
+def _timer_fired(state: ControllerState, now: float, event: events.TimerFired) -> list[Action]:
     actions: list[Action] = []
     if event.label == UPDATE_TIMER:
         actions = update(state, now, event)
     elif not state.deadlines.fire(now):
         return []  # an earlier timer has replaced this one, so its event is ignored
-    state.calls.next_dispatch_at = now
+    state.calls.next_check_at = now
     for request_id in state.deadlines.pop_due(now):
         request = state.open_requests.by_id.get(request_id)
         if request is None:
@@ -123,7 +123,7 @@
         if not request.is_settled:
             actions += check_deadline(state, now, request)
         actions += check_lost_run(state, now, request)
-    actions += answer_all_before_stop(state, now)
+    actions += answer_all_before_exit(state, now)
     return actions
 
 
--- a/snowthread/admission/estimators.py
+++ b/snowthread/admission/estimators.py
@@ -1,4 +1,4 @@
-"""Estimates of the load and of this server's speed, learned from requests, runs and calls.
+"""Estimates of the load and of this machine's speed, learned from requests, runs and calls.
 
 Baseline times are those under normal conditions: slow averages on which overlong runs and calls have little
 effect. A unit of work is the baseline core time of a mean request; for requests with work hints it is one
@@ -15,7 +15,7 @@
 # Times closer than this count as equal; otherwise rounding could arm a timer again and again for the same
 # moment.
 TIME_TOLERANCE_S = 1e-6
-AVERAGED_REQUESTS = 16.0  # arrivals that an average of the load spans, whatever the size of the server
+AVERAGED_REQUESTS = 16.0  # arrivals that an average of the load spans, whatever the size of the machine
 MAX_AVERAGED_OBJECTIVES = 2.0  # longest span of an average of arrivals, in mean latency objectives
 MIN_REQUEST_RATE_PER_S = 1e-9  # lower bound of the request rate as a divisor
 UNREAD_BACKLOG_S = 1.0  # seconds within which the backlog of requests that waited unread is to be worked off
@@ -32,8 +32,9 @@
 HINT_EXPONENT = 0.5
 HINT_WEIGHT_RUNS = 4.0  # weight of the initial exponent, in runs
 HINT_MEMORY_RUNS = 200.0  # runs after which what a run taught about hints has decayed to 1/e
-RUN_WINDOW_RUNS = 15.0  # runs that rising run and core times are averaged over
-RUN_FALL_WINDOW_RUNS = 3.0  # runs that falling run and core times are averaged over
+RUN_WINDOW_RUNS = 15.0  # runs that run and core times are averaged over
+# Runs that run and core times are averaged over while runs take at most half of the average.
+RUN_FALL_WINDOW_RUNS = 3.0
 BASE_WINDOW_RUNS = 30.0  # runs or calls that the baseline times are averaged over
 # Runs that the baseline core time is averaged over while runs are far shorter than it.
 BASE_FALL_WINDOW_RUNS = 3.0
@@ -49,7 +50,7 @@
 
 
 class Estimates(ClassTimeTable):
-    """Learns arrival and service rates, the server's speed, and the run and call times of each class."""
+    """Learns arrival and service rates, the machine's speed, and the run and call times of each class."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(PowerLawFit(HINT_EXPONENT, HINT_WEIGHT_RUNS, HINT_MEMORY_RUNS, BASE_WINDOW_RUNS))
@@ -69,7 +70,7 @@
         self.work_speed = 0.0  # the service rate plus the work of reading requests, in units per second
         self.best_work_speed = 0.0  # highest work speed so far, slowly decaying, in units per second
         # Units of work done and requests read while the cores were full.
-        self._saturated_sums = DecayingSums(2, SERVICE_RATE_WINDOW_S)
+        self._full_core_sums = DecayingSums(2, SERVICE_RATE_WINDOW_S)
         # Estimate of the downstream calls.
         self.slow_call_share = 0.0  # share of calls that were slow, 0 to 1
         self.apply_settings(settings, range(len(settings.classes)))
@@ -79,7 +80,7 @@
         if work_hint_s:
             return self.hint_fit.scale(class_index, work_hint_s)
         return (
-            self.base_core_time_s[class_index] * self.saturated_rate(self.base_core_time_s) / self.cores
+            self.base_core_time_s[class_index] * self.full_core_rate(self.base_core_time_s) / self.cores
             or 1.0
         )
 
@@ -87,7 +88,7 @@
         """Return Berger's beta: the abandonment rate of waiting requests divided by the service rate."""
         if self.service_rate <= 0.0:
             return INITIAL_ABANDONMENT_RATIO
-        run_rate = self.saturated_rate(self.base_core_time_s) or 1.0
+        run_rate = self.full_core_rate(self.base_core_time_s) or 1.0
         ratio = -math.log(OBJECTIVE_SUCCESS_RATIO) / (run_rate * self.mean_objective_s)
         return min(INITIAL_ABANDONMENT_RATIO, ratio)
 
@@ -157,9 +158,9 @@
     def reset_speed(self) -> None:
         """Restart the measurement of the speed from its best value.
 
-        Whatever slowed this server down may be over.
+        Whatever slowed this machine down may be over.
         """
-        self._saturated_sums = DecayingSums(2, SERVICE_RATE_WINDOW_S)
+        self._full_core_sums = DecayingSums(2, SERVICE_RATE_WINDOW_S)
         self.work_speed = self.best_work_speed
 
     def update(self, elapsed_s: float, is_full: bool) -> None:
@@ -170,15 +171,15 @@
         self.arrival_rate = average_rate(self.arrival_rate, self.work_arrived, elapsed_s, self._observed_s)
         self.request_rate = average_rate(self.request_rate, self.requests_read, elapsed_s, self._observed_s)
         if is_full:
-            self._saturated_sums.add(elapsed_s, self.work_done, self.requests_read)
+            self._full_core_sums.add(elapsed_s, self.work_done, self.requests_read)
             self._update_speed(elapsed_s)
         self.requests_read = 0
         self.work_arrived = 0.0
         self.work_done = 0.0
 
     def _update_speed(self, elapsed_s: float) -> None:
-        work_done, requests_read = self._saturated_sums.sums
-        full_s = self._saturated_sums.observed_s
+        work_done, requests_read = self._full_core_sums.sums
+        full_s = self._full_core_sums.observed_s
         if full_s >= MIN_SERVICE_RATE_TIME_S:
             self.service_rate = work_done / full_s
             self.work_speed = self.service_rate + READ_WORK_RATIO * requests_read / full_s
--- a/snowthread/admission/retry_rule.py
+++ b/snowthread/admission/retry_rule.py
@@ -6,11 +6,11 @@
 from snowthread.admission.reasons import RejectReason
 from snowthread.admission.request import RequestRecord
 from snowthread.admission.settings import LoadReportKind
-from snowthread.admission.state import State
+from snowthread.admission.state import ControllerState
 
 # Weight of a retry relative to a first attempt. A retry does not say how old it is and may be late already.
 RETRY_WEIGHT_RATIO = 0.25
-# Part of the expected run time that a retry elsewhere needs at least: in less time even a much faster server
+# Part of the expected run time that a retry elsewhere needs at least: in less time even a much faster node
 # can't serve it.
 MIN_RETRY_TIME_RATIO = 0.25
 
@@ -23,7 +23,7 @@
     return RETRY_WEIGHT_RATIO if is_retry else 1.0
 
 
-def rejection(state: State, now: float, request: RequestRecord, reason: RejectReason) -> Reject:
+def rejection(state: ControllerState, now: float, request: RequestRecord, reason: RejectReason) -> Reject:
     """Return the rejection of a request, with the advice on retries that it carries."""
     do_not_retry = is_too_late_to_retry(state, now, request) or (
         state.generator.random() < elsewhere_rejection_probability(state, now)
@@ -31,16 +31,16 @@
     return Reject(request.id, retry_after_s(state), do_not_retry, reason)
 
 
-def is_too_late_to_retry(state: State, now: float, request: RequestRecord) -> bool:
-    """Return whether no other server, however fast, could serve a retry within the latency objective."""
+def is_too_late_to_retry(state: ControllerState, now: float, request: RequestRecord) -> bool:
+    """Return whether no other node, however fast, could serve a retry within the latency objective."""
     run_s = state.estimates.expected_run_s(request)
     return now >= request.objective_at - MIN_RETRY_TIME_RATIO * run_s
 
 
-def elsewhere_rejection_probability(state: State, now: float) -> float:
-    """Return the probability that another server would reject a retry, estimated from this one.
+def elsewhere_rejection_probability(state: ControllerState, now: float) -> float:
+    """Return the probability that another node would reject a retry, estimated from this one.
 
-    It is the probability with which this server would block requests at its best speed, since others may
+    It is the probability with which this node would block requests at its best speed, since others may
     not be slowed down. During warm-up, and while nothing is blocked here, it is 0.
     """
     estimates = state.estimates
@@ -54,15 +54,16 @@
     return 1.0 - (1.0 - blocked_elsewhere) * (1.0 - state.load_report.effective_share)
 
 
-def retry_after_s(state: State) -> float:
-    """Return a caller's usual interval between requests, in seconds, or 0 if it may retry at once.
+def retry_after_s(state: ControllerState) -> float:
+    """Return the Retry-After of a rejection in seconds: a caller's usual interval between its requests.
 
-    If no load report is published, the interval is extended so that callers send only as much as is not
-    blocked.
+    It is at most ``max_retry_after_s``. It is 0 if the site does not support Retry-After, while nothing is
+    blocked, or while the request rate is unknown. If no load report is published, the interval is extended so
+    that callers send only as much as is not blocked.
     """
     settings = state.settings
-    blocked_ratio = state.blocking.probability
-    if not settings.supports_retry_after or not blocked_ratio * state.estimates.request_rate:
+    probability = state.blocking.probability
+    if not settings.supports_retry_after or not probability * state.estimates.request_rate:
         return 0.0
-    admitted_ratio = 1.0 - blocked_ratio if settings.load_report_kind is LoadReportKind.NONE else 1.0
+    admitted_ratio = 1.0 - probability if settings.load_report_kind is LoadReportKind.NONE else 1.0
     return round(min(settings.max_retry_after_s, state.estimates.caller_interval_s() / admitted_ratio), 3)
--- a/snowthread/admission/state.py
+++ b/snowthread/admission/state.py
@@ -6,19 +6,19 @@
 from snowthread.admission.concurrency import ConcurrencyLimit
 from snowthread.admission.controller_context import ControllerContext
 from snowthread.admission.downstream_calls import DownstreamCalls
-from snowthread.admission.health import OutlierDetector
-from snowthread.admission.idle_connections import IdleTimeout
+from snowthread.admission.idle_timeout import IdleTimeout
 from snowthread.admission.load_report import LoadReport
+from snowthread.admission.outlier_ejection import OutlierDetector
 from snowthread.admission.quotas import TenantQuotas
 from snowthread.admission.settings import Settings
 from snowthread.admission.shutdown_times import ShutdownTimes
 from snowthread.admission.timer_queue import TimerQueue
 
 
-class State(ControllerContext):
+class ControllerState(ControllerContext):
     """The state that the rules, which are functions, read and change.
 
-    It is not the ``State`` of ``snowthread.core``. Points in time are seconds of the controller's clock.
+    Points in time are seconds of the controller's clock.
     """
 
     def __init__(self, settings: Settings, seed: int, deadlines: TimerQueue) -> None:
--- a/tests/admission/test_learned_state.py
+++ b/tests/admission/test_learned_state.py
@@ -52,7 +52,7 @@
         and estimates.best_work_speed == 0.0
         and cold_controller.blocking_probability == 0.0
     )
-    assert learned_state.runs_within_factor(cold_controller, learned, 1.25) is False
+    assert learned_state.core_times_within_factor(cold_controller, learned, 1.25) is False
 
 
 def test_restoring_never_replaces_what_this_process_has_measured() -> None:
@@ -82,8 +82,8 @@
     aging = learned_state.LearnedStateAging(
         learned_state.LearnedState({"match": learned_state.LearnedClassTimes(0.3, 0.5, 0.1)})
     )
-    for tick in range(40):
-        aging.update(controller, end + tick * 0.25)
+    for update_number in range(40):
+        aging.update(controller, end + update_number * 0.25)
     work = controller.estimates.work_units(0, None)
     assert controller.estimates.core_time_s[0] * work == pytest.approx(0.3)
     assert controller.estimates.run_time_s[0] * work == pytest.approx(0.5)
@@ -98,7 +98,7 @@
     assert controller.estimates.service_rate == 0.5
     aging.update(controller, end + 1.1)
     assert controller.estimates.service_rate == pytest.approx(
-        controller.estimates.saturated_rate(controller.estimates.core_time_s)
+        controller.estimates.full_core_rate(controller.estimates.core_time_s)
     )
 
 
