--- a/snowthread/clients/database_codec.py
+++ b/snowthread/clients/database_codec.py
@@ -44,7 +44,7 @@
         return Outcome.SUCCESS
     if result.overloaded and result.status == STATUS_SERVICE_UNAVAILABLE:
         return Outcome.OVERLOADED
-    # With this status too, the overload mark means that the database did not run the call.
+    # A conflict with the overload mark means that the database did not run the call.
     if result.overloaded and result.status == STATUS_CONFLICT:
         return Outcome.NOT_STARTED
     return Outcome.TIMED_OUT if result.status == STATUS_GATEWAY_TIMEOUT else Outcome.FAILURE
--- a/snowthread/core/events.py
+++ b/snowthread/core/events.py
@@ -29,7 +29,8 @@
     attempt_id: str
     class_name: str
     body: bytes
-    arrived_at_ms: float  # when it reached the node's host, as it states; possibly well before it is read
+    # When the request reached the node's host, as its message states; this may be well before it is read.
+    arrived_at_ms: float
     timeout_ms: float | None  # counted from ``arrived_at_ms``; None if the deadline of the class applies
     caller_id: int  # identifies the balancer that sent the request
     memory_kb: float  # memory that the request occupies while it is queued
--- a/snowthread/core/run.py
+++ b/snowthread/core/run.py
@@ -65,9 +65,8 @@
     last_command_may_be_lost: bool = False  # whether the last command is unconfirmed and its link was lost
     stop_command: SentCommand | None = None  # the last stop command that was sent
     stop_requested: bool = False  # whether a stop command was sent or is queued until a link is ready
-    # Numbers of the notices that requested the downstream call in progress, and the last call with a reply.
-    pending_call_notice_number: int | None = None
-    replied_call_notice_number: int = 0
+    pending_call_notice_number: int | None = None  # of the notice that requested the current downstream call
+    replied_call_notice_number: int = 0  # of the notice that requested the last downstream call with a reply
     call_body: bytes = b""  # the request body of the current downstream call
     call_in_flight: bool = False  # whether the current downstream call was sent to the database
 
