--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -28,7 +28,7 @@
 from emulators.load_generator import LoadGenerator
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 from snowthread.lab.process_usage import child_pids, cpu_seconds
-from snowthread.records.files import SUFFIX
+from snowthread.records.files import RECORD_FILE_SUFFIX
 from snowthread.records.frame import encode
 from snowthread.records.model import Fields, Record, RecordKind
 from snowthread.records.reader import Findings, merge
@@ -121,7 +121,9 @@
         if with_records:
             cost.with_us.append(cpu_us)
             cost.writer_s += sum(cpu_seconds(pid) for pid in writers)
-            cost.file_bytes += sum(path.stat().st_size for path in (folder / "records").glob(f"*{SUFFIX}"))
+            cost.file_bytes += sum(
+                path.stat().st_size for path in (folder / "records").glob(f"*{RECORD_FILE_SUFFIX}")
+            )
             cost.recorded_requests += len(load.sent_requests)
         else:
             cost.without_us.append(cpu_us)
@@ -172,7 +174,7 @@
 def write_files(folder: Path, node: int, records: Sequence[Record]) -> None:
     """Write the records of one boot, several files long."""
     for number, first in enumerate(range(0, len(records), FILE_SECONDS), 1):
-        path = folder / f"n{node}-1-{node:012x}-{number:06d}{SUFFIX}"
+        path = folder / f"n{node}-1-{node:012x}-{number:06d}{RECORD_FILE_SUFFIX}"
         path.write_bytes(b"".join(encode(record) for record in records[first : first + FILE_SECONDS]))
 
 
--- a/emulators/recorded_incidents.py
+++ b/emulators/recorded_incidents.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from snowthread.records.files import SUFFIX
+from snowthread.records.files import RECORD_FILE_SUFFIX
 from snowthread.records.frame import encode
 from snowthread.records.model import Fields, Record, RecordKind
 
@@ -87,7 +87,7 @@
     def write(self, folder: Path) -> None:
         """Write one file for each node."""
         for node, records in self.records.items():
-            path = folder / f"{node}-1-00-000001{SUFFIX}"
+            path = folder / f"{node}-1-00-000001{RECORD_FILE_SUFFIX}"
             path.write_bytes(b"".join(encode(record) for record in records))
 
 
--- a/snowthread/records/files.py
+++ b/snowthread/records/files.py
@@ -14,7 +14,7 @@
 from snowthread.records.model import Record, RecordKind
 from snowthread.records.retention import Retention, Segment, files_to_delete, is_full
 
-SUFFIX = ".records"
+RECORD_FILE_SUFFIX = ".records"
 LABEL_MAX_CHARS = 100  # of a node's name in the name of a file
 RETRY_MS = 1000.0  # between two attempts to open a file after an error
 FILE_MODE = 0o640
@@ -33,7 +33,9 @@
         # A node's name may hold characters that a path must not.
         self._label = re.sub(r"[^A-Za-z0-9._-]|^\.+", "_", node)[:LABEL_MAX_CHARS]
         # The entire name is matched, as the name of one node may begin with another's.
-        self._own_name = re.compile(re.escape(self._label) + r"-[0-9]+-[0-9a-f]+-[0-9]+" + re.escape(SUFFIX))
+        self._own_name = re.compile(
+            re.escape(self._label) + r"-[0-9]+-[0-9a-f]+-[0-9]+" + re.escape(RECORD_FILE_SUFFIX)
+        )
         self._file_count = 0
         self._fd = NO_FILE
         self._name = ""
@@ -87,7 +89,7 @@
 
     def _open(self, now: float) -> None:
         self._file_count += 1
-        name = f"{self._label}-{int(now)}-{self._boot}-{self._file_count:06d}{SUFFIX}"
+        name = f"{self._label}-{int(now)}-{self._boot}-{self._file_count:06d}{RECORD_FILE_SUFFIX}"
         self._folder.mkdir(parents=True, exist_ok=True)
         self._fd = os.open(self._folder / name, os.O_WRONLY | os.O_CREAT | os.O_APPEND, FILE_MODE)
         self._name = name
--- a/snowthread/records/reader.py
+++ b/snowthread/records/reader.py
@@ -15,14 +15,14 @@
 from pathlib import Path
 from typing import ClassVar, NamedTuple
 
-from snowthread.records.files import SUFFIX
+from snowthread.records.files import RECORD_FILE_SUFFIX
 from snowthread.records.frame import FrameReader, InvalidFrame
 from snowthread.records.model import BootId, Record, RecordKey
 
 CHUNK_BYTES = 64 * 1024
 MAX_SEEN_RECORDS = 4096  # of a boot, whose copies are recognised
 _FILE_NAME = re.compile(
-    r"(?P<node>.+)-(?P<at>[0-9]+)-(?P<boot>[0-9a-f]+)-(?P<count>[0-9]+)" + re.escape(SUFFIX)
+    r"(?P<node>.+)-(?P<at>[0-9]+)-(?P<boot>[0-9a-f]+)-(?P<count>[0-9]+)" + re.escape(RECORD_FILE_SUFFIX)
 )
 
 
@@ -104,7 +104,7 @@
     """Return the files of records among files and folders, each once."""
     found: dict[Path, None] = {}
     for place in places:
-        for path in sorted(place.rglob(f"*{SUFFIX}")) if place.is_dir() else [place]:
+        for path in sorted(place.rglob(f"*{RECORD_FILE_SUFFIX}")) if place.is_dir() else [place]:
             found[path.resolve()] = None
     return list(found)
 
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -16,7 +16,7 @@
 from snowthread.console.screen import ViewOptions, render_text
 from snowthread.console.sorting import SortOrder
 from snowthread.console.tail import Tail
-from snowthread.records.files import SUFFIX
+from snowthread.records.files import RECORD_FILE_SUFFIX
 from snowthread.records.frame import encode
 from snowthread.records.model import Record, RecordKind
 
@@ -119,7 +119,7 @@
 
 
 def test_a_growing_file_is_followed_frame_by_frame(tmp_path: Path) -> None:
-    path = tmp_path / f"n1-1-aa-000001{SUFFIX}"
+    path = tmp_path / f"n1-1-aa-000001{RECORD_FILE_SUFFIX}"
     frames = [encode(second("n1", number, START_MS + number * 1000.0, read=number)) for number in range(1, 4)]
     tail = Tail([tmp_path, tmp_path / "none"])
     assert tail.poll() == []
--- a/tests/incident/test_incident_report.py
+++ b/tests/incident/test_incident_report.py
@@ -15,7 +15,7 @@
 from emulators.recorded_incidents import draw_faults, record_day
 from snowthread.incident.episodes import INCIDENTS
 from snowthread.incident.report import Report
-from snowthread.records.files import SUFFIX
+from snowthread.records.files import RECORD_FILE_SUFFIX
 from snowthread.records.reader import Findings, merge
 
 ROOT = Path(__file__).parents[2]
@@ -23,7 +23,7 @@
 
 def test_a_node_without_records_and_truncated_files_do_no_harm(tmp_path: Path) -> None:
     record_day(4, faults=ONE_AFTER_THE_OTHER).write(tmp_path)
-    (tmp_path / f"n9-1-aa-000001{SUFFIX}").write_bytes(b"")
+    (tmp_path / f"n9-1-aa-000001{RECORD_FILE_SUFFIX}").write_bytes(b"")
     path = next(tmp_path.glob("n1-*"))
     path.write_bytes(path.read_bytes()[:-9])
     report = Report([tmp_path])
--- a/tests/records/test_record_files.py
+++ b/tests/records/test_record_files.py
@@ -10,7 +10,7 @@
 import pytest
 from support.record_files import START_MS, note, write_records
 
-from snowthread.records.files import SUFFIX, RecordFiles
+from snowthread.records.files import RECORD_FILE_SUFFIX, RecordFiles
 from snowthread.records.frame import encode
 from snowthread.records.outbox import Outbox
 from snowthread.records.reader import Findings, merge
@@ -40,7 +40,7 @@
     for number in range(1, 200):
         files.append(encode(note(number, text="x" * 60)), 1, START_MS + number)
     files.close()
-    own = sorted(tmp_path.glob(f"n1-*{SUFFIX}"))
+    own = sorted(tmp_path.glob(f"n1-*{RECORD_FILE_SUFFIX}"))
     assert sum(path.stat().st_size for path in own) <= RETENTION.total_bytes + RETENTION.file_bytes
     assert other.exists()
     findings = Findings()
@@ -61,7 +61,7 @@
     escaping = RecordFiles(tmp_path / "in", "../../out", "ef", UNBOUNDED)
     escaping.append(encode(note(1, "../../out", "ef")), 1, START_MS)
     escaping.close()
-    assert [path.parent.name for path in tmp_path.rglob(f"*out*{SUFFIX}")] == ["in"]
+    assert [path.parent.name for path in tmp_path.rglob(f"*out*{RECORD_FILE_SUFFIX}")] == ["in"]
 
 
 def test_records_lost_to_a_full_disk_are_reported_once_there_is_space(
--- a/tests/records/test_record_reader.py
+++ b/tests/records/test_record_reader.py
@@ -7,7 +7,7 @@
 
 from support.record_files import START_MS, note, write_records
 
-from snowthread.records.files import SUFFIX
+from snowthread.records.files import RECORD_FILE_SUFFIX
 from snowthread.records.reader import Findings, merge
 
 
@@ -38,7 +38,7 @@
     path = write_records(tmp_path, "n1-1-aa-000001", [note(1, text="one"), note(2, text="two"), note(3)])
     data = path.read_bytes()
     path.write_bytes(data[:20] + b"\xff" * 4 + data[24:])
-    (tmp_path / f"noise{SUFFIX}").write_bytes(os.urandom(5000))
+    (tmp_path / f"noise{RECORD_FILE_SUFFIX}").write_bytes(os.urandom(5000))
     findings = Findings()
     assert len(list(merge([tmp_path, tmp_path / "none"], findings))) == 2
     assert findings.unreadable and len(findings.corrupt_frames) >= 2
--- a/tests/support/record_files.py
+++ b/tests/support/record_files.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from snowthread.records.files import SUFFIX
+from snowthread.records.files import RECORD_FILE_SUFFIX
 from snowthread.records.frame import encode
 from snowthread.records.model import Record, RecordKind
 
@@ -27,6 +27,6 @@
 
 def write_records(folder: Path, name: str, records: Iterable[Record]) -> Path:
     """Write a file of records; ``name`` is without its suffix."""
-    path = folder / f"{name}{SUFFIX}"
+    path = folder / f"{name}{RECORD_FILE_SUFFIX}"
     path.write_bytes(encode_all(records))
     return path
