--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -29,7 +29,7 @@
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 from snowthread.lab.process_usage import child_pids, cpu_seconds
 from snowthread.records.files import RECORD_FILE_SUFFIX
-from snowthread.records.frame import encode
+from snowthread.records.frame import encode_record
 from snowthread.records.model import Fields, Record, RecordKind
 from snowthread.records.reader import Findings, merge
 
@@ -175,7 +175,7 @@
     """Write the records of one boot, several files long."""
     for number, first in enumerate(range(0, len(records), FILE_SECONDS), 1):
         path = folder / f"n{node}-1-{node:012x}-{number:06d}{RECORD_FILE_SUFFIX}"
-        path.write_bytes(b"".join(encode(record) for record in records[first : first + FILE_SECONDS]))
+        path.write_bytes(b"".join(encode_record(record) for record in records[first : first + FILE_SECONDS]))
 
 
 def measure_reading(nodes: int, seconds: int, rng: random.Random) -> dict[str, float]:
--- a/emulators/recorded_incidents.py
+++ b/emulators/recorded_incidents.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from snowthread.records.files import RECORD_FILE_SUFFIX
-from snowthread.records.frame import encode
+from snowthread.records.frame import encode_record
 from snowthread.records.model import Fields, Record, RecordKind
 
 BEGIN_S = 1_800_000_000.0  # Unix time at which each day begins
@@ -88,7 +88,7 @@
         """Write one file for each node."""
         for node, records in self.records.items():
             path = folder / f"{node}-1-00-000001{RECORD_FILE_SUFFIX}"
-            path.write_bytes(b"".join(encode(record) for record in records))
+            path.write_bytes(b"".join(encode_record(record) for record in records))
 
 
 class _NodeDown(NamedTuple):
--- a/snowthread/records/files.py
+++ b/snowthread/records/files.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from snowthread.records.frame import encode
+from snowthread.records.frame import encode_record
 from snowthread.records.model import Record, RecordKind
 from snowthread.records.retention import Retention, Segment, files_to_delete, is_full
 
@@ -101,7 +101,7 @@
         """Record how many records are missing; the writer numbers its own records below zero."""
         fields = {"lost": self._lost_records, "why": self._error_text}
         number = -1 - self._gap_count
-        self._write(encode(Record(self._node, self._boot, number, now, RecordKind.GAP, fields)))
+        self._write(encode_record(Record(self._node, self._boot, number, now, RecordKind.GAP, fields)))
         self._gap_count += 1
         self._lost_records = 0
 
--- a/snowthread/records/frame.py
+++ b/snowthread/records/frame.py
@@ -15,11 +15,11 @@
 import msgpack
 from crc32c import crc32c
 
-from snowthread.records.model import FORMAT, Record
+from snowthread.records.model import FORMAT_VERSION, Record
 
-START = b"\xb7R"
-HEADER = struct.Struct("<2sII")  # start, length of the payload, checksum
-LENGTH_FIELD = slice(len(START), len(START) + 4)
+FRAME_MAGIC = b"\xb7R"
+FRAME_HEADER = struct.Struct("<2sII")  # start, length of the payload, checksum
+LENGTH_FIELD = slice(len(FRAME_MAGIC), len(FRAME_MAGIC) + 4)
 PAYLOAD_MAX_BYTES = 256 * 1024
 
 
@@ -44,22 +44,22 @@
     reason: str
 
 
-def encode(record: Record) -> bytes:
+def encode_record(record: Record) -> bytes:
     """Encode a record as a frame.
 
     Raises:
         RecordTooLongError: It could not be read back.
     """
     payload = msgpack.packb(
-        [FORMAT, record.node, record.boot, record.number, record.at, record.kind, record.fields]
+        [FORMAT_VERSION, record.node, record.boot, record.number, record.at, record.kind, record.fields]
     )
     if len(payload) > PAYLOAD_MAX_BYTES:
         raise RecordTooLongError(len(payload))
     size = struct.pack("<I", len(payload))
-    return START + size + struct.pack("<I", crc32c(payload, crc32c(size))) + bytes(payload)
+    return FRAME_MAGIC + size + struct.pack("<I", crc32c(payload, crc32c(size))) + bytes(payload)
 
 
-def decode(payload: bytes) -> Record:
+def decode_record(payload: bytes) -> Record:
     """Decode the payload of a frame whose checksum matches.
 
     Raises:
@@ -115,14 +115,14 @@
     def _read_frame(self, items: list[Record | InvalidFrame], *, at_end: bool) -> bool:
         """Decode one frame or skip bytes that are none; return False if more data is needed first."""
         buffer = self._buffer
-        if not buffer.startswith(START[: len(buffer)]):
+        if not buffer.startswith(FRAME_MAGIC[: len(buffer)]):
             return self._skip_to_start()
-        if len(buffer) < HEADER.size:
+        if len(buffer) < FRAME_HEADER.size:
             return False
-        _, size, checksum = HEADER.unpack_from(buffer)
+        _, size, checksum = FRAME_HEADER.unpack_from(buffer)
         if size > PAYLOAD_MAX_BYTES:
             self._skip(1, "a length that can't be")
-        elif len(buffer) < HEADER.size + size:
+        elif len(buffer) < FRAME_HEADER.size + size:
             if not at_end:
                 return False
             self._skip(1, "cut short")  # the length itself may be corrupt, and complete frames may follow
@@ -132,25 +132,25 @@
 
     def _read_payload(self, items: list[Record | InvalidFrame], size: int, checksum: int) -> None:
         """Decode the frame at the start of the buffer, which is complete, or skip it."""
-        payload = bytes(self._buffer[HEADER.size : HEADER.size + size])
+        payload = bytes(self._buffer[FRAME_HEADER.size : FRAME_HEADER.size + size])
         if crc32c(payload, crc32c(bytes(self._buffer[LENGTH_FIELD]))) != checksum:
             self._skip(1, "the checksum does not hold")
             return
         try:
-            record = decode(payload)
+            record = decode_record(payload)
         except InvalidPayloadError as error:
-            self._skip(HEADER.size + size, str(error))
+            self._skip(FRAME_HEADER.size + size, str(error))
             return
         self._report_skipped(items)
         items.append(record)
-        self._consume(HEADER.size + size)
+        self._consume(FRAME_HEADER.size + size)
 
     def _skip_to_start(self) -> bool:
         """Skip to the next possible start of a frame; return False if more data is needed first."""
         buffer = self._buffer
-        found = buffer.find(START, 1)
+        found = buffer.find(FRAME_MAGIC, 1)
         if found < 0:
-            found = len(buffer) - (buffer[-1] == START[0])  # the second byte of a start may follow
+            found = len(buffer) - (buffer[-1] == FRAME_MAGIC[0])  # the second byte of a start may follow
         if not found:
             return False
         self._skip(found, "no frame starts here")
--- a/snowthread/records/model.py
+++ b/snowthread/records/model.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 from typing import Any, ClassVar, NamedTuple
 
-FORMAT = 1  # version of the fields; a reader takes older ones, and newer ones as far as it knows them
+FORMAT_VERSION = 1  # version of the fields; a reader takes older ones, and newer ones as far as it knows them
 
 
 class RecordKind(StrEnum):
--- a/snowthread/records/recorder.py
+++ b/snowthread/records/recorder.py
@@ -19,9 +19,9 @@
 from snowthread.net.loop import EventLoop, TaskSteps, Wait
 from snowthread.records import writer
 from snowthread.records.batch import RecordBatch
-from snowthread.records.frame import encode
+from snowthread.records.frame import encode_record
 from snowthread.records.log_lines import draft_of
-from snowthread.records.model import FORMAT, Fields, Record, RecordKind
+from snowthread.records.model import FORMAT_VERSION, Fields, Record, RecordKind
 from snowthread.records.observer import Observer
 from snowthread.records.outbox import Outbox
 from snowthread.records.settings import RecordSettings
@@ -120,7 +120,7 @@
         self._last_number += 1
         record = Record(self._node, self._boot, self._last_number, self._loop.clock.now(), kind, fields)
         try:
-            frame = encode(record)
+            frame = encode_record(record)
         except ValueError:  # it is too long, or has a value that can't be encoded
             frame = b""
         if not frame or len(frame) > writer.BATCH_MAX_BYTES:
@@ -140,7 +140,7 @@
     return {
         "version": __version__,
         "pid": os.getpid(),
-        "format": FORMAT,
+        "format": FORMAT_VERSION,
         "cores": settings.cores,
         "classes": [
             [
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -17,7 +17,7 @@
 from snowthread.console.sorting import SortOrder
 from snowthread.console.tail import Tail
 from snowthread.records.files import RECORD_FILE_SUFFIX
-from snowthread.records.frame import encode
+from snowthread.records.frame import encode_record
 from snowthread.records.model import Record, RecordKind
 
 ROOT = Path(__file__).parents[2]
@@ -120,7 +120,9 @@
 
 def test_a_growing_file_is_followed_frame_by_frame(tmp_path: Path) -> None:
     path = tmp_path / f"n1-1-aa-000001{RECORD_FILE_SUFFIX}"
-    frames = [encode(second("n1", number, START_MS + number * 1000.0, read=number)) for number in range(1, 4)]
+    frames = [
+        encode_record(second("n1", number, START_MS + number * 1000.0, read=number)) for number in range(1, 4)
+    ]
     tail = Tail([tmp_path, tmp_path / "none"])
     assert tail.poll() == []
     path.write_bytes(frames[0] + frames[1][:30])
--- a/tests/records/test_record_files.py
+++ b/tests/records/test_record_files.py
@@ -11,7 +11,7 @@
 from support.record_files import START_MS, note, write_records
 
 from snowthread.records.files import RECORD_FILE_SUFFIX, RecordFiles
-from snowthread.records.frame import encode
+from snowthread.records.frame import encode_record
 from snowthread.records.outbox import Outbox
 from snowthread.records.reader import Findings, merge
 from snowthread.records.retention import Retention, Segment, files_to_delete, is_full
@@ -38,7 +38,7 @@
     other = write_records(tmp_path, "n2-1-bb-000001", [note(1, "n2", "bb")])
     files = RecordFiles(tmp_path, "n1", "b0", ANY_AGE)
     for number in range(1, 200):
-        files.append(encode(note(number, text="x" * 60)), 1, START_MS + number)
+        files.append(encode_record(note(number, text="x" * 60)), 1, START_MS + number)
     files.close()
     own = sorted(tmp_path.glob(f"n1-*{RECORD_FILE_SUFFIX}"))
     assert sum(path.stat().st_size for path in own) <= RETENTION.total_bytes + RETENTION.file_bytes
@@ -50,16 +50,16 @@
 
 def test_names_that_begin_alike_or_hold_a_path_stay_apart(tmp_path: Path) -> None:
     other = RecordFiles(tmp_path, "n1-5", "ab", ANY_AGE)
-    other.append(encode(note(1, "n1-5", "ab", text="x" * 900)), 1, START_MS)
+    other.append(encode_record(note(1, "n1-5", "ab", text="x" * 900)), 1, START_MS)
     other.close()
     for number in range(1, 60):
         own = RecordFiles(tmp_path, "n1", "cd", RETENTION)
-        own.append(encode(note(number, boot="cd", text="x" * 900)), 1, START_MS + number)
+        own.append(encode_record(note(number, boot="cd", text="x" * 900)), 1, START_MS + number)
         own.close()
     others = [record for record in merge([tmp_path], Findings()) if record.node == "n1-5"]
     assert len(others) == 1
     escaping = RecordFiles(tmp_path / "in", "../../out", "ef", UNBOUNDED)
-    escaping.append(encode(note(1, "../../out", "ef")), 1, START_MS)
+    escaping.append(encode_record(note(1, "../../out", "ef")), 1, START_MS)
     escaping.close()
     assert [path.parent.name for path in tmp_path.rglob(f"*out*{RECORD_FILE_SUFFIX}")] == ["in"]
 
@@ -69,7 +69,7 @@
 ) -> None:
     files = RecordFiles(tmp_path, "n1", "b0", UNBOUNDED)
     real_write = os.write
-    files.append(encode(note(1)), 1, START_MS)
+    files.append(encode_record(note(1)), 1, START_MS)
 
     def write_to_full_disk(fd: int, data: bytes) -> int:
         if len(data) > 20:
@@ -79,8 +79,8 @@
     with monkeypatch.context() as patched:
         patched.setattr(os, "write", write_to_full_disk)
         for number in (2, 3, 4):
-            files.append(encode(note(number)), 1, START_MS + number * 300.0)
-    files.append(encode(note(5)), 1, START_MS + 10_000.0)
+            files.append(encode_record(note(number)), 1, START_MS + number * 300.0)
+    files.append(encode_record(note(5)), 1, START_MS + 10_000.0)
     files.close()
     findings = Findings()
     records = list(merge([tmp_path], findings))
@@ -93,10 +93,10 @@
 def test_an_unwritable_folder_is_tried_again_after_a_while(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     files = RecordFiles(tmp_path / "file" / "folder", "n1", "b0", UNBOUNDED)
-    files.append(encode(note(1)), 1, START_MS)
+    files.append(encode_record(note(1)), 1, START_MS)
     (tmp_path / "file").unlink()
-    files.append(encode(note(2)), 1, START_MS + 500.0)  # too soon after the error to open a file again
-    files.append(encode(note(3)), 1, START_MS + 2000.0)
+    files.append(encode_record(note(2)), 1, START_MS + 500.0)  # too soon after the error to open a file again
+    files.append(encode_record(note(3)), 1, START_MS + 2000.0)
     files.close()
     records = [
         (record.kind, record.number, record.fields.get("lost")) for record in merge([tmp_path], Findings())
--- a/tests/records/test_record_frame.py
+++ b/tests/records/test_record_frame.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 from support.record_files import encode_all, note
 
-from snowthread.records.frame import PAYLOAD_MAX_BYTES, FrameReader, InvalidFrame, encode
+from snowthread.records.frame import PAYLOAD_MAX_BYTES, FrameReader, InvalidFrame, encode_record
 from snowthread.records.model import Record
 
 THREE = [note(1, text="one"), note(2, text="zwei ü", deep={"a": [1, 2.5, None]}), note(3)]
-SIZES = [len(encode(record)) for record in THREE]
+SIZES = [len(encode_record(record)) for record in THREE]
 STREAM = encode_all(THREE)
 
 
@@ -54,7 +54,7 @@
 @given(st.binary(max_size=400), st.lists(st.integers(0, 500), max_size=5))
 @settings(max_examples=150, deadline=None)
 def test_garbage_between_records_and_any_split_lose_none_of_them(noise: bytes, splits: list[int]) -> None:
-    data = encode(THREE[0]) + noise + encode(THREE[1])
+    data = encode_record(THREE[0]) + noise + encode_record(THREE[1])
     reader = FrameReader()
     items: list[Record | InvalidFrame] = []
     offsets = sorted(min(split, len(data)) for split in splits)
@@ -69,10 +69,10 @@
     huge = b"\xb7R" + (PAYLOAD_MAX_BYTES + 1).to_bytes(4, "little") + b"\0\0\0\0"
     assert read(huge + STREAM)[0] == THREE
     with pytest.raises(ValueError, match="at most"):
-        encode(note(1, text="x" * PAYLOAD_MAX_BYTES))
+        encode_record(note(1, text="x" * PAYLOAD_MAX_BYTES))
 
 
 def test_older_and_newer_formats_are_read_as_far_as_they_are_known(monkeypatch: pytest.MonkeyPatch) -> None:
     for version in (0, 7):
-        monkeypatch.setattr("snowthread.records.frame.FORMAT", version)
-        assert read(encode(THREE[1])) == ([THREE[1]], [])
+        monkeypatch.setattr("snowthread.records.frame.FORMAT_VERSION", version)
+        assert read(encode_record(THREE[1])) == ([THREE[1]], [])
--- a/tests/stored/test_stored_formats.py
+++ b/tests/stored/test_stored_formats.py
@@ -22,7 +22,7 @@
 from snowthread.core.reducer import reduce
 from snowthread.core.state import AdmissionClock, NodeState
 from snowthread.records.files import RecordFiles
-from snowthread.records.frame import FrameReader, InvalidFrame, encode
+from snowthread.records.frame import FrameReader, InvalidFrame, encode_record
 from snowthread.records.model import KINDS, Fields, Record, Totals
 from snowthread.records.observer import Observer
 from snowthread.records.reader import Findings, Gap, merge
@@ -90,7 +90,7 @@
 
 def append_records(files: RecordFiles, records: tuple[Record, ...], now: float) -> None:
     """Append the records as one batch."""
-    files.append(b"".join(encode(record) for record in records), len(records), now)
+    files.append(b"".join(encode_record(record) for record in records), len(records), now)
 
 
 def write_record_files(folder: Path) -> None:
--- a/tests/support/record_files.py
+++ b/tests/support/record_files.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from snowthread.records.files import RECORD_FILE_SUFFIX
-from snowthread.records.frame import encode
+from snowthread.records.frame import encode_record
 from snowthread.records.model import Record, RecordKind
 
 START_MS = 1_800_000_000_000.0
@@ -22,7 +22,7 @@
 
 def encode_all(records: Iterable[Record]) -> bytes:
     """Return the frames of records one after the other."""
-    return b"".join(encode(record) for record in records)
+    return b"".join(encode_record(record) for record in records)
 
 
 def write_records(folder: Path, name: str, records: Iterable[Record]) -> Path:
