--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -31,7 +31,7 @@
 from snowthread.records.files import RECORD_FILE_SUFFIX
 from snowthread.records.frame import encode_record
 from snowthread.records.model import Fields, Record, RecordKind
-from snowthread.records.reader import Findings, merge
+from snowthread.records.reader import Findings, merge_records
 
 SOURCES = [f"127.0.{number}.9" for number in range(5)]  # addresses of the load
 CORES = 64  # of the emulated runtime
@@ -189,7 +189,7 @@
         count = 0
         last_at = 0.0
         began = time.perf_counter()
-        for record in merge([folder], findings):
+        for record in merge_records([folder], findings):
             assert record.at >= last_at
             last_at = record.at
             count += 1
@@ -209,7 +209,7 @@
 def measure_merge_memory(folder: Path) -> float:
     """Return the most memory that a merge takes, in MB."""
     tracemalloc.start()
-    for _ in merge([folder], Findings()):
+    for _ in merge_records([folder], Findings()):
         pass
     peak_bytes = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
--- a/benchmarks/timeline.py
+++ b/benchmarks/timeline.py
@@ -36,7 +36,7 @@
 from snowthread.incident.clocks import Clocks
 from snowthread.incident.episodes import INCIDENTS, Episode
 from snowthread.incident.report import Report
-from snowthread.incident.series import build
+from snowthread.incident.series import build_series
 from snowthread.incident.timeline import began_before, build_timeline
 
 FIRST_UNSEEN_SEED = 1000  # seeds from here on were not seen during development
@@ -58,7 +58,7 @@
         for record in records:
             clocks.add(record)
         clocks.fit()
-    timeline = build_timeline(build(records, clocks), clocks)
+    timeline = build_timeline(build_series(records, clocks), clocks)
     episodes = [sentence.episode for sentence in timeline.sentences]
     return Reconstruction([episode for episode in episodes if episode.kind in INCIDENTS], clocks)
 
--- a/snowthread/console/cli.py
+++ b/snowthread/console/cli.py
@@ -32,12 +32,12 @@
     """Show a fleet from its nodes' records: state, service, refusals, calls, and the course of things."""
     from snowthread.console.model import Fleet
     from snowthread.console.screen import ViewOptions, render_text
-    from snowthread.records.reader import Findings, merge
+    from snowthread.records.reader import Findings, merge_records
 
     fleet = Fleet()
     look = ViewOptions(sort, only)
     if once or not sys.stdout.isatty():
-        for record in merge(places, Findings()):
+        for record in merge_records(places, Findings()):
             fleet.add(record)
         click.echo(render_text(fleet, look), nl=False)
         return
@@ -47,5 +47,5 @@
     from snowthread.console.tail import Tail
 
     source: RecordSource
-    source = Tail(places) if speed is None else Replay(merge(places, Findings()), speed)
+    source = Tail(places) if speed is None else Replay(merge_records(places, Findings()), speed)
     run(source, fleet, look)
--- a/snowthread/incident/report.py
+++ b/snowthread/incident/report.py
@@ -17,10 +17,10 @@
 from snowthread import __version__
 from snowthread.incident.charts import class_chart, fleet_chart, node_chart
 from snowthread.incident.clocks import Clocks
-from snowthread.incident.series import NodeSecond, Series, build
+from snowthread.incident.series import NodeSecond, Series, build_series
 from snowthread.incident.timeline import Sentence, Timeline, build_timeline
 from snowthread.incident.times import format_clock, format_date
-from snowthread.records.reader import Findings, merge
+from snowthread.records.reader import Findings, merge_records
 
 PROGRESS_EVERY = 100_000  # records
 NODE_CHARTS_MAX = 40
@@ -34,12 +34,12 @@
         paths = list(places)
         self.clocks = Clocks()
         self.findings = Findings()
-        for count, record in enumerate(merge(paths, Findings()), 1):
+        for count, record in enumerate(merge_records(paths, Findings()), 1):
             self.clocks.add(record)
             if count % PROGRESS_EVERY == 0:
                 progress(count)
         self.clocks.fit()
-        self.series: Series = build(merge(paths, self.findings), self.clocks)
+        self.series: Series = build_series(merge_records(paths, self.findings), self.clocks)
         self.timeline: Timeline = build_timeline(self.series, self.clocks)
 
     def to_dict(self) -> dict[str, Any]:
--- a/snowthread/incident/series.py
+++ b/snowthread/incident/series.py
@@ -99,7 +99,7 @@
         return sorted(others, key=lambda boot: (boot.first_at, boot.boot_id.boot))
 
 
-def build(records: Iterable[Record], clocks: Clocks) -> Series:
+def build_series(records: Iterable[Record], clocks: Clocks) -> Series:
     """Put records on the time line that the fitted clocks give."""
     series = Series()
     for record in records:
--- a/snowthread/lab/runner.py
+++ b/snowthread/lab/runner.py
@@ -21,7 +21,7 @@
 from snowthread.lab.timeline import Timeline
 from snowthread.net.clock import Clock
 from snowthread.net.loop import EventLoop
-from snowthread.records.reader import Findings, merge
+from snowthread.records.reader import Findings, merge_records
 
 # By this time after the last request, every request has been answered or is late.
 LAST_ANSWERS_GRACE_MS = 2500.0
@@ -52,7 +52,7 @@
             self._measure_cpu()
         finally:
             self._close()
-        records = merge(sorted(self._folder.glob("*/records")), Findings())
+        records = merge_records(sorted(self._folder.glob("*/records")), Findings())
         return (
             summarize(self._scenario, traffic, services, self._report())
             | summarize_records(records)
--- a/snowthread/records/cli.py
+++ b/snowthread/records/cli.py
@@ -30,9 +30,9 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
 def cat(places: tuple[Path, ...], kind: tuple[str, ...], node: tuple[str, ...], as_json: bool) -> None:
     """Print records in the order of time."""
-    from snowthread.records.reader import Findings, merge
+    from snowthread.records.reader import Findings, merge_records
 
-    for record in merge(places, Findings()):
+    for record in merge_records(places, Findings()):
         if (kind and record.kind not in kind) or (node and record.node not in node):
             continue
         click.echo(_as_json(record) if as_json else _as_text(record))
@@ -42,10 +42,10 @@
 @PLACES
 def verify(places: tuple[Path, ...]) -> None:
     """Say what is missing or spoilt (status 1 where anything is)."""
-    from snowthread.records.reader import Findings, merge
+    from snowthread.records.reader import Findings, merge_records
 
     findings = Findings()
-    for _ in merge(places, findings):
+    for _ in merge_records(places, findings):
         pass
     for line in findings.unreadable:
         click.echo(line)
@@ -68,9 +68,9 @@
 @PLACES
 def stats(places: tuple[Path, ...]) -> None:
     """Say what is there: each node's boots, when, how they ended, and how many records of each kind."""
-    from snowthread.records.reader import Findings, merge
+    from snowthread.records.reader import Findings, merge_records
 
-    for boot_id, boot in _summarize_boots(merge(places, Findings())):
+    for boot_id, boot in _summarize_boots(merge_records(places, Findings())):
         started = datetime.fromtimestamp(boot.first_at / 1000.0, UTC).isoformat(timespec="seconds")
         seconds = (boot.last_at - boot.first_at) / 1000.0
         how = "left" if boot.ended else "no end is recorded"
--- a/snowthread/records/reader.py
+++ b/snowthread/records/reader.py
@@ -109,7 +109,7 @@
     return list(found)
 
 
-def merge(places: Iterable[Path], findings: Findings) -> Iterator[Record]:
+def merge_records(places: Iterable[Path], findings: Findings) -> Iterator[Record]:
     """Yield the records of all files and folders, each once, by time as their nodes' clocks have it.
 
     A node whose clock steps back stays in the order of its numbers: until its clock has caught up, its
--- a/tests/incident/test_incident_report.py
+++ b/tests/incident/test_incident_report.py
@@ -16,7 +16,7 @@
 from snowthread.incident.episodes import INCIDENTS
 from snowthread.incident.report import Report
 from snowthread.records.files import RECORD_FILE_SUFFIX
-from snowthread.records.reader import Findings, merge
+from snowthread.records.reader import Findings, merge_records
 
 ROOT = Path(__file__).parents[2]
 
@@ -73,4 +73,4 @@
 def test_reading_the_same_records_twice_changes_nothing(tmp_path: Path) -> None:
     record_day(7, faults=draw_faults(7)).write(tmp_path)
     assert Report([tmp_path]).to_dict() == Report([tmp_path, tmp_path]).to_dict()
-    assert len(list(merge([tmp_path], Findings()))) > 0
+    assert len(list(merge_records([tmp_path], Findings()))) > 0
--- a/tests/records/test_record_files.py
+++ b/tests/records/test_record_files.py
@@ -13,7 +13,7 @@
 from snowthread.records.files import RECORD_FILE_SUFFIX, RecordFiles
 from snowthread.records.frame import encode_record
 from snowthread.records.outbox import Outbox
-from snowthread.records.reader import Findings, merge
+from snowthread.records.reader import Findings, merge_records
 from snowthread.records.retention import Retention, Segment, files_to_delete, is_full
 
 RETENTION = Retention(file_bytes=1000, file_ms=10_000.0, total_bytes=3000, max_age_ms=60_000.0)
@@ -44,7 +44,7 @@
     assert sum(path.stat().st_size for path in own) <= RETENTION.total_bytes + RETENTION.file_bytes
     assert other.exists()
     findings = Findings()
-    numbers = [record.number for record in merge(own, findings)]
+    numbers = [record.number for record in merge_records(own, findings)]
     assert numbers == list(range(numbers[0], 200)) and len(findings.gaps) == 1
 
 
@@ -56,7 +56,7 @@
         own = RecordFiles(tmp_path, "n1", "cd", RETENTION)
         own.append(encode_record(note(number, boot="cd", text="x" * 900)), 1, START_MS + number)
         own.close()
-    others = [record for record in merge([tmp_path], Findings()) if record.node == "n1-5"]
+    others = [record for record in merge_records([tmp_path], Findings()) if record.node == "n1-5"]
     assert len(others) == 1
     escaping = RecordFiles(tmp_path / "in", "../../out", "ef", UNBOUNDED)
     escaping.append(encode_record(note(1, "../../out", "ef")), 1, START_MS)
@@ -83,7 +83,7 @@
     files.append(encode_record(note(5)), 1, START_MS + 10_000.0)
     files.close()
     findings = Findings()
-    records = list(merge([tmp_path], findings))
+    records = list(merge_records([tmp_path], findings))
     assert [record.number for record in records if record.kind == "note"] == [1, 5]
     gaps = [record.fields for record in records if record.kind == "gap"]
     assert [(fields["lost"], fields["why"]) for fields in gaps] == [(3, "No space left on device")]
@@ -99,7 +99,8 @@
     files.append(encode_record(note(3)), 1, START_MS + 2000.0)
     files.close()
     records = [
-        (record.kind, record.number, record.fields.get("lost")) for record in merge([tmp_path], Findings())
+        (record.kind, record.number, record.fields.get("lost"))
+        for record in merge_records([tmp_path], Findings())
     ]
     assert records == [("gap", -1, 2), ("note", 3, None)]
 
--- a/tests/records/test_record_program.py
+++ b/tests/records/test_record_program.py
@@ -19,7 +19,7 @@
 from snowthread.config import ConfigError
 from snowthread.operator.features import Features
 from snowthread.records.model import Record
-from snowthread.records.reader import Findings, merge
+from snowthread.records.reader import Findings, merge_records
 
 ROOT = Path(__file__).parents[2]
 
@@ -75,7 +75,7 @@
     """Wait until the records show so many served requests, and return them."""
     deadline = time.monotonic() + PATIENCE_S
     while True:
-        records = list(merge([folder], Findings()))
+        records = list(merge_records([folder], Findings()))
         if count_served(records) == wanted:
             return records
         assert time.monotonic() < deadline, records
--- a/tests/records/test_record_reader.py
+++ b/tests/records/test_record_reader.py
@@ -8,7 +8,7 @@
 from support.record_files import START_MS, note, write_records
 
 from snowthread.records.files import RECORD_FILE_SUFFIX
-from snowthread.records.reader import Findings, merge
+from snowthread.records.reader import Findings, merge_records
 
 
 def test_nodes_are_merged_by_time_copies_dropped_and_gaps_reported(tmp_path: Path) -> None:
@@ -18,7 +18,7 @@
     other = [note(number, "n2", "bb", START_MS + 1500.0 * number) for number in (1, 2, 3)]
     write_records(tmp_path, "n2-1-bb-000001", other)
     findings = Findings()
-    records = list(merge([tmp_path], findings))
+    records = list(merge_records([tmp_path], findings))
     times = [record.at for record in records]
     assert times == sorted(times) and len(records) == 7
     assert findings.duplicates == 2
@@ -30,7 +30,7 @@
     write_records(tmp_path, "n1-1-aa-000001", [note(number, at=at) for number, at in enumerate(times, 1)])
     other = [note(1, "n2", "bb", START_MS + 500.0), note(2, "n2", "bb", START_MS + 2000.0)]
     write_records(tmp_path, "n2-1-bb-000001", other)
-    order = [(record.node, record.number) for record in merge([tmp_path], Findings())]
+    order = [(record.node, record.number) for record in merge_records([tmp_path], Findings())]
     assert order == [("n1", 1), ("n2", 1), ("n1", 2), ("n1", 3), ("n1", 4), ("n2", 2)]
 
 
@@ -40,5 +40,5 @@
     path.write_bytes(data[:20] + b"\xff" * 4 + data[24:])
     (tmp_path / f"noise{RECORD_FILE_SUFFIX}").write_bytes(os.urandom(5000))
     findings = Findings()
-    assert len(list(merge([tmp_path, tmp_path / "none"], findings))) == 2
+    assert len(list(merge_records([tmp_path, tmp_path / "none"], findings))) == 2
     assert findings.unreadable and len(findings.corrupt_frames) >= 2
--- a/tests/stored/test_stored_formats.py
+++ b/tests/stored/test_stored_formats.py
@@ -25,7 +25,7 @@
 from snowthread.records.frame import FrameReader, InvalidFrame, encode_record
 from snowthread.records.model import KINDS, Fields, Record, Totals
 from snowthread.records.observer import Observer
-from snowthread.records.reader import Findings, Gap, merge
+from snowthread.records.reader import Findings, Gap, merge_records
 from snowthread.records.retention import Retention
 from snowthread.tenants import snapshot as tenant_disk
 from snowthread.tenants.model import BalancerRange, Tenant, TenantStatus
@@ -157,7 +157,7 @@
 def read_record_files(folder: Path) -> tuple[list[Record], Findings]:
     """Return all records of a folder in their order, and what was wrong."""
     findings = Findings()
-    return list(merge([folder], findings)), findings
+    return list(merge_records([folder], findings)), findings
 
 
 def test_stored_records_are_read_with_their_fields_and_order() -> None:
--- a/tests/support/incident_days.py
+++ b/tests/support/incident_days.py
@@ -7,7 +7,7 @@
 from emulators.recorded_incidents import Fault, FaultKind, RecordedDay
 from snowthread.incident.clocks import Clocks
 from snowthread.incident.episodes import INCIDENTS, Episode
-from snowthread.incident.series import build
+from snowthread.incident.series import build_series
 from snowthread.incident.timeline import Timeline, build_timeline
 
 ONE_AFTER_THE_OTHER = (
@@ -39,4 +39,4 @@
     for record in records:
         clocks.add(record)
     clocks.fit()
-    return Reconstruction(build_timeline(build(records, clocks), clocks), clocks)
+    return Reconstruction(build_timeline(build_series(records, clocks), clocks), clocks)
