--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -30,7 +30,7 @@
 from snowthread.lab.process_usage import child_pids, cpu_seconds
 from snowthread.records.files import RECORD_FILE_SUFFIX
 from snowthread.records.frame import encode_record
-from snowthread.records.model import Fields, Record, RecordKind
+from snowthread.records.model import Record, RecordFields, RecordKind
 from snowthread.records.reader import Findings, merge_records
 
 SOURCES = [f"127.0.{number}.9" for number in range(5)]  # addresses of the load
@@ -147,7 +147,7 @@
     ]
 
 
-def second_fields(rng: random.Random) -> Fields:
+def second_fields(rng: random.Random) -> RecordFields:
     """Return fields as a busy node makes them."""
     return {
         "ms": 1000.0,
--- a/emulators/recorded_incidents.py
+++ b/emulators/recorded_incidents.py
@@ -16,7 +16,7 @@
 
 from snowthread.records.files import RECORD_FILE_SUFFIX
 from snowthread.records.frame import encode_record
-from snowthread.records.model import Fields, Record, RecordKind
+from snowthread.records.model import Record, RecordFields, RecordKind
 
 BEGIN_S = 1_800_000_000.0  # Unix time at which each day begins
 REQUESTS_PER_S = 40.0  # of one node
@@ -130,7 +130,7 @@
         self.boot = ""
         self.down_until_s = second + SHUTDOWN_MS / MS_PER_S
 
-    def record(self, second: float, kind: RecordKind, fields: Fields) -> None:
+    def record(self, second: float, kind: RecordKind, fields: RecordFields) -> None:
         """Write a record with the time of the node's clock."""
         self._last_number += 1
         at = (
@@ -217,7 +217,7 @@
         sizes = [fault.size for fault in self._faults if fault.kind == kind and fault.is_active(second)]
         return max(sizes, default=1.0)
 
-    def _second_fields(self, node: _Node, second: int, serving: int) -> Fields:
+    def _second_fields(self, node: _Node, second: int, serving: int) -> RecordFields:
         rng = self._rng
         slowdown = self._size(FaultKind.SLOW_DATABASE, second)
         mean = REQUESTS_PER_S * self._size(FaultKind.TRAFFIC_JUMP, second) * len(self.nodes) / serving
--- a/snowthread/console/model.py
+++ b/snowthread/console/model.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from snowthread.console.sorting import SortOrder
-from snowthread.records.model import Fields, Record, RecordKind
+from snowthread.records.model import Record, RecordFields, RecordKind
 
 NODES_MAX = 5_000
 LINES_MAX = 1_000
@@ -54,7 +54,7 @@
         """Share of the requests read that was served within the latency objective; 1 if none was read."""
         return self.served_in_time / self.read if self.read else 1.0
 
-    def update(self, fields: Fields) -> None:
+    def update(self, fields: RecordFields) -> None:
         """Take the fields of a ``second``."""
         self._update_counts(fields)
         calls = fields.get("calls", {}).values()  # of each outcome: count, median and more
@@ -66,7 +66,7 @@
         self.memory_mb = fields.get("memory_mb", 0.0)
         self.history.append(self.read)
 
-    def _update_counts(self, fields: Fields) -> None:
+    def _update_counts(self, fields: RecordFields) -> None:
         self.read = 0
         self.served_in_time = 0
         self.rejected = 0
@@ -181,7 +181,7 @@
         }
 
 
-def _event_text(kind: str, fields: Fields) -> str | None:  # noqa: PLR0911  # a text a kind
+def _event_text(kind: str, fields: RecordFields) -> str | None:  # noqa: PLR0911  # a text a kind
     """Return what a record other than a ``second`` says; None of a kind that is not known."""
     match kind:
         case RecordKind.START:
--- a/snowthread/incident/series.py
+++ b/snowthread/incident/series.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from snowthread.incident.clocks import Clocks
-from snowthread.records.model import BootId, Fields, Record, RecordKey, RecordKind
+from snowthread.records.model import BootId, Record, RecordFields, RecordKey, RecordKind
 
 EVENTS_MAX = 50_000
 CLASSES_MAX = 50
@@ -163,7 +163,7 @@
     return row
 
 
-def _add_calls(row: NodeSecond, fields: Fields) -> None:
+def _add_calls(row: NodeSecond, fields: RecordFields) -> None:
     """Take the calls of a second: of each outcome the count and the median duration, among others."""
     by_outcome = fields.get("calls", {}).values()
     row.calls = sum(summary[0] for summary in by_outcome)
--- a/snowthread/records/log_lines.py
+++ b/snowthread/records/log_lines.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from snowthread.records.model import Fields, RecordDraft, RecordKind
+from snowthread.records.model import RecordDraft, RecordFields, RecordKind
 
 if TYPE_CHECKING:
     import loguru
@@ -24,7 +24,7 @@
     text = line["message"][:TEXT_MAX_CHARS]
     if event in CONFIG_EVENTS:
         return RecordDraft(RecordKind.CONFIG, {"taken": CONFIG_EVENTS[event], "text": text})
-    fields: Fields = {"event": event, "text": text}
+    fields: RecordFields = {"event": event, "text": text}
     for name, value in line["extra"].items():
         if name not in fields and isinstance(value, _PLAIN_TYPES):
             fields[name] = value
--- a/snowthread/records/model.py
+++ b/snowthread/records/model.py
@@ -31,7 +31,7 @@
 
 KINDS = tuple(RecordKind)
 
-Fields = dict[str, Any]
+RecordFields = dict[str, Any]
 
 
 class BootId(NamedTuple):
@@ -53,7 +53,7 @@
     """A record before it has a number and a time."""
 
     kind: RecordKind
-    fields: Fields
+    fields: RecordFields
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
     number: int
     at: float
     kind: str
-    fields: Fields = field(default_factory=dict)
+    fields: RecordFields = field(default_factory=dict)
 
     @property
     def key(self) -> RecordKey:
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True)
-class Totals:
+class RequestCounts:
     """Counts of one class and tenant in one second, under the names that are stored.
 
     Rejections are counted by when they came, failures by how far the run had got.
@@ -116,7 +116,7 @@
         "runs",
     )
 
-    def nonzero_counts(self) -> Fields:
+    def nonzero_counts(self) -> RecordFields:
         """Return the counts that are not zero, by name."""
         return {name: value for name in self.NAMES if (value := getattr(self, name))}
 
@@ -145,7 +145,7 @@
     },
     RecordKind.SECOND: {
         "ms": "length of the interval",
-        "totals": "counts of each class and tenant, see Totals",
+        "totals": "counts of each class and tenant, see RequestCounts",
         "runs": "durations of runs in ms, of each class: count, median, 99th percentile, longest",
         "calls": "the same of calls to the database, by outcome",
         "b": "the blocking probability",
--- a/snowthread/records/observer.py
+++ b/snowthread/records/observer.py
@@ -11,7 +11,7 @@
 from snowthread.admission.settings import Settings
 from snowthread.core import effects, events
 from snowthread.core.state import NodeState
-from snowthread.records.model import Fields, RecordDraft, RecordKind, Totals
+from snowthread.records.model import RecordDraft, RecordFields, RecordKind, RequestCounts
 from snowthread.records.open_request import OpenRequest
 from snowthread.records.second import Second, count_duration, second_fields
 
@@ -75,7 +75,7 @@
                     drafts.append(draft)
         return drafts
 
-    def take_totals(self, state: NodeState, now: float) -> Fields:
+    def take_second_fields(self, state: NodeState, now: float) -> RecordFields:
         """Return the fields of a ``second``: the counts since the last call, and the current figures."""
         second = self._second
         self._second = Second(now)
@@ -215,7 +215,7 @@
             del self._by_attempt[request.attempt_id]
         return request
 
-    def _totals_of(self, request: OpenRequest) -> Totals:
+    def _totals_of(self, request: OpenRequest) -> RequestCounts:
         """Return the row of this second where the request is counted."""
         second = self._second
         if request.counted_in is second and request.totals is not None:
@@ -226,7 +226,7 @@
             key = (request.class_name, OTHER_TENANTS)
         row = rows.get(key)
         if row is None:
-            row = Totals()
+            row = RequestCounts()
             rows[key] = row
         request.counted_in = second
         request.totals = row
--- a/snowthread/records/open_request.py
+++ b/snowthread/records/open_request.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from snowthread.records.model import Totals
+from snowthread.records.model import RequestCounts
 from snowthread.records.second import Second
 
 
@@ -27,5 +27,5 @@
         self.arrived_at_ms = arrived_at_ms
         self.run_started = False
         self.call_in_flight = False
-        self.totals: Totals | None = None  # its row in the second where it was counted last
+        self.totals: RequestCounts | None = None  # its row in the second where it was counted last
         self.counted_in: Second | None = None
--- a/snowthread/records/recorder.py
+++ b/snowthread/records/recorder.py
@@ -21,7 +21,7 @@
 from snowthread.records.batch import RecordBatch
 from snowthread.records.frame import encode_record
 from snowthread.records.log_lines import draft_of
-from snowthread.records.model import FORMAT_VERSION, Fields, Record, RecordKind
+from snowthread.records.model import FORMAT_VERSION, Record, RecordFields, RecordKind
 from snowthread.records.observer import Observer
 from snowthread.records.outbox import Outbox
 from snowthread.records.settings import RecordSettings
@@ -77,7 +77,7 @@
             self.record(kind, fields)
         return produced
 
-    def record(self, kind: RecordKind, fields: Fields) -> None:
+    def record(self, kind: RecordKind, fields: RecordFields) -> None:
         """Add a record to the batch that is sent next, after a gap if records were dropped before it."""
         dropped = self._outbox.take_dropped()
         if dropped:
@@ -103,8 +103,8 @@
             self._close_batch()
             self._link.send()
 
-    def _second_fields(self, now: float) -> Fields:
-        fields = self._observer.take_totals(self._state, now)
+    def _second_fields(self, now: float) -> RecordFields:
+        fields = self._observer.take_second_fields(self._state, now)
         fields["connections"] = self._count_connections()
         with suppress(OSError, ValueError, IndexError):
             resident_pages = int(_MEMORY_FILE.read_bytes().split()[_RESIDENT_FIELD])
@@ -116,7 +116,7 @@
         if draft is not None:
             self.record(draft.kind, draft.fields)
 
-    def _add_to_batch(self, kind: RecordKind, fields: Fields) -> None:
+    def _add_to_batch(self, kind: RecordKind, fields: RecordFields) -> None:
         self._last_number += 1
         record = Record(self._node, self._boot, self._last_number, self._loop.clock.now(), kind, fields)
         try:
@@ -136,7 +136,7 @@
             self._outbox.add(self._batch.take(), records)
 
 
-def _start_fields(settings: Settings) -> Fields:
+def _start_fields(settings: Settings) -> RecordFields:
     return {
         "version": __version__,
         "pid": os.getpid(),
--- a/snowthread/records/second.py
+++ b/snowthread/records/second.py
@@ -9,7 +9,7 @@
 from snowthread.admission.controller import Controller
 from snowthread.admission.learned_state import confirmation_ages_s
 from snowthread.core.state import NodeState, RequestPhase
-from snowthread.records.model import Fields, Totals
+from snowthread.records.model import RecordFields, RequestCounts
 
 COARSE_FROM_MS = 1000.0  # from here on durations are counted in coarse steps
 COARSE_STEP_MS = 10
@@ -17,7 +17,7 @@
 DURATION_DIGITS = 2  # significant digits of the percentiles
 
 DurationCounts = dict[int, int]  # duration in ms, in coarse steps above the limit -> how often
-TotalsKey = tuple[str, str]  # class name and tenant; a plain tuple, as one is built for each request
+ClassAndTenant = tuple[str, str]  # class name and tenant; a plain tuple, as one is built for each request
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
     """What was counted since the last record of a second."""
 
     started_at_ms: float
-    totals: dict[TotalsKey, Totals] = field(default_factory=dict)
+    totals: dict[ClassAndTenant, RequestCounts] = field(default_factory=dict)
     run_durations: dict[str, DurationCounts] = field(default_factory=dict)  # by class name
     call_durations: dict[str, DurationCounts] = field(default_factory=dict)  # by outcome
     least_age_ms: dict[int, float] = field(default_factory=dict)  # by caller: of its youngest request
@@ -47,7 +47,7 @@
     counts[value] = counts.get(value, 0) + 1
 
 
-def second_fields(second: Second, state: NodeState, now: float) -> Fields:
+def second_fields(second: Second, state: NodeState, now: float) -> RecordFields:
     """Return the fields of a ``second``: what was counted, and the node's figures as they are now."""
     fields = _counted_fields(second, now)
     if state.controller is not None:
@@ -69,8 +69,8 @@
     ]
 
 
-def _counted_fields(second: Second, now: float) -> Fields:
-    fields: Fields = {
+def _counted_fields(second: Second, now: float) -> RecordFields:
+    fields: RecordFields = {
         "ms": round(now - second.started_at_ms, 1),
         "totals": [[name, tenant, row.nonzero_counts()] for (name, tenant), row in second.totals.items()],
     }
@@ -83,7 +83,7 @@
     return fields
 
 
-def _controller_fields(controller: Controller, timestamp_s: float) -> Fields:
+def _controller_fields(controller: Controller, timestamp_s: float) -> RecordFields:
     ages_s = confirmation_ages_s(controller, timestamp_s)
     return {
         "b": round(controller.blocking_probability, 4),
@@ -94,9 +94,9 @@
     }
 
 
-def _load_fields(state: NodeState) -> Fields:
+def _load_fields(state: NodeState) -> RecordFields:
     phases = [request.phase for request in state.requests.values()]
-    fields: Fields = {
+    fields: RecordFields = {
         "held": phases.count(RequestPhase.QUEUED),
         "running": phases.count(RequestPhase.RUNNING),
         "calls_in_hand": sum(request.call_in_flight for request in state.requests.values()),
--- a/tests/admission/test_decisions_page.py
+++ b/tests/admission/test_decisions_page.py
@@ -15,7 +15,7 @@
 
 from snowthread.admission.actions import OperatorMessage
 from snowthread.admission.reasons import RejectReason
-from snowthread.records.model import FIELD_DESCRIPTIONS, RecordKind, Totals
+from snowthread.records.model import FIELD_DESCRIPTIONS, RecordKind, RequestCounts
 
 ROOT = Path(__file__).parents[2]
 PAGE = (ROOT / "docs/decisions.md").read_text()
@@ -162,7 +162,7 @@
     kinds = {kind.value for kind in RecordKind}
     fields = {name for described in FIELD_DESCRIPTIONS.values() for name in described}
     assert len(named) > 15
-    assert named <= kinds | fields | set(Totals.NAMES)
+    assert named <= kinds | fields | set(RequestCounts.NAMES)
 
 
 @pytest.mark.parametrize("path", POLICY)
--- a/tests/records/test_record_observer.py
+++ b/tests/records/test_record_observer.py
@@ -11,7 +11,7 @@
 from snowthread.core import effects, events
 from snowthread.core.reducer import reduce
 from snowthread.core.state import AdmissionClock, NodeState
-from snowthread.records.model import FIELD_DESCRIPTIONS, KINDS, RecordDraft, RecordKind, Totals
+from snowthread.records.model import FIELD_DESCRIPTIONS, KINDS, RecordDraft, RecordKind, RequestCounts
 from snowthread.records.observer import MAX_TENANT_ROWS, OTHER_TENANTS, Observer
 
 START_MS = 1_800_000_000_000.0
@@ -74,9 +74,9 @@
         self.now += duration_ms
         self.post(events.RunCompleted(attempt_id, outcome, duration_ms, b"r"))
 
-    def take_totals(self) -> dict[tuple[str, str], dict[str, int]]:
+    def take_counts(self) -> dict[tuple[str, str], dict[str, int]]:
         """Return the counts since the last call by class and tenant."""
-        fields = self.observer.take_totals(self.state, self.now)
+        fields = self.observer.take_second_fields(self.state, self.now)
         return {(name, tenant): counts for name, tenant, counts in fields["totals"]}
 
 
@@ -95,13 +95,13 @@
     cancelled = reducer.request(8)
     reducer.post(events.RequestCancelled((1, 8)))
     reducer.complete(cancelled, 10.0)
-    assert reducer.take_totals() == {
+    assert reducer.take_counts() == {
         ("match", "a"): {"read": 1, "served": 1, "runs": 1},
         ("match", ""): {"read": 3, "late": 1, "failed_running": 1, "left": 1, "runs": 3},
         ("dispense", ""): {"read": 3, "served": 2, "attached": 1, "failed_calling": 1, "runs": 2},
         ("", ""): {"read": 1, "failed": 1},
     }
-    assert len(reducer.observer) == 0 and reducer.take_totals() == {}
+    assert len(reducer.observer) == 0 and reducer.take_counts() == {}
 
 
 def test_rejections_are_counted_by_when_they_came() -> None:
@@ -112,12 +112,12 @@
     reducer.state.controller.state.blocking.probability = 1.0
     for number in range(10, 40):
         reducer.request(number)
-    counts = reducer.take_totals()["match", ""]
+    counts = reducer.take_counts()["match", ""]
     assert counts["refused"] >= 20 and counts["read"] == 35
     reducer.post(events.ShutdownRequested(3000.0))
     reducer.now += 2900.0
     reducer.post(events.TimerExpired(2))
-    assert reducer.take_totals()["match", ""].get("refused_leaving", 0) >= 1
+    assert reducer.take_counts()["match", ""].get("refused_leaving", 0) >= 1
     assert (RecordKind.DRAIN, {"left_ms": 3000.0}) in reducer.drafts
     assert (RecordKind.REGISTRATION, {"taking": False}) in reducer.drafts
 
@@ -125,7 +125,7 @@
 def test_each_request_ends_exactly_once_whatever_comes() -> None:
     rng = random.Random(4)
     reducer = ObservedReducer()
-    sums = Totals()
+    sums = RequestCounts()
     running: list[str] = []
     for number in range(1, 600):
         reducer.now += rng.expovariate(1.0) * 20.0
@@ -140,7 +140,7 @@
             reducer.post(events.RequestCancelled((1, rng.randrange(1, number + 1))))
         else:
             reducer.post(events.TimerExpired(rng.choice([1, 2])))
-        for counts in reducer.take_totals().values():
+        for counts in reducer.take_counts().values():
             for name, value in counts.items():
                 setattr(sums, name, getattr(sums, name) + value)
     ended = sum(getattr(sums, name) for name in ENDS)
@@ -152,7 +152,7 @@
     reducer = ObservedReducer()
     for number in range(1, MAX_TENANT_ROWS + 100):
         reducer.request(number, tenant=f"t{number}")
-    totals = reducer.take_totals()
+    totals = reducer.take_counts()
     assert len(totals) == MAX_TENANT_ROWS + 1
     assert sum(counts["read"] for counts in totals.values()) == MAX_TENANT_ROWS + 99
     assert totals["match", OTHER_TENANTS]["read"] == 99
@@ -163,7 +163,7 @@
     for number, duration_ms in enumerate((100.0, 200.0, 1000.0), 1):
         reducer.complete(reducer.request(number), duration_ms)
     reducer.post(events.CallCompleted("x", Outcome.TIMED_OUT, 80.0))
-    fields = reducer.observer.take_totals(reducer.state, reducer.now)
+    fields = reducer.observer.take_second_fields(reducer.state, reducer.now)
     count, median, high, longest = fields["runs"]["match"]
     assert count == 3 and abs(median - 200) <= 4 and abs(high - 1000) <= 10 and abs(longest - 1000) <= 10
     assert fields["calls"]["timed_out"][0] == 1
@@ -176,7 +176,7 @@
     for kind, fields in FIELD_DESCRIPTIONS.items():
         assert f"`{kind}`" in page
         assert all(f"`{name}`" in page for name in fields), kind
-    assert all(f"`{name}`" in page for name in Totals.NAMES)
+    assert all(f"`{name}`" in page for name in RequestCounts.NAMES)
 
 
 def test_effects_come_out_unchanged() -> None:
--- a/tests/stored/test_stored_formats.py
+++ b/tests/stored/test_stored_formats.py
@@ -23,7 +23,7 @@
 from snowthread.core.state import AdmissionClock, NodeState
 from snowthread.records.files import RecordFiles
 from snowthread.records.frame import FrameReader, InvalidFrame, encode_record
-from snowthread.records.model import KINDS, Fields, Record, Totals
+from snowthread.records.model import KINDS, Record, RecordFields, RequestCounts
 from snowthread.records.observer import Observer
 from snowthread.records.reader import Findings, Gap, merge_records
 from snowthread.records.retention import Retention
@@ -40,7 +40,7 @@
 FIRST_FILE = "node_a-1764576000000-5e0c71d2-000001.records"
 SECOND_FILE = "node_a-1764576005000-5e0c71d2-000003.records"  # the failed try to open one is counted
 
-SECOND: Fields = {
+SECOND: RecordFields = {
     "ms": 3440.0,
     "totals": [
         ["match", "a", {"read": 2, "served": 1, "late": 1, "runs": 2}],
@@ -124,7 +124,7 @@
     )
 
 
-def observe_a_second() -> Fields:
+def observe_a_second() -> RecordFields:
     """Return the fields of a ``second`` record: one request served, one late, two open with keys."""
     settings = config.parse(json.loads((ROOT / "examples" / "node.json").read_bytes())).settings
     now = START
@@ -151,7 +151,7 @@
     now += 40.0
     post(events.CallCompleted(calling, Outcome.SUCCESS, 40.0, b"reply"))
     post_request(4, "dispense", "key-4")
-    return observer.take_totals(state, now)
+    return observer.take_second_fields(state, now)
 
 
 def read_record_files(folder: Path) -> tuple[list[Record], Findings]:
@@ -205,7 +205,7 @@
 
 
 def test_totals_are_stored_under_their_names() -> None:
-    totals = Totals(
+    totals = RequestCounts(
         read=1,
         served=2,
         late=3,
