--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -190,8 +190,8 @@
         last_at = 0.0
         began = time.perf_counter()
         for record in merge_records([folder], findings):
-            assert record.at >= last_at
-            last_at = record.at
+            assert record.at_ms >= last_at
+            last_at = record.at_ms
             count += 1
         took_s = time.perf_counter() - began
         peak_mb = measure_merge_memory(folder)
--- a/snowthread/console/model.py
+++ b/snowthread/console/model.py
@@ -125,13 +125,13 @@
                 return
             view = NodeView(record.node)
             self.nodes[record.node] = view
-        self.now = max(self.now, record.at)
+        self.now = max(self.now, record.at_ms)
         if record.boot != view.boot:
-            if record.kind != RecordKind.START and view.boot and record.at < view.at:
+            if record.kind != RecordKind.START and view.boot and record.at_ms < view.at:
                 return  # of an earlier boot, read late
             view.boot = record.boot
             view.recorded_state = NodeState.UP
-        view.at = record.at
+        view.at = record.at_ms
         if record.kind == RecordKind.SECOND:
             view.update(record.fields)
             return
@@ -141,7 +141,7 @@
             view.recorded_state = NodeState.ENDED
         text = _event_text(record.kind, record.fields)
         if text is not None:
-            self.lines.append(EventLine(record.at, record.node, text))
+            self.lines.append(EventLine(record.at_ms, record.node, text))
 
     def state(self, view: NodeView) -> NodeState:
         """Return the node's state as of the newest record of all nodes."""
--- a/snowthread/console/replay.py
+++ b/snowthread/console/replay.py
@@ -27,8 +27,8 @@
         due: list[Record] = []
         while (record := self._peek()) is not None:
             if self._first_at_ms is None:
-                self._first_at_ms = record.at
-            if record.at - self._first_at_ms > elapsed_ms:
+                self._first_at_ms = record.at_ms
+            if record.at_ms - self._first_at_ms > elapsed_ms:
                 break
             due.append(record)
             self._next = None
--- a/snowthread/console/tail.py
+++ b/snowthread/console/tail.py
@@ -36,7 +36,7 @@
             records += self._read_added(path)
         for path in set(self._positions) - set(paths):
             del self._positions[path]
-        return sorted(records, key=lambda record: (record.at, record.key))
+        return sorted(records, key=lambda record: (record.at_ms, record.key))
 
     def _read_added(self, path: Path) -> list[Record]:
         position = self._positions.get(path) or _Position()
--- a/snowthread/incident/clocks.py
+++ b/snowthread/incident/clocks.py
@@ -52,11 +52,11 @@
 
     def advance(self, record: Record) -> int:
         """Take the next record and return the part it is in."""
-        stepped_back = record.at < self.last_at - STEP_BACK_MS
-        stepped_forward = record.at > self.last_at + STEP_FORWARD_MS
+        stepped_back = record.at_ms < self.last_at - STEP_BACK_MS
+        stepped_forward = record.at_ms > self.last_at + STEP_FORWARD_MS
         if stepped_back or stepped_forward:
             self.starts.append(_SegmentStart(record.number, self.starts[-1].part + 1))
-        self.last_at = record.at
+        self.last_at = record.at_ms
         return self.starts[-1].part
 
     def part_of(self, record_number: int) -> int:
@@ -85,12 +85,12 @@
         """Take one record."""
         clock = self._boots.get(record.boot_id)
         if clock is None:
-            clock = _BootClock(record.at, [_SegmentStart(FIRST_NUMBER, 0)])
+            clock = _BootClock(record.at_ms, [_SegmentStart(FIRST_NUMBER, 0)])
             self._boots[record.boot_id] = clock
         segment = ClockSegment(record.node, record.boot, clock.advance(record))
-        span = self._spans.setdefault(segment, _TimeSpan(record.at, record.at))
-        span.first = min(span.first, record.at)
-        span.last = max(span.last, record.at)
+        span = self._spans.setdefault(segment, _TimeSpan(record.at_ms, record.at_ms))
+        span.first = min(span.first, record.at_ms)
+        span.last = max(span.last, record.at_ms)
         if record.kind == RecordKind.SECOND:
             self._add_samples(segment, record)
 
@@ -110,7 +110,7 @@
     def common_time(self, record: Record) -> float:
         """Return a record's time on its group's common time line, in ms."""
         offset = self.offsets.get(self.segment_of(record))
-        return record.at if offset is None else offset.to_common_time(record.at)
+        return record.at_ms if offset is None else offset.to_common_time(record.at_ms)
 
     def bound_ms(self, record: Record) -> float:
         """Return how far off that time may be, in ms; infinite if that is not known."""
@@ -119,10 +119,10 @@
 
     def _add_samples(self, segment: ClockSegment, record: Record) -> None:
         """Keep the least age that each balancer's requests show in this bucket."""
-        bucket = int(record.at // BUCKET_MS)
+        bucket = int(record.at_ms // BUCKET_MS)
         for caller, age_ms in record.fields.get("floors", {}).items():
             key = SampleKey(segment, int(caller), bucket)
-            sample = AgeSample(age_ms, record.at)
+            sample = AgeSample(age_ms, record.at_ms)
             self._samples[key] = min(sample, self._samples.get(key, sample))
 
     def _groups(self) -> list[list[ClockSegment]]:
--- a/snowthread/records/cli.py
+++ b/snowthread/records/cli.py
@@ -96,8 +96,8 @@
     """Return a summary of each boot, by its first and last time."""
     boots: dict[BootId, _BootSummary] = {}
     for record in stream:
-        boot = boots.setdefault(record.boot_id, _BootSummary(record.at, record.at))
-        boot.last_at = max(boot.last_at, record.at)
+        boot = boots.setdefault(record.boot_id, _BootSummary(record.at_ms, record.at_ms))
+        boot.last_at = max(boot.last_at, record.at_ms)
         boot.kinds[record.kind] += 1
     return sorted(boots.items(), key=lambda item: (item[1].first_at, item[1].last_at))
 
@@ -109,13 +109,13 @@
         "node": record.node,
         "boot": record.boot,
         "number": record.number,
-        "at": record.at,
+        "at": record.at_ms,
         "kind": record.kind,
     }
     return orjson.dumps(head | record.fields, option=orjson.OPT_NON_STR_KEYS)
 
 
 def _as_text(record: Record) -> str:
-    when = datetime.fromtimestamp(record.at / 1000.0, UTC).isoformat(timespec="milliseconds")
+    when = datetime.fromtimestamp(record.at_ms / 1000.0, UTC).isoformat(timespec="milliseconds")
     fields = " ".join(f"{name}={value}" for name, value in record.fields.items())
     return f"{when} {record.node} {record.kind} {fields}"
--- a/snowthread/records/frame.py
+++ b/snowthread/records/frame.py
@@ -51,7 +51,7 @@
         RecordTooLongError: It could not be read back.
     """
     payload = msgpack.packb(
-        [FORMAT_VERSION, record.node, record.boot, record.number, record.at, record.kind, record.fields]
+        [FORMAT_VERSION, record.node, record.boot, record.number, record.at_ms, record.kind, record.fields]
     )
     if len(payload) > PAYLOAD_MAX_BYTES:
         raise RecordTooLongError(len(payload))
--- a/snowthread/records/model.py
+++ b/snowthread/records/model.py
@@ -66,7 +66,7 @@
     node: str
     boot: str
     number: int
-    at: float
+    at_ms: float
     kind: str
     fields: RecordFields = field(default_factory=dict)
 
--- a/snowthread/records/reader.py
+++ b/snowthread/records/reader.py
@@ -128,7 +128,7 @@
             continue
         missing = record.number - boot.highest_number - 1
         if missing > 0:
-            findings.add(Gap(record.node, record.boot, boot.highest_number, missing, record.at))
+            findings.add(Gap(record.node, record.boot, boot.highest_number, missing, record.at_ms))
         boot.add(record.number)
         findings.records += 1
         yield record
@@ -151,7 +151,7 @@
     latest_at = 0.0
     for path in chain:
         for record in _read_file(path, findings):
-            latest_at = max(latest_at, record.at)
+            latest_at = max(latest_at, record.at_ms)
             yield _TimedRecord(latest_at, record.key, record)
 
 
--- a/tests/incident/test_incident_clocks.py
+++ b/tests/incident/test_incident_clocks.py
@@ -35,7 +35,7 @@
     if "floors" in fields:
         ages = {caller: age_ms - STEP_MS for caller, age_ms in fields["floors"].items()}
         fields = fields | {"floors": ages}
-    return replace(record, at=record.at - STEP_MS, fields=fields)
+    return replace(record, at_ms=record.at_ms - STEP_MS, fields=fields)
 
 
 def test_a_clock_that_steps_back_begins_a_new_segment() -> None:
--- a/tests/records/test_record_reader.py
+++ b/tests/records/test_record_reader.py
@@ -19,7 +19,7 @@
     write_records(tmp_path, "n2-1-bb-000001", other)
     findings = Findings()
     records = list(merge_records([tmp_path], findings))
-    times = [record.at for record in records]
+    times = [record.at_ms for record in records]
     assert times == sorted(times) and len(records) == 7
     assert findings.duplicates == 2
     assert [(gap.boot, gap.last_number, gap.count) for gap in findings.gaps] == [("aa", 3, 2)]
--- a/tests/stored/test_stored_formats.py
+++ b/tests/stored/test_stored_formats.py
@@ -178,7 +178,7 @@
     assert [record.number for record in records] == [1, 2, 3, 4, 5, 6, -1, 9, 10, 11]
     assert {record.kind for record in records} == set(KINDS)
     assert records[0].node == "node/a" and records[0].boot == "5e0c71d2"
-    assert records[1].at == 1_764_576_000_001.5 and records[1].fields["text"] == "settings of nöde.json"
+    assert records[1].at_ms == 1_764_576_000_001.5 and records[1].fields["text"] == "settings of nöde.json"
     assert records[6].fields == {"lost": 2, "why": "File exists"}
 
 
