--- a/benchmarks/timeline.py
+++ b/benchmarks/timeline.py
@@ -72,7 +72,7 @@
     @property
     def error_ms(self) -> float:
         """How far off the start of the episode is."""
-        return abs(self.episode.start - (BEGIN_S + self.fault.start_s) * 1000.0)
+        return abs(self.episode.start_ms - (BEGIN_S + self.fault.start_s) * 1000.0)
 
 
 @dataclass(slots=True)
--- a/snowthread/incident/episodes.py
+++ b/snowthread/incident/episodes.py
@@ -37,8 +37,8 @@
     """
 
     kind: EpisodeKind
-    start: float
-    end: float | None  # None: the records end first
+    start_ms: float
+    end_ms: float | None  # None: the records end first
     bound_ms: float  # how far off the start may be
     nodes: tuple[str, ...]
     magnitude: float
--- a/snowthread/incident/event_episodes.py
+++ b/snowthread/incident/event_episodes.py
@@ -29,7 +29,7 @@
     @property
     def end(self) -> float | None:
         """When the connection was back."""
-        return None if self.restored is None else self.restored.at
+        return None if self.restored is None else self.restored.at_ms
 
     @property
     def evidence(self) -> list[RecordKey]:
@@ -51,7 +51,7 @@
     for event in series.events:
         if event.record.kind != RecordKind.DRAIN:
             continue
-        if chains and event.at - chains[-1][-1].at <= DEPLOY_GAP_MS:
+        if chains and event.at_ms - chains[-1][-1].at_ms <= DEPLOY_GAP_MS:
             chains[-1].append(event)
         else:
             chains.append([event])
@@ -66,15 +66,15 @@
         boot = series.boots[event.record.boot_id]
         if boot.end is not None:
             evidence.append(boot.end)
-            ends.append(boot.last_at)
-        successor = _next_boot(series, boot.boot_id, event.at)
+            ends.append(boot.last_at_ms)
+        successor = _next_boot(series, boot.boot_id, event.at_ms)
         if successor is not None and successor.start is not None:
             evidence.append(successor.start)
-            ends.append(successor.first_at)
+            ends.append(successor.first_at_ms)
     return Episode(
         EpisodeKind.ROLLING_DEPLOY if len(nodes) > 1 else EpisodeKind.RESTART,
-        start=shutdowns[0].at,
-        end=max(ends) if ends else None,
+        start_ms=shutdowns[0].at_ms,
+        end_ms=max(ends) if ends else None,
         bound_ms=shutdowns[0].bound_ms,
         nodes=nodes,
         magnitude=float(len(nodes)),
@@ -85,7 +85,7 @@
 
 def _next_boot(series: Series, boot_id: BootId, after_ms: float) -> BootSummary | None:
     """Return the first other boot of the node that begins after this time."""
-    return next((boot for boot in series.other_boots(boot_id) if boot.first_at > after_ms), None)
+    return next((boot for boot in series.other_boots(boot_id) if boot.first_at_ms > after_ms), None)
 
 
 # Crashes.
@@ -99,7 +99,7 @@
         if boot.end is not None or boot.last is None:
             continue
         successor = _boot_after_crash(series, boot)
-        if successor is None and last_second * 1000.0 - boot.last_at < SILENT_MS:
+        if successor is None and last_second * 1000.0 - boot.last_at_ms < SILENT_MS:
             continue  # the records simply end here
         evidence = [boot.last]
         if successor is not None and successor.start is not None:
@@ -107,8 +107,8 @@
         crashes.append(
             Episode(
                 EpisodeKind.CRASH,
-                start=boot.last_at,
-                end=None if successor is None else successor.first_at,
+                start_ms=boot.last_at_ms,
+                end_ms=None if successor is None else successor.first_at_ms,
                 bound_ms=CRASH_BOUND_MS,
                 nodes=(boot.boot_id.node,),
                 magnitude=1.0,
@@ -120,8 +120,8 @@
 
 
 def _boot_after_crash(series: Series, crashed: BootSummary) -> BootSummary | None:
-    earliest = crashed.last_at - BOOT_OVERLAP_MS
-    return next((boot for boot in series.other_boots(crashed.boot_id) if boot.first_at >= earliest), None)
+    earliest = crashed.last_at_ms - BOOT_OVERLAP_MS
+    return next((boot for boot in series.other_boots(crashed.boot_id) if boot.first_at_ms >= earliest), None)
 
 
 # Lost connections.
@@ -140,7 +140,7 @@
             outages.append(_Outage(open_outages.pop(node), event))
     outages += [_Outage(event) for event in open_outages.values()]
     groups: list[list[_Outage]] = []
-    for outage in sorted(outages, key=lambda outage: outage.lost.at):
+    for outage in sorted(outages, key=lambda outage: outage.lost.at_ms):
         if groups and _overlaps(groups[-1], outage):
             groups[-1].append(outage)
         else:
@@ -150,7 +150,7 @@
 
 def _overlaps(group: Sequence[_Outage], outage: _Outage) -> bool:
     """Return whether an outage begins before, or soon after, one of the group has ended."""
-    return any(other.end is None or outage.lost.at <= other.end + OUTAGE_GAP_MS for other in group)
+    return any(other.end is None or outage.lost.at_ms <= other.end + OUTAGE_GAP_MS for other in group)
 
 
 def _directory_outage(group: Sequence[_Outage]) -> Episode:
@@ -159,8 +159,8 @@
     evidence = [key for outage in group for key in outage.evidence]
     return Episode(
         EpisodeKind.DIRECTORY_OUTAGE,
-        start=first.at,
-        end=None if None in ends else max(end for end in ends if end is not None),
+        start_ms=first.at_ms,
+        end_ms=None if None in ends else max(end for end in ends if end is not None),
         bound_ms=first.bound_ms,
         nodes=tuple(sorted({outage.lost.record.node for outage in group})),
         magnitude=float(len(group)),
@@ -188,8 +188,8 @@
 def _runtime_outage(outage: _Outage) -> Episode:
     return Episode(
         EpisodeKind.RUNTIME_LINK_LOST,
-        start=outage.lost.at,
-        end=outage.end,
+        start_ms=outage.lost.at_ms,
+        end_ms=outage.end,
         bound_ms=outage.lost.bound_ms,
         nodes=(outage.lost.record.node,),
         magnitude=1.0,
--- a/snowthread/incident/figure_episodes.py
+++ b/snowthread/incident/figure_episodes.py
@@ -193,8 +193,8 @@
     ]
     return Episode(
         figure.kind,
-        start=stretch.first * 1000.0,
-        end=None if stretch.open_ended else (stretch.last + 1) * 1000.0,
+        start_ms=stretch.first * 1000.0,
+        end_ms=None if stretch.open_ended else (stretch.last + 1) * 1000.0,
         bound_ms=fleet.bound_ms,
         nodes=tuple(sorted(nodes)),
         magnitude=figure.magnitude(median(worst)),
--- a/snowthread/incident/report.py
+++ b/snowthread/incident/report.py
@@ -91,12 +91,12 @@
 def _sentence_dict(sentence: Sentence) -> dict[str, Any]:
     episode = sentence.episode
     return {
-        "at": sentence.at,
+        "at": sentence.start_ms,
         "kind": sentence.kind,
         "text": sentence.text,
         "confidence": sentence.confidence,
-        "start": episode.start,
-        "end": episode.end,
+        "start": episode.start_ms,
+        "end": episode.end_ms,
         "bound_ms": episode.bound_ms,
         "nodes": list(episode.nodes),
         "cites": [list(key) for key in sentence.evidence],
--- a/snowthread/incident/series.py
+++ b/snowthread/incident/series.py
@@ -50,7 +50,7 @@
 class TimedEvent:
     """A record of another kind than ``second`` on the common time line; ``bound_ms``: how far off."""
 
-    at: float
+    at_ms: float
     bound_ms: float
     record: Record
 
@@ -60,16 +60,16 @@
     """One boot on the common time line, and the records that mark it out."""
 
     boot_id: BootId
-    first_at: float
-    last_at: float
+    first_at_ms: float
+    last_at_ms: float
     start: RecordKey | None = None
     end: RecordKey | None = None
     last: RecordKey | None = None  # the last record that the node itself numbered
 
     def extend(self, at: float) -> None:
         """Take another time into the boot."""
-        self.first_at = min(self.first_at, at)
-        self.last_at = max(self.last_at, at)
+        self.first_at_ms = min(self.first_at_ms, at)
+        self.last_at_ms = max(self.last_at_ms, at)
 
 
 @dataclass(slots=True)
@@ -96,7 +96,7 @@
             for boot in self.boots.values()
             if boot.boot_id.node == boot_id.node and boot.boot_id != boot_id
         ]
-        return sorted(others, key=lambda boot: (boot.first_at, boot.boot_id.boot))
+        return sorted(others, key=lambda boot: (boot.first_at_ms, boot.boot_id.boot))
 
 
 def build_series(records: Iterable[Record], clocks: Clocks) -> Series:
@@ -109,7 +109,7 @@
             _add_second(series, record, at)
         else:
             _add_event(series, record, at, clocks)
-    series.events.sort(key=lambda event: (event.at, event.record.key))
+    series.events.sort(key=lambda event: (event.at_ms, event.record.key))
     return series
 
 
--- a/snowthread/incident/timeline.py
+++ b/snowthread/incident/timeline.py
@@ -67,9 +67,9 @@
         return self.episode.kind
 
     @property
-    def at(self) -> float:
+    def start_ms(self) -> float:
         """When the episode began, in ms on the common time line."""
-        return self.episode.start
+        return self.episode.start_ms
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,9 +83,9 @@
 
 def began_before(episode: Episode, other: Episode) -> bool | None:
     """Return whether an episode began before another; None if the clocks do not show it."""
-    if abs(episode.start - other.start) <= episode.bound_ms + other.bound_ms:
+    if abs(episode.start_ms - other.start_ms) <= episode.bound_ms + other.bound_ms:
         return None
-    return episode.start < other.start
+    return episode.start_ms < other.start_ms
 
 
 def possible_causes(effect: Episode, episodes: Sequence[Episode]) -> list[Episode]:
@@ -95,14 +95,14 @@
         for episode in episodes
         if episode.kind in CAUSES
         and began_before(episode, effect) is not False
-        and (episode.end is None or episode.end + AFTER_EFFECT_MS + episode.bound_ms >= effect.start)
+        and (episode.end_ms is None or episode.end_ms + AFTER_EFFECT_MS + episode.bound_ms >= effect.start_ms)
     ]
 
 
 def find_episodes(series: Series) -> list[Episode]:
     """Return all episodes by their start."""
     episodes = [*find_event_episodes(series), *find_figure_episodes(series)]
-    return sorted(episodes, key=lambda episode: (episode.start, episode.kind))
+    return sorted(episodes, key=lambda episode: (episode.start_ms, episode.kind))
 
 
 def build_timeline(series: Series, clocks: Clocks) -> Timeline:
@@ -176,15 +176,15 @@
 
 
 def _lasted(episode: Episode) -> str:
-    if episode.end is None:
+    if episode.end_ms is None:
         return "; its end is not in the records"
-    return f", for {(episode.end - episode.start) / 1000.0:.0f} s"
+    return f", for {(episode.end_ms - episode.start_ms) / 1000.0:.0f} s"
 
 
 def _came_back(crash: Episode) -> str:
-    if crash.end is None:
+    if crash.end_ms is None:
         return "it has not come back in the records"
-    return f"it came back after {(crash.end - crash.start) / 1000.0:.0f} s"
+    return f"it came back after {(crash.end_ms - crash.start_ms) / 1000.0:.0f} s"
 
 
 def _unknown(series: Series, clocks: Clocks) -> list[str]:
--- a/tests/incident/test_incident_timeline.py
+++ b/tests/incident/test_incident_timeline.py
@@ -19,7 +19,7 @@
     incidents = reconstruct(day).incidents
     assert [episode.kind for episode in incidents] == ["slow database", "rolling deploy", "crash"]
     for episode, fault in zip(incidents, ONE_AFTER_THE_OTHER, strict=True):
-        error_ms = episode.start - (BEGIN_S + fault.start_s) * 1000.0
+        error_ms = episode.start_ms - (BEGIN_S + fault.start_s) * 1000.0
         assert abs(error_ms) <= 2500.0, (episode, error_ms)
     slow_database, deploy, crash = incidents
     assert began_before(slow_database, deploy) is True
