--- a/benchmarks/timeline.py
+++ b/benchmarks/timeline.py
@@ -34,7 +34,7 @@
 )
 from snowthread.incident.clock_fit import ClockOffset, ClockSegment
 from snowthread.incident.clocks import Clocks
-from snowthread.incident.episodes import INCIDENTS, Episode
+from snowthread.incident.episodes import INCIDENT_KINDS, Episode
 from snowthread.incident.report import Report
 from snowthread.incident.series import build_series
 from snowthread.incident.timeline import began_before, build_timeline
@@ -60,7 +60,7 @@
         clocks.fit()
     timeline = build_timeline(build_series(records, clocks), clocks)
     episodes = [sentence.episode for sentence in timeline.sentences]
-    return Reconstruction([episode for episode in episodes if episode.kind in INCIDENTS], clocks)
+    return Reconstruction([episode for episode in episodes if episode.kind in INCIDENT_KINDS], clocks)
 
 
 class Match(NamedTuple):
--- a/snowthread/console/live.py
+++ b/snowthread/console/live.py
@@ -10,7 +10,7 @@
 
 from snowthread.console.keyboard import Keyboard
 from snowthread.console.model import Fleet
-from snowthread.console.screen import ViewOptions, draw
+from snowthread.console.screen import ViewOptions, render_screen
 from snowthread.console.sorting import SortOrder
 from snowthread.records.model import Record
 
@@ -31,7 +31,7 @@
         while True:
             for record in source.poll():
                 fleet.add(record)
-            live.update(draw(fleet, look, console.width, console.height), refresh=True)
+            live.update(render_screen(fleet, look, console.width, console.height), refresh=True)
             key = keyboard.read_key(REFRESH_S)
             if key == "q":
                 return
--- a/snowthread/console/screen.py
+++ b/snowthread/console/screen.py
@@ -63,7 +63,7 @@
     count: int
 
 
-def draw(fleet: Fleet, look: ViewOptions, width: int, height: int) -> RenderableType:
+def render_screen(fleet: Fleet, look: ViewOptions, width: int, height: int) -> RenderableType:
     """Return the screen for so many columns and lines."""
     views = fleet.shown(look.sort, look.only)
     rows = max(ROWS_MIN, (height - OTHER_LINES) * 2 // 3)
@@ -84,7 +84,7 @@
     """Return the screen as plain text."""
     console = Console(width=width, no_color=True, force_terminal=False, legacy_windows=False)
     with console.capture() as captured:
-        console.print(draw(fleet, look, width, height))
+        console.print(render_screen(fleet, look, width, height))
     return captured.get()
 
 
--- a/snowthread/incident/episodes.py
+++ b/snowthread/incident/episodes.py
@@ -24,7 +24,7 @@
     NOT_SERVED = "turned away"
 
 
-INCIDENTS = frozenset(EpisodeKind) - {EpisodeKind.NOT_SERVED}  # what can be a story of its own
+INCIDENT_KINDS = frozenset(EpisodeKind) - {EpisodeKind.NOT_SERVED}  # what can be a story of its own
 
 
 @dataclass(frozen=True, slots=True)
--- a/snowthread/lab/demo_display.py
+++ b/snowthread/lab/demo_display.py
@@ -12,7 +12,7 @@
 from rich.live import Live
 
 from snowthread.console.model import Fleet
-from snowthread.console.screen import ViewOptions, draw
+from snowthread.console.screen import ViewOptions, render_screen
 from snowthread.console.tail import Tail
 
 REFRESH_S = 0.5
@@ -62,7 +62,9 @@
         for record in self._tail.poll():
             self._fleet.add(record)
         height = min(HEIGHT_MAX, self._console.height)
-        self._live.update(draw(self._fleet, ViewOptions(), self._console.width, height), refresh=True)
+        self._live.update(
+            render_screen(self._fleet, ViewOptions(), self._console.width, height), refresh=True
+        )
 
 
 @contextmanager
--- a/tests/incident/test_incident_report.py
+++ b/tests/incident/test_incident_report.py
@@ -13,7 +13,7 @@
 from support.record_files import write_records
 
 from emulators.recorded_incidents import draw_faults, record_day
-from snowthread.incident.episodes import INCIDENTS
+from snowthread.incident.episodes import INCIDENT_KINDS
 from snowthread.incident.report import Report
 from snowthread.records.files import RECORD_FILE_SUFFIX
 from snowthread.records.reader import Findings, merge_records
@@ -27,7 +27,7 @@
     path = next(tmp_path.glob("n1-*"))
     path.write_bytes(path.read_bytes()[:-9])
     report = Report([tmp_path])
-    kinds = [sentence.kind for sentence in report.timeline.sentences if sentence.kind in INCIDENTS]
+    kinds = [sentence.kind for sentence in report.timeline.sentences if sentence.kind in INCIDENT_KINDS]
     assert [kind.value for kind in kinds] == [fault.kind.value for fault in ONE_AFTER_THE_OTHER]
     assert report.findings.corrupt_frames
     empty = tmp_path / "empty"
--- a/tests/support/incident_days.py
+++ b/tests/support/incident_days.py
@@ -6,7 +6,7 @@
 
 from emulators.recorded_incidents import Fault, FaultKind, RecordedDay
 from snowthread.incident.clocks import Clocks
-from snowthread.incident.episodes import INCIDENTS, Episode
+from snowthread.incident.episodes import INCIDENT_KINDS, Episode
 from snowthread.incident.series import build_series
 from snowthread.incident.timeline import Timeline, build_timeline
 
@@ -29,7 +29,7 @@
     def incidents(self) -> list[Episode]:
         """The episodes that are an incident of their own."""
         episodes = [sentence.episode for sentence in self.timeline.sentences]
-        return [episode for episode in episodes if episode.kind in INCIDENTS]
+        return [episode for episode in episodes if episode.kind in INCIDENT_KINDS]
 
 
 def reconstruct(day: RecordedDay) -> Reconstruction:
