--- a/snowthread/records/model.py
+++ b/snowthread/records/model.py
@@ -1,9 +1,10 @@
 """The records of a node: their kinds, their fields and what the fields mean.
 
-Every record has its node's name, the boot it belongs to (a random word, new with each start), a number that
-goes up by one within the boot, and the node's own time in Unix milliseconds. A number that is missing belongs
-to a record that was lost. ``fields`` has only plain values, so that an older reader can show fields that it
-does not know. Kinds and names of fields are stored: they never change their meaning.
+Every record has the name of its node, the boot it belongs to (a random hexadecimal id, new with each start
+of the process), a number that goes up by one within the boot, and the time in Unix milliseconds by the node's
+own clock. A missing number belongs to a lost record. ``fields`` holds plain values only, so that an older
+reader can show fields that it does not know. Kinds and field names are stored in files: they never change
+their meaning.
 """
 
 from __future__ import annotations
@@ -12,11 +13,12 @@
 from enum import StrEnum
 from typing import Any, ClassVar, NamedTuple
 
-FORMAT_VERSION = 1  # version of the fields; a reader takes older ones, and newer ones as far as it knows them
+# Version of the fields. A reader accepts older versions, and newer ones as far as it knows their fields.
+FORMAT_VERSION = 1
 
 
 class RecordKind(StrEnum):
-    """The kinds of records that this version writes; the values are stored."""
+    """The kinds of records that this version writes; the values are stored in files."""
 
     START = "start"
     END = "end"
@@ -35,14 +37,14 @@
 
 
 class BootId(NamedTuple):
-    """One start of one node."""
+    """Identifies one start of one node."""
 
     node: str
     boot: str
 
 
 class RecordKey(NamedTuple):
-    """What identifies a record; two copies of one record share it."""
+    """Identifies a record; all copies of a record have the same key."""
 
     node: str
     boot: str
@@ -50,7 +52,7 @@
 
 
 class RecordDraft(NamedTuple):
-    """A record before it has a number and a time."""
+    """A record that has no number and no time yet."""
 
     kind: RecordKind
     fields: RecordFields
@@ -58,9 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One record; ``at`` is in Unix milliseconds by its node's clock.
+    """One record; ``at_ms`` is its time in Unix milliseconds by the clock of its node.
 
-    ``kind`` is a plain string, as a newer version may have written a kind that is not known here.
+    ``kind`` is a plain string and no RecordKind, because a newer version may have written a kind that this
+    version does not know.
     """
 
     node: str
@@ -72,34 +75,34 @@
 
     @property
     def key(self) -> RecordKey:
-        """What identifies this record."""
+        """The key that identifies this record."""
         return RecordKey(self.node, self.boot, self.number)
 
     @property
     def boot_id(self) -> BootId:
-        """The start of the node that this record belongs to."""
+        """The boot that this record belongs to."""
         return BootId(self.node, self.boot)
 
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Counts of one class and tenant in one second, under the names that are stored.
+    """Counts of the requests of one class and tenant in one second; the names of the attributes are stored.
 
-    Rejections are counted by when they came, failures by how far the run had got.
+    Rejections are counted by when the request was rejected, failures by the progress of its run.
     """
 
     read: int = 0
-    served: int = 0  # within the latency objective
+    served: int = 0  # served within the latency objective
     late: int = 0  # served after the latency objective
-    attached: int = 0  # of those served: with the result of another attempt's run
+    attached: int = 0  # served or late with the result of another attempt's run
     refused: int = 0  # rejected on arrival
     refused_held: int = 0  # rejected after being queued
     refused_leaving: int = 0  # rejected during the graceful shutdown
-    failed: int = 0  # before a run was started here
-    failed_running: int = 0  # after the run was started
-    failed_calling: int = 0  # while a call of the run was in flight
+    failed: int = 0  # failed before this node started a run
+    failed_running: int = 0  # failed after the run was started
+    failed_calling: int = 0  # failed while a call of the run was in flight
     left: int = 0  # cancelled by the caller
-    runs: int = 0  # runs started
+    runs: int = 0  # runs that were started for these requests
 
     NAMES: ClassVar[tuple[str, ...]] = (
         "read",
@@ -121,50 +124,50 @@
         return {name: value for name in self.NAMES if (value := getattr(self, name))}
 
 
-# What the fields of each kind mean; a test checks that docs/records.md names them all.
+# The meaning of the fields of each kind; a test checks that docs/records.md names them all.
 FIELD_DESCRIPTIONS: dict[RecordKind, dict[str, str]] = {
     RecordKind.START: {
-        "version": "the program's version",
+        "version": "version of the program",
         "pid": "process id",
-        "format": "version of the fields",
-        "classes": "name, latency objective and deadline in ms, of each class",
+        "format": "version of the record fields",
+        "classes": "of each class: name, latency objective in ms, deadline in ms",
         "cores": "cores of the runtime",
     },
     RecordKind.END: {
         "how": "left: after a shutdown notice; stopped: without one",
-        "seconds": "time since the start",
+        "seconds": "seconds since the start",
     },
-    RecordKind.CONFIG: {"taken": "whether the configuration was accepted", "text": "the line of the log"},
-    RecordKind.DRAIN: {"left_ms": "time until the process is killed"},
+    RecordKind.CONFIG: {"taken": "whether the configuration was accepted", "text": "the log line"},
+    RecordKind.DRAIN: {"left_ms": "time until the process is killed, in ms"},
     RecordKind.REGISTRATION: {"taking": "whether the node asks to be registered as accepting work"},
-    RecordKind.NOTE: {"text": "a line of the log that has an event"},
+    RecordKind.NOTE: {"text": "a log line that has an event name"},
     RecordKind.LINK: {
-        "peer": "the runtime, or a feature's peer",
+        "peer": "the other end of the connection: the runtime, or the peer of a feature",
         "up": "whether the connection is established",
-        "text": "why it was lost",
+        "text": "why the connection was lost",
     },
     RecordKind.SECOND: {
-        "ms": "length of the interval",
-        "totals": "counts of each class and tenant, see RequestCounts",
-        "runs": "durations of runs in ms, of each class: count, median, 99th percentile, longest",
-        "calls": "the same of calls to the database, by outcome",
+        "ms": "length of the interval in ms",
+        "totals": "request counts of each class and tenant, see RequestCounts",
+        "runs": "run durations in ms of each class: count, median, 99th percentile, longest",
+        "calls": "durations of database calls in ms of each outcome: count, median, 99th percentile, longest",
         "b": "the blocking probability",
         "limit": "the concurrency limit",
         "mu": "the learned service rate",
         "lambda": "the learned arrival rate",
-        "run_ages_s": "by class, seconds since a run last confirmed the learned times",
+        "run_ages_s": "of each class: seconds since a run last confirmed the learned times",
         "calls_in_hand": "calls in flight",
         "held": "requests queued",
         "running": "requests running",
-        "gauges": "the runtime's own load sample",
+        "gauges": "the last load sample from the runtime",
         "say": "the load report sent to balancers",
         "connections": "open connections",
         "keys": "idempotency keys remembered",
-        "memory_mb": "memory of the process",
-        "floors": "of each balancer: the least age of its requests in ms",
+        "memory_mb": "resident memory of the process in MiB",
+        "floors": "of each balancer: the least age of its requests on arrival, in ms",
     },
     RecordKind.GAP: {
-        "lost": "records that could not be written",
-        "why": "the error of the disk, or that the writer is behind",
+        "lost": "number of records that could not be written",
+        "why": "the error of the file system, or that the writer process is behind",
     },
 }
