--- a/snowthread/records/frame.py
+++ b/snowthread/records/frame.py
@@ -1,10 +1,10 @@
-"""Encode records as frames with a length and a CRC32C, so that damage to one record costs no other.
+"""Encode records as frames with a length and a CRC32C, so that a corrupt record does not affect any other.
 
     0xB7 0x52   length, 4 bytes   CRC32C of length and payload, 4 bytes   payload, msgpack
 
-Numbers are little-endian. The payload is a list: format, node, boot, number, time, kind, fields. A reader
-that meets an invalid frame searches for the next start of a frame whose checksum matches, and reports the
-bytes that it skipped as one InvalidFrame.
+Integers are little-endian. The payload is a list: format version, node, boot, number, time, kind, fields.
+After an invalid frame a reader searches for the next magic bytes that begin a frame with a matching checksum,
+and reports the bytes that it skipped as one InvalidFrame.
 """
 
 from __future__ import annotations
@@ -18,26 +18,28 @@
 from snowthread.records.model import FORMAT_VERSION, Record
 
 FRAME_MAGIC = b"\xb7R"
-FRAME_HEADER = struct.Struct("<2sII")  # start, length of the payload, checksum
+FRAME_HEADER = struct.Struct("<2sII")  # magic bytes, payload length, checksum
 LENGTH_FIELD = slice(len(FRAME_MAGIC), len(FRAME_MAGIC) + 4)
 PAYLOAD_MAX_BYTES = 256 * 1024
 
 
 class RecordTooLongError(ValueError):
-    """A record does not fit into a frame that could be read back."""
+    """The encoded record is longer than the largest payload that a reader accepts."""
 
     def __init__(self, payload_bytes: int) -> None:
-        super().__init__(f"a record of {payload_bytes} bytes, at most {PAYLOAD_MAX_BYTES} are read back")
+        super().__init__(
+            f"record is too long: {payload_bytes} bytes, at most {PAYLOAD_MAX_BYTES} are allowed"
+        )
         self.payload_bytes = payload_bytes
 
 
 class InvalidPayloadError(ValueError):
-    """A payload whose checksum matches is not a record."""
+    """The checksum of a payload matches, but the payload is not a record."""
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidFrame:
-    """A stretch of bytes without a valid frame; ``offset`` and ``size`` are in bytes."""
+    """Consecutive bytes of a stream that contain no valid frame; ``offset`` and ``size`` are in bytes."""
 
     offset: int
     size: int
@@ -48,7 +50,7 @@
     """Encode a record as a frame.
 
     Raises:
-        RecordTooLongError: It could not be read back.
+        RecordTooLongError: The payload exceeds ``PAYLOAD_MAX_BYTES``.
     """
     payload = msgpack.packb(
         [FORMAT_VERSION, record.node, record.boot, record.number, record.at_ms, record.kind, record.fields]
@@ -60,15 +62,15 @@
 
 
 def decode_record(payload: bytes) -> Record:
-    """Decode the payload of a frame whose checksum matches.
+    """Decode the payload of a frame whose checksum was verified.
 
     Raises:
-        InvalidPayloadError: It is not a record.
+        InvalidPayloadError: The payload is no msgpack list of a record's fields, or a field has a wrong type.
     """
     try:
         version, node, boot, number, at, kind, fields = msgpack.unpackb(payload, strict_map_key=False)[:7]
     except (ValueError, TypeError, msgpack.UnpackException) as error:
-        raise InvalidPayloadError(f"not a record: {error}") from None
+        raise InvalidPayloadError(f"payload is not a record: {error}") from None
     if not (
         isinstance(version, int)
         and isinstance(node, str)
@@ -78,24 +80,24 @@
         and isinstance(kind, str)
         and isinstance(fields, dict)
     ):
-        raise InvalidPayloadError("not a record: a field of another type")
+        raise InvalidPayloadError("payload is not a record: a field has the wrong type")
     return Record(node, boot, number, at, kind, fields)
 
 
 class FrameReader:
-    """Decode a stream of frames: bytes in, records and invalid stretches out.
+    """Decode a stream of bytes into records and InvalidFrame items.
 
-    It buffers the bytes of one unfinished frame at most.
+    Between calls it buffers at most the bytes of one incomplete frame.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._offset = 0  # of the first byte in the buffer
-        self._skipped_bytes = 0  # just before that offset, not reported yet
+        self._offset = 0  # offset in the stream of the first byte in the buffer
+        self._skipped_bytes = 0  # invalid bytes just before the buffer that are not reported yet
         self._skip_reason = ""
 
     def feed(self, data: bytes) -> list[Record | InvalidFrame]:
-        """Add bytes and return what can be decoded now."""
+        """Add the next bytes of the stream and return the items that are complete."""
         self._buffer += data
         items: list[Record | InvalidFrame] = []
         while self._read_frame(items, at_end=False):
@@ -103,38 +105,38 @@
         return items
 
     def end(self) -> list[Record | InvalidFrame]:
-        """Return what is left at the end of the stream; an unfinished frame is invalid."""
+        """Return the remaining items at the end of the stream; an incomplete frame is invalid."""
         items: list[Record | InvalidFrame] = []
         while self._read_frame(items, at_end=True):
             pass
         if self._buffer:
-            self._skip(len(self._buffer), "cut short")
+            self._skip(len(self._buffer), "truncated frame")
         self._report_skipped(items)
         return items
 
     def _read_frame(self, items: list[Record | InvalidFrame], *, at_end: bool) -> bool:
-        """Decode one frame or skip bytes that are none; return False if more data is needed first."""
+        """Decode one frame or skip invalid bytes; return False if more data is needed first."""
         buffer = self._buffer
         if not buffer.startswith(FRAME_MAGIC[: len(buffer)]):
-            return self._skip_to_start()
+            return self._skip_to_magic()
         if len(buffer) < FRAME_HEADER.size:
             return False
         _, size, checksum = FRAME_HEADER.unpack_from(buffer)
         if size > PAYLOAD_MAX_BYTES:
-            self._skip(1, "a length that can't be")
+            self._skip(1, "frame length exceeds the limit")
         elif len(buffer) < FRAME_HEADER.size + size:
             if not at_end:
                 return False
-            self._skip(1, "cut short")  # the length itself may be corrupt, and complete frames may follow
+            self._skip(1, "truncated frame")  # the length may be corrupt, and complete frames may follow
         else:
             self._read_payload(items, size, checksum)
         return True
 
     def _read_payload(self, items: list[Record | InvalidFrame], size: int, checksum: int) -> None:
-        """Decode the frame at the start of the buffer, which is complete, or skip it."""
+        """Decode the complete frame at the start of the buffer, or skip bytes if it is invalid."""
         payload = bytes(self._buffer[FRAME_HEADER.size : FRAME_HEADER.size + size])
         if crc32c(payload, crc32c(bytes(self._buffer[LENGTH_FIELD]))) != checksum:
-            self._skip(1, "the checksum does not hold")
+            self._skip(1, "checksum mismatch")
             return
         try:
             record = decode_record(payload)
@@ -145,19 +147,19 @@
         items.append(record)
         self._consume(FRAME_HEADER.size + size)
 
-    def _skip_to_start(self) -> bool:
-        """Skip to the next possible start of a frame; return False if more data is needed first."""
+    def _skip_to_magic(self) -> bool:
+        """Skip to the next possible frame magic; return False if more data is needed first."""
         buffer = self._buffer
         found = buffer.find(FRAME_MAGIC, 1)
         if found < 0:
-            found = len(buffer) - (buffer[-1] == FRAME_MAGIC[0])  # the second byte of a start may follow
+            found = len(buffer) - (buffer[-1] == FRAME_MAGIC[0])  # the second magic byte may follow
         if not found:
             return False
-        self._skip(found, "no frame starts here")
+        self._skip(found, "no frame magic")
         return True
 
     def _skip(self, size: int, reason: str) -> None:
-        """Skip bytes; the first reason of a stretch is the one that is reported."""
+        """Skip bytes; of consecutive skips only the first reason is reported."""
         self._consume(size)
         self._skipped_bytes += size
         self._skip_reason = self._skip_reason or reason
--- a/snowthread/records/reader.py
+++ b/snowthread/records/reader.py
@@ -55,19 +55,19 @@
     unreadable: list[str] = field(default_factory=list)
     records: int = 0
     files: int = 0
-    findings_left_out: int = 0  # gaps and corrupt frames beyond those listed
+    unlisted_findings: int = 0  # gaps and corrupt frames beyond those listed
 
     MAX_LISTED: ClassVar[int] = 1000  # gaps and corrupt frames
 
     @property
     def problems(self) -> int:
         """How many things were wrong."""
-        return len(self.unreadable) + len(self.corrupt_frames) + len(self.gaps) + self.findings_left_out
+        return len(self.unreadable) + len(self.corrupt_frames) + len(self.gaps) + self.unlisted_findings
 
     def add(self, found: Gap | CorruptFrame) -> None:
         """List a finding, or only count it beyond the bound."""
         if len(self.gaps) + len(self.corrupt_frames) >= self.MAX_LISTED:
-            self.findings_left_out += 1
+            self.unlisted_findings += 1
         elif isinstance(found, Gap):
             self.gaps.append(found)
         else:
--- a/tests/records/test_record_files.py
+++ b/tests/records/test_record_files.py
@@ -14,7 +14,7 @@
 from snowthread.records.frame import encode_record
 from snowthread.records.outbox import Outbox
 from snowthread.records.reader import Findings, merge_records
-from snowthread.records.retention import Retention, Segment, files_to_delete, is_full
+from snowthread.records.retention import Retention, StoredFile, files_to_delete, is_full
 
 RETENTION = Retention(file_bytes=1000, file_ms=10_000.0, total_bytes=3000, max_age_ms=60_000.0)
 ANY_AGE_MS = 1e15  # of files: the times in these tests are not those of the file system
@@ -28,10 +28,10 @@
 
 
 def test_the_oldest_files_are_deleted_but_never_the_current_one() -> None:
-    segments = [Segment(f"s{number}", 1000, number * 1000.0) for number in range(6)]
-    assert files_to_delete(segments, "s5", 6_000.0, RETENTION) == ["s0", "s1", "s2"]
-    assert files_to_delete(segments[:2], "s1", 61_000.0, RETENTION) == ["s0"]
-    assert files_to_delete([Segment("s", 9000, 0.0)], "s", 1e9, RETENTION) == []
+    stored_files = [StoredFile(f"s{number}", 1000, number * 1000.0) for number in range(6)]
+    assert files_to_delete(stored_files, "s5", 6_000.0, RETENTION) == ["s0", "s1", "s2"]
+    assert files_to_delete(stored_files[:2], "s1", 61_000.0, RETENTION) == ["s0"]
+    assert files_to_delete([StoredFile("s", 9000, 0.0)], "s", 1e9, RETENTION) == []
 
 
 def test_files_rotate_within_their_total_and_leave_other_nodes_alone(tmp_path: Path) -> None:
--- a/tests/records/test_record_program.py
+++ b/tests/records/test_record_program.py
@@ -138,10 +138,10 @@
     assert lines[0]["kind"] == "start" and lines[-1]["kind"] == "end"
     assert run("cat", "--kind", "end", records).stdout.count("\n") == 1
     complete = run("verify", records)
-    assert complete.returncode == 0 and "nothing wrong" in complete.stdout
-    assert "n1" in run("stats", records).stdout and "left" in run("stats", records).stdout
+    assert complete.returncode == 0 and "no problems found" in complete.stdout
+    assert "n1" in run("stats", records).stdout and "ended normally" in run("stats", records).stdout
     (file_of_records,) = Path(records).iterdir()
     file_of_records.write_bytes(file_of_records.read_bytes()[:-7])
     truncated = run("verify", records)
-    assert truncated.returncode == 1 and "cut short" in truncated.stdout
-    assert "no end is recorded" in run("stats", records).stdout
+    assert truncated.returncode == 1 and "truncated frame" in truncated.stdout
+    assert "no end recorded" in run("stats", records).stdout
