--- a/snowthread/records/log_lines.py
+++ b/snowthread/records/log_lines.py
@@ -1,4 +1,4 @@
-"""Which lines of the log are recorded, and as what."""
+"""Select the log lines that are recorded, and make record drafts of them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 if TYPE_CHECKING:
     import loguru
 
-TEXT_MAX_CHARS = 500  # of a line
-CONFIG_EVENTS = {"config.read": True, "config.refused": False}  # and whether the configuration was accepted
-# The observer records the runtime's connection itself.
-LINK_EVENTS = frozenset({"runtime.link_lost", "runtime.link_moved"})
-_PLAIN_TYPES = (str, int, float, bool)
+TEXT_MAX_CHARS = 500  # longer log lines are cut when they are recorded
+# Log events of configuration changes, with whether the configuration was accepted.
+CONFIG_EVENTS = {"config.read": True, "config.refused": False}
+# Log events that are not recorded, because the observer records the connection to the runtime itself.
+OBSERVED_EVENTS = frozenset({"runtime.link_lost", "runtime.link_moved"})
+_PLAIN_TYPES = (str, int, float, bool)  # types of the log fields that are recorded
 
 
-def draft_of(line: loguru.Record) -> RecordDraft | None:
-    """Return the record of a line of the log, or None if it has no event or is recorded otherwise."""
+def draft_from_log(line: loguru.Record) -> RecordDraft | None:
+    """Return the draft for a log line, or None if the line has no event or the observer records it."""
     event = line["extra"].get("event")
-    if not isinstance(event, str) or event in LINK_EVENTS:
+    if not isinstance(event, str) or event in OBSERVED_EVENTS:
         return None
     text = line["message"][:TEXT_MAX_CHARS]
     if event in CONFIG_EVENTS:
--- a/snowthread/records/open_request.py
+++ b/snowthread/records/open_request.py
@@ -1,23 +1,23 @@
-"""A request that the observer has seen arrive and not end."""
+"""The entry of the observer for a request that is not answered yet."""
 
 from __future__ import annotations
 
 from snowthread.records.model import RequestCounts
-from snowthread.records.second import Second
+from snowthread.records.second import SecondCounts
 
 
 class OpenRequest:
-    """A request that is not answered yet. No dataclass: one is made for each request."""
+    """A request that is not answered yet. Not a dataclass, because one is created for each request."""
 
     __slots__ = (
         "arrived_at_ms",
         "attempt_id",
         "call_in_flight",
         "class_name",
-        "counted_in",
+        "counts",
+        "counts_second",
         "run_started",
         "tenant",
-        "totals",
     )
 
     def __init__(self, attempt_id: str, class_name: str, tenant: str, arrived_at_ms: float) -> None:
@@ -27,5 +27,5 @@
         self.arrived_at_ms = arrived_at_ms
         self.run_started = False
         self.call_in_flight = False
-        self.totals: RequestCounts | None = None  # its row in the second where it was counted last
-        self.counted_in: Second | None = None
+        self.counts: RequestCounts | None = None  # the row in which the request was counted last
+        self.counts_second: SecondCounts | None = None  # the second that ``counts`` belongs to
--- a/snowthread/records/recorder.py
+++ b/snowthread/records/recorder.py
@@ -20,7 +20,7 @@
 from snowthread.records import writer
 from snowthread.records.batch import RecordBatch
 from snowthread.records.frame import encode_record
-from snowthread.records.log_lines import draft_of
+from snowthread.records.log_lines import draft_from_log
 from snowthread.records.model import FORMAT_VERSION, Record, RecordFields, RecordKind
 from snowthread.records.observer import Observer
 from snowthread.records.outbox import Outbox
@@ -112,7 +112,7 @@
         return fields
 
     def _record_log(self, message: Message) -> None:
-        draft = draft_of(message.record)
+        draft = draft_from_log(message.record)
         if draft is not None:
             self.record(draft.kind, draft.fields)
 
--- a/snowthread/records/second.py
+++ b/snowthread/records/second.py
@@ -1,4 +1,4 @@
-"""What one second of a node is made of: counts, durations, and the figures of the node. Free of I/O."""
+"""Count what happens in one second of a node, and make the fields of its record. Free of I/O."""
 
 from __future__ import annotations
 
@@ -11,30 +11,31 @@
 from snowthread.core.state import NodeState, RequestPhase
 from snowthread.records.model import RecordFields, RequestCounts
 
-COARSE_FROM_MS = 1000.0  # from here on durations are counted in coarse steps
+COARSE_FROM_MS = 1000.0  # durations from this length on are rounded down to COARSE_STEP_MS
 COARSE_STEP_MS = 10
-DURATION_MAX_MS = 3_600_000  # longer runs and calls count as this long
-DURATION_DIGITS = 2  # significant digits of the percentiles
+DURATION_MAX_MS = 3_600_000  # longer runs and calls are counted with this duration
+PERCENTILE_DIGITS = 2  # significant decimal digits of the recorded percentiles
 
-DurationCounts = dict[int, int]  # duration in ms, in coarse steps above the limit -> how often
-ClassAndTenant = tuple[str, str]  # class name and tenant; a plain tuple, as one is built for each request
+DurationCounts = dict[int, int]  # number of runs or calls by duration in ms
+ClassAndTenant = tuple[str, str]  # a plain tuple, as one is built for each request
 
 
 @dataclass(slots=True)
-class Second:
-    """What was counted since the last record of a second."""
+class SecondCounts:
+    """The counts since the last ``second`` record; ``started_at_ms`` is when they began."""
 
     started_at_ms: float
-    totals: dict[ClassAndTenant, RequestCounts] = field(default_factory=dict)
+    request_counts: dict[ClassAndTenant, RequestCounts] = field(default_factory=dict)
     run_durations: dict[str, DurationCounts] = field(default_factory=dict)  # by class name
     call_durations: dict[str, DurationCounts] = field(default_factory=dict)  # by outcome
-    least_age_ms: dict[int, float] = field(default_factory=dict)  # by caller: of its youngest request
+    least_age_ms_by_caller: dict[int, float] = field(default_factory=dict)  # by caller id
 
 
 def count_duration(durations: dict[str, DurationCounts], name: str, duration_ms: float) -> None:
-    """Count one duration under a name.
+    """Count one duration under a class or outcome name.
 
-    It goes into a histogram only once a second, as that takes ten times as long as a plain count.
+    Durations are counted in a dictionary and put into a histogram only once a second, because adding to the
+    histogram takes ten times as long as counting.
     """
     counts = durations.get(name)
     if counts is None:
@@ -47,8 +48,11 @@
     counts[value] = counts.get(value, 0) + 1
 
 
-def second_fields(second: Second, state: NodeState, now: float) -> RecordFields:
-    """Return the fields of a ``second``: what was counted, and the node's figures as they are now."""
+def second_fields(second: SecondCounts, state: NodeState, now: float) -> RecordFields:
+    """Return the fields of a ``second`` record: the counts, and the present state of the node.
+
+    ``now`` is the node's time in Unix milliseconds.
+    """
     fields = _counted_fields(second, now)
     if state.controller is not None:
         fields |= _controller_fields(state.controller, state.admission_clock.timestamp_s(now))
@@ -57,8 +61,8 @@
 
 
 def _summarize(counts: DurationCounts) -> list[int]:
-    """Return count, median, 99th percentile and maximum; the last three in ms."""
-    histogram = HdrHistogram(1, DURATION_MAX_MS, DURATION_DIGITS)
+    """Return the count, and the median, 99th percentile and maximum in ms."""
+    histogram = HdrHistogram(1, DURATION_MAX_MS, PERCENTILE_DIGITS)
     for value, count in counts.items():
         histogram.record_value(max(1, min(DURATION_MAX_MS, value)), count)
     return [
@@ -69,17 +73,19 @@
     ]
 
 
-def _counted_fields(second: Second, now: float) -> RecordFields:
+def _counted_fields(second: SecondCounts, now: float) -> RecordFields:
     fields: RecordFields = {
         "ms": round(now - second.started_at_ms, 1),
-        "totals": [[name, tenant, row.nonzero_counts()] for (name, tenant), row in second.totals.items()],
+        "totals": [
+            [name, tenant, row.nonzero_counts()] for (name, tenant), row in second.request_counts.items()
+        ],
     }
     if second.run_durations:
         fields["runs"] = {name: _summarize(counts) for name, counts in second.run_durations.items()}
     if second.call_durations:
         fields["calls"] = {name: _summarize(counts) for name, counts in second.call_durations.items()}
-    if second.least_age_ms:
-        fields["floors"] = second.least_age_ms
+    if second.least_age_ms_by_caller:
+        fields["floors"] = second.least_age_ms_by_caller
     return fields
 
 
