--- a/snowthread/records/recorder.py
+++ b/snowthread/records/recorder.py
@@ -1,4 +1,4 @@
-"""Record what a node does: frame the observer's counts and the log's lines, and send them to the writer."""
+"""Record what a node does: encode the drafts of the observer and the log, and send them to the writer."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 BOOT_ID_BYTES = 6
 BYTES_PER_MB = 2**20
 _MEMORY_FILE = Path("/proc/self/statm")
-_RESIDENT_FIELD = 1  # of the memory file, in pages
+_RESIDENT_FIELD = 1  # index in that file of the resident memory, which is in pages
 
 
 class Recorder:
-    """Records of one node. ``reduce`` takes the place of the reducer's: the same effects come out."""
+    """Records one node. Its ``reduce`` replaces the reducer's and returns the same effects."""
 
     def __init__(self, loop: EventLoop, settings: RecordSettings, config: Config, state: NodeState) -> None:
         self._loop = loop
@@ -50,7 +50,7 @@
         self._last_number = 0
         self._started_at_ms = loop.clock.now()
         self._observer = Observer(config.settings, self._started_at_ms)
-        self._outbox = Outbox(settings.waiting_bytes)
+        self._outbox = Outbox(settings.queue_max_bytes)
         self._batch = RecordBatch()
         self._count_connections: Callable[[], int] = lambda: 0
         self._page_bytes = os.sysconf("SC_PAGE_SIZE")
@@ -63,11 +63,11 @@
         loop.spawn(self._record_seconds())
 
     def set_connection_counter(self, connections: Callable[[], int]) -> None:
-        """Take the function that counts open connections, once there is one."""
+        """Set the function that counts open connections; until then 0 connections are recorded."""
         self._count_connections = connections
 
     def apply_settings(self, settings: Settings) -> None:
-        """Count the classes of these settings from now on."""
+        """Use the classes of these settings from now on."""
         self._observer.apply_settings(settings)
 
     def reduce(self, state: NodeState, message: events.Event, now: float) -> list[effects.Effect]:
@@ -78,14 +78,17 @@
         return produced
 
     def record(self, kind: RecordKind, fields: RecordFields) -> None:
-        """Add a record to the batch that is sent next, after a gap if records were dropped before it."""
+        """Add a record to the next batch, preceded by a ``gap`` record if records were dropped before it."""
         dropped = self._outbox.take_dropped()
         if dropped:
             self._add_to_batch(RecordKind.GAP, {"lost": dropped, "why": "the writer is behind"})
         self._add_to_batch(kind, fields)
 
     def close(self, how: str) -> None:
-        """Record the end and hand over what is left, waiting a little for the writer, which then ends too."""
+        """Record the end, send what is queued and close the socket, after which the writer process exits.
+
+        ``how`` goes into the ``end`` record. It waits a short time for the writer to take the queued batches.
+        """
         logger.remove(self._log_sink)
         now = self._loop.clock.now()
         self.record(RecordKind.SECOND, self._second_fields(now))
@@ -97,7 +100,7 @@
     def _record_seconds(self) -> TaskSteps:
         while True:
             now = self._loop.clock.now()
-            # At full seconds of the clock, so that the seconds of all nodes coincide.
+            # Waits for the next full second of the clock, so that the seconds of all nodes coincide.
             yield Wait(until_ms=now + SECOND_MS - now % SECOND_MS)
             self.record(RecordKind.SECOND, self._second_fields(self._loop.clock.now()))
             self._close_batch()
@@ -121,7 +124,7 @@
         record = Record(self._node, self._boot, self._last_number, self._loop.clock.now(), kind, fields)
         try:
             frame = encode_record(record)
-        except ValueError:  # it is too long, or has a value that can't be encoded
+        except ValueError:  # the record is too long, or has a value that cannot be encoded
             frame = b""
         if not frame or len(frame) > writer.BATCH_MAX_BYTES:
             self._outbox.drop(1)
--- a/tests/records/test_record_program.py
+++ b/tests/records/test_record_program.py
@@ -95,7 +95,7 @@
         assert ask(listen_address(path), "match", b"grey") == [1, 1, None, [b"GREY", {}]]
         children = Path(f"/proc/{node.pid}/task/{node.pid}/children").read_text().split()
         os.kill(int(children[0]), signal.SIGKILL)
-        assert any("the writer has ended" in line for line in iter(node.stderr.readline, ""))
+        assert any("the writer process has exited" in line for line in iter(node.stderr.readline, ""))
         assert ask(listen_address(path), "match", b"grey") == [1, 1, None, [b"GREY", {}]]
         node.send_signal(signal.SIGTERM)
         assert node.wait(PATIENCE_S) == 0
