--- a/tests/records/test_record_files.py
+++ b/tests/records/test_record_files.py
@@ -1,4 +1,4 @@
-"""Files of records: rotation, retention, disk errors, and the bounded queue before them."""
+"""Record files: rotation, retention, disk errors, and the bounded queue in front of the writer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from snowthread.records.retention import Retention, StoredFile, files_to_delete, is_full
 
 RETENTION = Retention(file_bytes=1000, file_ms=10_000.0, total_bytes=3000, max_age_ms=60_000.0)
-ANY_AGE_MS = 1e15  # of files: the times in these tests are not those of the file system
+ANY_AGE_MS = 1e15  # no file is older, although the times in these tests are not those of the file system
 ANY_AGE = replace(RETENTION, max_age_ms=ANY_AGE_MS)
 UNBOUNDED = Retention(max_age_ms=ANY_AGE_MS)
 
@@ -73,7 +73,7 @@
 
     def write_to_full_disk(fd: int, data: bytes) -> int:
         if len(data) > 20:
-            return real_write(fd, data[:20])  # an incomplete frame, then nothing
+            return real_write(fd, data[:20])  # a partial frame is written, then the disk is full
         raise OSError(errno.ENOSPC, "No space left on device")
 
     with monkeypatch.context() as patched:
--- a/tests/records/test_record_frame.py
+++ b/tests/records/test_record_frame.py
@@ -1,4 +1,4 @@
-"""Frames of records: truncated at every byte, flipped at every byte, split anywhere, with garbage between."""
+"""Frames: truncated at every byte, altered at every byte, split anywhere, with invalid bytes between them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def read(data: bytes) -> tuple[list[Record], list[InvalidFrame]]:
-    """Decode a complete stream into its records and its invalid stretches."""
+    """Decode a complete stream into its records and its invalid frames."""
     reader = FrameReader()
     items = reader.feed(data) + reader.end()
     records = [item for item in items if isinstance(item, Record)]
@@ -27,7 +27,7 @@
     assert read(STREAM) == (THREE, [])
 
 
-def test_truncation_at_any_byte_costs_the_truncated_record_only() -> None:
+def test_truncation_at_any_byte_loses_only_the_truncated_record() -> None:
     ends = [SIZES[0], SIZES[0] + SIZES[1], len(STREAM)]
     for size in range(len(STREAM)):
         records, invalid = read(STREAM[:size])
@@ -36,24 +36,24 @@
         assert sum(frame.size for frame in invalid) == size - ([0, *ends][complete])
 
 
-def test_a_flipped_byte_costs_its_own_record_only() -> None:
+def test_an_altered_byte_loses_only_its_own_record() -> None:
     for offset in range(len(STREAM)):
         corrupt = bytearray(STREAM)
         corrupt[offset] ^= 0x5A
         records, invalid = read(bytes(corrupt))
         if offset < SIZES[0]:
-            hit = 0
+            corrupt_index = 0
         elif offset < len(STREAM) - SIZES[2]:
-            hit = 1
+            corrupt_index = 1
         else:
-            hit = 2
-        assert records == [record for index, record in enumerate(THREE) if index != hit], offset
+            corrupt_index = 2
+        assert records == [record for index, record in enumerate(THREE) if index != corrupt_index], offset
         assert invalid
 
 
 @given(st.binary(max_size=400), st.lists(st.integers(0, 500), max_size=5))
 @settings(max_examples=150, deadline=None)
-def test_garbage_between_records_and_any_split_lose_none_of_them(noise: bytes, splits: list[int]) -> None:
+def test_invalid_bytes_between_records_and_any_split_lose_no_record(noise: bytes, splits: list[int]) -> None:
     data = encode_record(THREE[0]) + noise + encode_record(THREE[1])
     reader = FrameReader()
     items: list[Record | InvalidFrame] = []
--- a/tests/records/test_record_observer.py
+++ b/tests/records/test_record_observer.py
@@ -1,4 +1,4 @@
-"""The observer: what the reducer did is what is counted, and its effects come out unchanged."""
+"""The observer counts what the reducer did, and leaves its effects unchanged."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
     "failed_running",
     "failed_calling",
     "left",
-)  # the counts of which each request that was read adds to exactly one
+)  # each request that was read adds to exactly one of these counts
 
 
 class ObservedReducer:
-    """A reducer whose steps are observed."""
+    """A reducer with an observer that is given each of its steps."""
 
     def __init__(self) -> None:
         self.now = START_MS
@@ -75,12 +75,12 @@
         self.post(events.RunCompleted(attempt_id, outcome, duration_ms, b"r"))
 
     def take_counts(self) -> dict[tuple[str, str], dict[str, int]]:
-        """Return the counts since the last call by class and tenant."""
+        """Return the nonzero counts since the last call by class and tenant."""
         fields = self.observer.take_second_fields(self.state, self.now)
         return {(name, tenant): counts for name, tenant, counts in fields["totals"]}
 
 
-def test_each_end_of_a_request_is_counted_as_what_it_was() -> None:
+def test_each_outcome_of_a_request_is_counted_under_its_name() -> None:
     reducer = ObservedReducer()
     reducer.complete(reducer.request(1, tenant="a"), 100.0)
     reducer.complete(reducer.request(2), 3300.0)  # past the latency objective of 3.2 s
@@ -104,7 +104,7 @@
     assert len(reducer.observer) == 0 and reducer.take_counts() == {}
 
 
-def test_rejections_are_counted_by_when_they_came() -> None:
+def test_rejections_are_counted_by_when_the_request_was_rejected() -> None:
     reducer = ObservedReducer()
     for number in range(1, 6):
         reducer.request(number)
@@ -122,7 +122,7 @@
     assert (RecordKind.REGISTRATION, {"taking": False}) in reducer.drafts
 
 
-def test_each_request_ends_exactly_once_whatever_comes() -> None:
+def test_each_request_ends_exactly_once_in_any_sequence_of_events() -> None:
     rng = random.Random(4)
     reducer = ObservedReducer()
     sums = RequestCounts()
@@ -148,7 +148,7 @@
     assert sums.read == ended + still_open and sums.read > 300 and still_open < 120
 
 
-def test_a_seconds_tenants_are_bounded_and_none_is_lost() -> None:
+def test_tenants_of_a_second_are_bounded_and_no_request_is_lost() -> None:
     reducer = ObservedReducer()
     for number in range(1, MAX_TENANT_ROWS + 100):
         reducer.request(number, tenant=f"t{number}")
@@ -179,7 +179,7 @@
     assert all(f"`{name}`" in page for name in RequestCounts.NAMES)
 
 
-def test_effects_come_out_unchanged() -> None:
+def test_observing_leaves_the_effects_unchanged() -> None:
     plain = NodeState(SETTINGS, 7, (), AdmissionClock(START_MS))
     observed = ObservedReducer()
     observed.state.gauge_names = ()
--- a/tests/records/test_record_program.py
+++ b/tests/records/test_record_program.py
@@ -1,4 +1,4 @@
-"""A program that records: what it leaves behind, and that it goes on whatever the writer does."""
+"""A node program that records: what it leaves on disk, and that it survives failures of the writer."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def serve_and_stop(path: Path, file: Path) -> int:
-    """Serve until the node listens, shut it down, and return its status."""
+    """Start a node, shut it down once it listens, and return its exit status."""
     with started("-m", "snowthread", "serve", "--with", str(file), env=environment(path)) as node:
         assert node.stderr is not None and "listens on" in node.stderr.readline()
         node.send_signal(signal.SIGTERM)
@@ -72,7 +72,7 @@
 
 
 def wait_for_served(folder: Path, wanted: int) -> list[Record]:
-    """Wait until the records show so many served requests, and return them."""
+    """Wait until the records show ``wanted`` served requests, and return the records."""
     deadline = time.monotonic() + PATIENCE_S
     while True:
         records = list(merge_records([folder], Findings()))
--- a/tests/stored/test_hot_restart_messages.py
+++ b/tests/stored/test_hot_restart_messages.py
@@ -1,9 +1,9 @@
-"""What an old and a new process of version 4b467b1 send each other, played to the present version.
+"""Hot restart messages of version 4b467b1, in both directions, exchanged with the present version.
 
-``tests/data/stored/hot_restart`` holds one stream for each direction, made once with version 4b467b1:
-``encode`` of the literal messages below, in their order. What a node sends in the sessions that are played
-here was compared with it in that version, byte for byte. The files are not to be made anew: a message that
-can't be read any more means that a newer version can't replace a node while it serves.
+``tests/data/stored/hot_restart`` holds one stream for each direction, written once with version 4b467b1 by
+``encode`` from the literal messages below, in their order. The bytes that a node sends in the sessions below
+were compared with that version, byte for byte. Do not regenerate the files: a message that this version
+cannot read means that it cannot replace a running node of an earlier version.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
     f"00000000000000{number}" for number in ("a1", "a2", "a3", "b1", "b2", "b3")
 )
 
-# Each message as it is decoded; a key's own message is encoded from an IdempotencyRecord.
+# Each message as it is decoded; a KeyReplicated message is encoded from an IdempotencyRecord.
 PREDECESSOR_TO_SUCCESSOR: tuple[IncomingMessage, ...] = (
     events.KeyReplicated("key-running", RUNNING, UNTIL, CONTENT, False, None),
     events.KeyReplicated("key-done", DONE, UNTIL + 0.5, CONTENT, True, b"\x00result\xff"),
@@ -76,7 +76,7 @@
 
 
 def encoded(message: IncomingMessage) -> bytes:
-    """Return the bytes of a message; a key's is made from the record that its sender has."""
+    """Return the bytes of a message; KeyReplicated is encoded from the record that its sender holds."""
     if isinstance(message, events.KeyReplicated):
         return encode(
             IdempotencyRecord(
@@ -93,7 +93,7 @@
 
 
 def stored_messages(name: str) -> list[bytes]:
-    """Return the stored stream, cut into its messages."""
+    """Return the messages of a stored stream."""
     data = (STORED / name).read_bytes()
     stream = unpacker()
     messages = []
@@ -107,7 +107,7 @@
 
 
 def decoded(data: bytes) -> IncomingMessage:
-    """Return what the bytes of one message say."""
+    """Decode the bytes of one message."""
     stream = unpacker()
     stream.feed(data)
     return decode(stream.unpack())
@@ -129,7 +129,8 @@
         for offset in range(len(data)):
             altered = bytearray(data)
             altered[offset] ^= 0x01
-            with suppress(ValueError, msgpack.UnpackException):  # no message at all, which is as good
+            # An altered byte is also detected if the bytes are rejected as no message.
+            with suppress(ValueError, msgpack.UnpackException):
                 assert decoded(bytes(altered)) != STREAMS[name][number], (number, offset)
 
 
@@ -156,19 +157,19 @@
 
 
 class Session:
-    """A node of the present version, and a socket on which the test is the other process."""
+    """A node of the present version, and a socket on which the test acts as the other process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.door = loopback(socket.SOCK_STREAM)
-        self.path = str(folder / "beside")  # both versions look for this name
+        self.balancer_listener = loopback(socket.SOCK_STREAM)
+        self.path = str(folder / "beside")  # socket name that processes of both versions look for
         self.listener: socket.socket | None = None
         self.other: socket.socket | None = None
         self.player: ExchangePlayer | None = None
 
     def start_node(self) -> ExchangePlayer:
-        """Start the node; it takes its role by what it finds in the folder."""
-        self.player = ExchangePlayer(os.dup(self.door.fileno()), str(self.folder))
+        """Start the node; its role depends on whether another process listens in the folder."""
+        self.player = ExchangePlayer(os.dup(self.balancer_listener.fileno()), str(self.folder))
         self.player.settle()
         return self.player
 
@@ -178,41 +179,41 @@
         return self.player.node.state.handover_role
 
     def listen(self) -> None:
-        """Be the older process."""
+        """Listen on the socket as the older process."""
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.listener.bind(self.path)
         self.listener.listen()
 
     def accept(self) -> None:
-        """Take the node's connection."""
+        """Accept the connection of the node."""
         assert self.listener is not None
         self.listener.settimeout(PATIENCE_S)
         self.other = self.listener.accept()[0]
         self.other.setblocking(False)
 
     def connect(self) -> None:
-        """Be the newer process."""
+        """Connect to the node as the newer process."""
         self.other = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.other.connect(self.path)
         self.other.setblocking(False)
 
     def play(self, messages: list[bytes]) -> None:
-        """Send stored messages."""
+        """Send stored messages to the node."""
         assert self.other is not None and self.player is not None
         self.other.sendall(b"".join(messages))
         self.player.settle()
 
     def expect(self, messages: list[bytes]) -> None:
-        """Check that the node sends just these bytes."""
+        """Check that the node sends exactly these messages, byte for byte."""
         assert self.other is not None and self.player is not None
-        wanted = b"".join(messages)
-        came = b""
+        expected = b"".join(messages)
+        received = b""
         end = time.monotonic() + PATIENCE_S
-        while len(came) < len(wanted) and time.monotonic() < end:
+        while len(received) < len(expected) and time.monotonic() < end:
             self.player.settle()
-            came += self._read()
+            received += self._read()
         self.player.settle()
-        assert came + self._read() == wanted
+        assert received + self._read() == expected
 
     def _read(self) -> bytes:
         assert self.other is not None
@@ -221,8 +222,8 @@
         except BlockingIOError:
             return b""
 
-    def end_other(self) -> None:
-        """End the other process."""
+    def close_other(self) -> None:
+        """Close the sockets of the other process, as when it exits."""
         for sock in (self.other, self.listener):
             if sock is not None:
                 sock.close()
@@ -230,7 +231,7 @@
         self.listener = None
 
     def close(self) -> None:
-        """End the node and close every socket."""
+        """Stop the node and close all sockets."""
         if self.player is not None:
             if self.player.node.hot_restart is not None:
                 self.player.node.hot_restart.close()
@@ -238,8 +239,8 @@
             self.player.node.loop.run()
             for sock in (*self.player.peers.values(), *self.player.listeners.values()):
                 sock.close()
-        self.end_other()
-        self.door.close()
+        self.close_other()
+        self.balancer_listener.close()
 
 
 @pytest.fixture
@@ -252,12 +253,12 @@
 
 
 def request(key: str, attempt: str) -> events.RequestReceived:
-    """Return a request with a key, as a balancer's connection gives it to the node."""
+    """Return the event of a received request with an idempotency key."""
     return events.RequestReceived((99, 1), attempt, "dispense", b"p", START, 5000.0, 4, 20.0, 0.5, key)
 
 
 def check_records_of_the_predecessor(table: IdempotencyTable) -> IdempotencyRecord:
-    """Check the first three records of the stored stream; return the one whose run goes on."""
+    """Check the first three records of the stored stream; return the one whose run is not completed."""
     running, done, failed = (table.find_by_attempt(attempt) for attempt in (RUNNING, DONE, FREED))
     assert running is not None and done is not None and failed is not None
     assert (running.idempotency_key, running.expires_at_ms, running.body_digest) == (
@@ -272,36 +273,36 @@
 
 
 def test_successor_takes_over_from_an_older_process(session: Session) -> None:
-    theirs = stored_messages("older_to_newer.msgpack")
-    ours = stored_messages("newer_to_older.msgpack")
+    peer_messages = stored_messages("older_to_newer.msgpack")
+    expected_messages = stored_messages("newer_to_older.msgpack")
     session.listen()
     player = session.start_node()
     session.accept()
     node = player.node
     hot_restart = node.hot_restart
     assert hot_restart is not None
-    session.expect(ours[:1])  # hello
+    session.expect(expected_messages[:1])  # the message hello
     assert session.role() is HandoverRole.SUCCESSOR and not node.balancers.accepting
 
-    session.play(theirs[:6])  # three keys, drain, load, and that these are all
-    session.expect(ours[1:2])  # takes
+    session.play(peer_messages[:6])  # three keys, drain, load, and the end of the keys ("all")
+    session.expect(expected_messages[1:2])  # the message takes
     assert node.balancers.accepting and not hot_restart.settled
     running = check_records_of_the_predecessor(node.state.idempotency_table)
     assert node.state.peer_load == events.PeerLoadReported(0, 0.0, 0, 16) and not node.state.drained
 
-    session.play(theirs[6:7])  # yours
+    session.play(peer_messages[6:7])  # the message yours
     assert hot_restart.settled
     node.post(request("key-requested", REQUESTED))
-    session.expect(ours[2:3])  # asked
+    session.expect(expected_messages[2:3])  # the message asked
     assert "key-requested" in node.state.pending_claims
 
-    session.play(theirs[7:9])  # the result of one key, another is free
+    session.play(peer_messages[7:9])  # the result of one key, and the release of another
     assert running.completed and running.result == b"late result"
     assert node.state.idempotency_table.find_by_attempt(FREED) is None
-    session.play(theirs[9:10])  # judged: granted
+    session.play(peer_messages[9:10])  # the message judged, which grants the claim
     assert node.state.pending_claims == {}
-    session.play(theirs[11:14])
-    assert running.result == b"late result"  # a result stays
+    session.play(peer_messages[11:14])
+    assert running.result == b"late result"  # a completion without a result does not remove a known one
     assert node.state.peer_load == events.PeerLoadReported(3, 61_440.5, 2, 40) and node.state.drained
 
 
@@ -312,9 +313,9 @@
     session.expect(stored_messages("newer_to_older.msgpack")[:1])
     session.play(stored_messages("older_to_newer.msgpack")[:7])
     session.expect(stored_messages("newer_to_older.msgpack")[1:2])
-    session.end_other()
+    session.close_other()
     player.settle()
-    player.clock.now_ms += 1000.0  # it connects again before the other counts as exited
+    player.clock.now_ms += 1000.0  # the node tries to reconnect before it treats the process as exited
     player.settle()
     assert session.role() is HandoverRole.STANDALONE
     done = player.node.state.idempotency_table.find_by_attempt(DONE)
@@ -322,8 +323,8 @@
 
 
 def test_predecessor_hands_over_to_a_newer_process(session: Session) -> None:
-    ours = stored_messages("older_to_newer.msgpack")
-    theirs = stored_messages("newer_to_older.msgpack")
+    expected_messages = stored_messages("older_to_newer.msgpack")
+    peer_messages = stored_messages("newer_to_older.msgpack")
     player = session.start_node()
     node = player.node
     hot_restart = node.hot_restart
@@ -334,25 +335,25 @@
         node.post(message)
 
     session.connect()
-    session.play(theirs[:1])  # hello
-    session.expect(ours[:6])  # three keys, drain, load, all
+    session.play(peer_messages[:1])  # the message hello
+    session.expect(expected_messages[:6])  # three keys, drain, load, all
     assert session.role() is HandoverRole.PREDECESSOR and node.balancers.accepting
 
-    session.play(theirs[1:2])  # takes
-    session.expect(ours[6:7])  # yours
+    session.play(peer_messages[1:2])  # the message takes
+    session.expect(expected_messages[6:7])  # the message yours
     assert node.state.superseded and not node.balancers.accepting
 
-    session.play(theirs[2:4])  # asks for a free key and for one that has an owner
-    session.expect(ours[9:11])  # judged: granted, not granted
+    session.play(peer_messages[2:4])  # claims for a key without an owner and for one with an owner
+    session.expect(expected_messages[9:11])  # two messages judged: one claim is granted, one is not
     requested = node.state.idempotency_table.find_by_attempt(REQUESTED)
     assert requested is not None and requested.owned_by_peer and requested.body_digest == REQUESTED_CONTENT
 
-    session.play(theirs[4:7])  # the key's window, its result, and a key whose name is no text
+    session.play(peer_messages[4:7])  # the expiry of the key, its result, and a key that is not valid UTF-8
     assert requested.expires_at_ms == 1_764_576_060_250.0
     assert requested.completed and requested.result == b"its result"
     other = node.state.idempotency_table.find_by_attempt(NEW)
     assert other is not None and other.idempotency_key == "key-n\udce9w" and other.result == b"r"
 
-    session.play(theirs[7:])
+    session.play(peer_messages[7:])
     assert node.state.idempotency_table.find_by_attempt(NEW) is None
     assert node.state.peer_load == events.PeerLoadReported(1, 20_480.0, 1, 18) and node.state.drained
--- a/tests/stored/test_stored_formats.py
+++ b/tests/stored/test_stored_formats.py
@@ -1,10 +1,9 @@
-"""What version 4b467b1 stored, read and written anew by the present version: the same values, the same bytes.
+"""Files that version 4b467b1 stored: this version reads the same values and writes the same bytes.
 
-The data in ``tests/data/stored`` was made once, with version 4b467b1, from the literal values below: the
-record files by the writer's ``Files`` (a failed batch lies between the two), the others by the ``encode`` or
-``write`` function of their format. The files are not to be made anew: one that can't be read any more means
-that a node can't read what an earlier version left. What is stored for recovery has a
-test file of its own.
+The files in ``tests/data/stored`` were written once, with version 4b467b1, from the literal values below: the
+record files by its writer's class ``Files`` (a failed batch lies between the two files), the others by the
+``encode`` or ``write`` function of their format. Do not regenerate them: a file that this version cannot read
+means that a node cannot read what an earlier version left. Files stored for recovery have their own tests.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 from snowthread.records.observer import Observer
 from snowthread.records.reader import Findings, Gap, merge_records
 from snowthread.records.retention import Retention
-from snowthread.tenants import snapshot as tenant_disk
+from snowthread.tenants import snapshot as tenant_snapshot
 from snowthread.tenants.model import BalancerRange, Tenant, TenantStatus
 
 ROOT = Path(__file__).parents[2]
@@ -38,7 +37,9 @@
 
 NODE, BOOT = "node/a", "5e0c71d2"
 FIRST_FILE = "node_a-1764576000000-5e0c71d2-000001.records"
-SECOND_FILE = "node_a-1764576005000-5e0c71d2-000003.records"  # the failed try to open one is counted
+SECOND_FILE = (
+    "node_a-1764576005000-5e0c71d2-000003.records"  # number 2 went to a failed attempt to open a file
+)
 
 SECOND: RecordFields = {
     "ms": 3440.0,
@@ -89,12 +90,12 @@
 
 
 def append_records(files: RecordFiles, records: tuple[Record, ...], now: float) -> None:
-    """Append the records as one batch."""
+    """Append the records to the files as one batch."""
     files.append(b"".join(encode_record(record) for record in records), len(records), now)
 
 
 def write_record_files(folder: Path) -> None:
-    """Write two files; the batch between them fails, as a file stands where the folder should be."""
+    """Write two files; the batch between them fails, because a file is in the place of the folder."""
     files = RecordFiles(folder, NODE, BOOT, Retention(file_ms=1000.0))
     append_records(files, BEFORE_FAILURE, START)
     moved = folder.with_name("moved")
@@ -125,7 +126,7 @@
 
 
 def observe_a_second() -> RecordFields:
-    """Return the fields of a ``second`` record: one request served, one late, two open with keys."""
+    """Return the fields of a ``second`` record: one request in time, one late, two open with keys."""
     settings = config.parse(json.loads((ROOT / "examples" / "node.json").read_bytes())).settings
     now = START
     state = NodeState(settings, 7, ("core_use",), AdmissionClock(now))
@@ -155,7 +156,7 @@
 
 
 def read_record_files(folder: Path) -> tuple[list[Record], Findings]:
-    """Return all records of a folder in their order, and what was wrong."""
+    """Return all records of a folder in their order, and the problems found."""
     findings = Findings()
     return list(merge_records([folder], findings)), findings
 
@@ -201,7 +202,7 @@
 def test_an_observed_second_has_the_stored_fields() -> None:
     observed = observe_a_second()
     assert observed == SECOND
-    assert list(observed) == list(SECOND)  # their order is that of the stored bytes
+    assert list(observed) == list(SECOND)  # the stored bytes depend on the order of the fields
 
 
 def test_totals_are_stored_under_their_names() -> None:
@@ -234,11 +235,13 @@
         "runs": 12,
     }
     assert totals.nonzero_counts() == expected
-    assert list(totals.nonzero_counts()) == list(expected)  # their order is that of the stored bytes
+    assert list(totals.nonzero_counts()) == list(
+        expected
+    )  # the stored bytes depend on the order of the counts
 
 
 @pytest.mark.parametrize("name", [FIRST_FILE, SECOND_FILE])
-def test_any_altered_byte_of_stored_records_is_told(name: str) -> None:
+def test_any_altered_byte_of_stored_records_is_detected(name: str) -> None:
     data = (STORED / "records" / name).read_bytes()
     for offset in range(len(data)):
         altered = bytearray(data)
@@ -265,11 +268,11 @@
     Tenant("t-2", "Tinte ü", quota_per_s=120.0),
     Tenant("default", "others"),
 )
-TENANT_SNAPSHOT = tenant_disk.Snapshot(TENANTS, START, SOURCE, "ldap://10.0.0.1:389", b"\x00cookie\n")
+TENANT_SNAPSHOT = tenant_snapshot.Snapshot(TENANTS, START, SOURCE, "ldap://10.0.0.1:389", b"\x00cookie\n")
 
 
 def test_the_stored_tenant_snapshot_is_read_with_quotas_and_networks() -> None:
-    snapshot = tenant_disk.read(STORED / "tenants.snapshot", SOURCE)
+    snapshot = tenant_snapshot.read(STORED / "tenants.snapshot", SOURCE)
     assert snapshot == TENANT_SNAPSHOT
     first, second, third = snapshot.tenants
     assert first.id == "t-1" and first.name == "Farbhof"
@@ -285,14 +288,14 @@
 
 
 def test_the_stored_tenant_snapshot_of_another_source_is_refused() -> None:
-    with pytest.raises(tenant_disk.SnapshotError, match="another directory"):
-        tenant_disk.read(STORED / "tenants.snapshot", "dc=other")
+    with pytest.raises(tenant_snapshot.SnapshotError, match="another directory"):
+        tenant_snapshot.read(STORED / "tenants.snapshot", "dc=other")
 
 
 def test_a_tenant_snapshot_written_anew_has_the_stored_bytes(tmp_path: Path) -> None:
     stored = (STORED / "tenants.snapshot").read_bytes()
     assert stored.startswith(b"snowthread-tenants 1 ")
-    tenant_disk.write(tmp_path / "tenants.snapshot", tenant_disk.encode(TENANT_SNAPSHOT))
+    tenant_snapshot.write(tmp_path / "tenants.snapshot", tenant_snapshot.encode(TENANT_SNAPSHOT))
     assert (tmp_path / "tenants.snapshot").read_bytes() == stored
     without_cookie = replace(TENANT_SNAPSHOT, cookie=None, tenants=())
-    assert tenant_disk.decode(tenant_disk.encode(without_cookie)) == without_cookie
+    assert tenant_snapshot.decode(tenant_snapshot.encode(without_cookie)) == without_cookie
--- a/tests/stored/test_stored_recovery.py
+++ b/tests/stored/test_stored_recovery.py
@@ -1,8 +1,8 @@
-"""What version 4b467b1 stored for recovery, read and written anew: the same values, the same bytes.
+"""Files that version 4b467b1 stored for recovery: this version reads and writes the same values and bytes.
 
-The data in ``tests/data/stored`` was made once, with version 4b467b1, from the literal values below by the
-``encode`` or ``write`` function of its format. ``roster_reports.txt`` has one report datagram a line. The
-files are not to be made anew: one that can't be read any more means that a node can't read what an earlier
+The files in ``tests/data/stored`` were written once, with version 4b467b1, from the literal values below by
+the ``encode`` or ``write`` function of their format. ``roster_reports.txt`` has one report datagram per line.
+Do not regenerate them: a file that this version cannot read means that a node cannot read what an earlier
 version left.
 """
 
@@ -26,7 +26,7 @@
 STORED = Path(__file__).parents[2] / "tests" / "data" / "stored"
 START = 1_764_576_000_000.0
 
-# Snapshot of what was learned, incarnation and membership.
+# Snapshot of the learned times, incarnation and membership.
 
 LEARNED = LearnedTimes(
     core_time_s={"dispense": 0.125, "match": 0.3},
@@ -37,7 +37,7 @@
 SNAPSHOT = Snapshot(9, 5, START, LEARNED)
 
 
-def test_stored_snapshot_is_read_with_what_was_learned() -> None:
+def test_stored_snapshot_is_read_with_the_learned_times() -> None:
     data = storage.read_state_file(STORED / "warm")
     decoded = decode_snapshot(data)
     snapshot = decoded.snapshot
@@ -84,7 +84,7 @@
 
 
 def member_reports() -> list[bytes]:
-    """Return report datagrams: of a member without a count yet, a cold, a warm, and a node of no fleet."""
+    """Return datagrams of a member without an incarnation, a cold and a warm one, and a node in no fleet."""
     return [
         encode_report("node-a", True, FleetMembership(0, 3).report_suffix(True)),
         encode_report("node-a", True, FleetMembership(5, 3).report_suffix(True)),
@@ -104,7 +104,7 @@
     assert member_reports() == stored
 
 
-def test_answer_to_a_membership_report_is_read() -> None:
+def test_answer_to_a_membership_report_is_decoded() -> None:
     membership = FleetMembership(0, 3)
     assert membership.handle_answer(b"FLEET 9 3 1 4", START)
     assert membership.view == FleetView(generation=9, listed_nodes=3, cold_nodes=1, received_at_ms=START)
@@ -128,7 +128,7 @@
     return bytes(buffer)
 
 
-def test_stored_key_log_holds_its_keys_until_their_times() -> None:
+def test_stored_key_log_holds_its_keys_and_expiry_times() -> None:
     found = key_log.decode_key_log((STORED / "warm" / "keys.ring").read_bytes())
     assert found.status is key_log.KeyLogStatus.COMPLETE and found.reason == ""
     assert found.keys == {
@@ -148,7 +148,7 @@
     assert make_key_log() == (STORED / "warm" / "keys.ring").read_bytes()
 
 
-def test_stored_key_log_is_opened_and_takes_the_next_key(tmp_path: Path) -> None:
+def test_stored_key_log_is_opened_and_appended_to(tmp_path: Path) -> None:
     (tmp_path / "keys.ring").write_bytes((STORED / "warm" / "keys.ring").read_bytes())
     result = storage.open_key_log(tmp_path, 0.0)
     found, opened = result.contents, result.key_log
@@ -160,10 +160,10 @@
 
 def test_any_altered_byte_of_the_stored_key_log_is_detected() -> None:
     data = (STORED / "warm" / "keys.ring").read_bytes()
-    whole = key_log.decode_key_log(data)
-    header = set(range(24))  # without its padding, which is not read
+    unaltered = key_log.decode_key_log(data)
+    header = set(range(24))  # the padding after it is not read
     slots = {32 + 40 * slot + offset for slot in (1, 2, 3) for offset in range(36)}
     for offset in sorted(header | slots):
         altered = bytearray(data)
         altered[offset] ^= 0x01
-        assert key_log.decode_key_log(bytes(altered)) != whole, offset
+        assert key_log.decode_key_log(bytes(altered)) != unaltered, offset
