--- a/snowthread/incident/clocks.py
+++ b/snowthread/incident/clocks.py
@@ -1,9 +1,9 @@
-"""Find how far nodes' clocks are apart from what their records share. Free of I/O.
+"""Estimate the offsets between the clocks of nodes from their records. Free of I/O.
 
-Nodes do not talk to each other, but the same balancers' requests reach several of them, so the ages of those
-requests show the difference between clocks (see ``clock_fit``). A clock that steps begins a new segment with
-an offset of its own. Segments that no balancer links, directly or through others, are in different groups;
-times are comparable only within a group.
+Nodes do not communicate with each other, but the same balancers send requests to several of them, so the
+ages of these requests show the differences between the clocks (see ``clock_fit``). When the clock of a node
+is set, a new segment with its own offset begins. Segments that are not linked by a balancer, directly or
+through other segments, belong to different groups; times are comparable only within a group.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 )
 from snowthread.records.model import BootId, Record, RecordKind
 
-STEP_BACK_MS = 500.0  # a clock that goes back by more was set
-STEP_FORWARD_MS = 30_000.0  # and so was one that goes forward by more between two records
-FIRST_NUMBER = -(2**62)  # below the number of any record
+MIN_STEP_BACK_MS = 500.0  # a clock that goes back by more than this was set
+MIN_STEP_FORWARD_MS = 30_000.0  # a clock that goes forward by more than this between two records was set
+BEFORE_FIRST_NUMBER = -(2**62)  # lower than the number of any record
 
 
 @dataclass(slots=True)
 class _TimeSpan:
     """The first and the last time of a segment by its node's clock, in ms."""
 
-    first: float
-    last: float
+    first_ms: float
+    last_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class _SegmentStart:
-    """The number of the record with which a segment begins."""
+    """The number of the first record of a segment, and the part of the boot that begins there."""
 
     record_number: int
     part: int
@@ -45,22 +45,22 @@
 
 @dataclass(slots=True)
 class _BootClock:
-    """The clock of one boot as far as its records were read."""
+    """The time of the last record of one boot that was read, and the segments of the boot so far."""
 
-    last_at: float
+    last_at_ms: float
     starts: list[_SegmentStart]
 
     def advance(self, record: Record) -> int:
-        """Take the next record and return the part it is in."""
-        stepped_back = record.at_ms < self.last_at - STEP_BACK_MS
-        stepped_forward = record.at_ms > self.last_at + STEP_FORWARD_MS
+        """Process the next record of the boot and return the part that it belongs to."""
+        stepped_back = record.at_ms < self.last_at_ms - MIN_STEP_BACK_MS
+        stepped_forward = record.at_ms > self.last_at_ms + MIN_STEP_FORWARD_MS
         if stepped_back or stepped_forward:
             self.starts.append(_SegmentStart(record.number, self.starts[-1].part + 1))
-        self.last_at = record.at_ms
+        self.last_at_ms = record.at_ms
         return self.starts[-1].part
 
     def part_of(self, record_number: int) -> int:
-        """Return the part that a record is in."""
+        """Return the part that the record with this number belongs to."""
         part = 0
         for start in self.starts:
             if record_number >= start.record_number:
@@ -69,10 +69,10 @@
 
 
 class Clocks:
-    """Offsets of nodes' clocks.
+    """Estimates the clock offsets of nodes.
 
-    Give it every record in its node's order with ``add``, then call ``fit``; after that ``common_time``
-    returns a record's time on the common time line.
+    Pass every record to ``add``, those of a node in their order, then call ``fit``. After that,
+    ``common_time`` converts the time of a record to the common time line.
     """
 
     def __init__(self) -> None:
@@ -82,22 +82,22 @@
         self.offsets: dict[ClockSegment, ClockOffset] = {}
 
     def add(self, record: Record) -> None:
-        """Take one record."""
+        """Add a record, with the request ages if it is a ``second``."""
         clock = self._boots.get(record.boot_id)
         if clock is None:
-            clock = _BootClock(record.at_ms, [_SegmentStart(FIRST_NUMBER, 0)])
+            clock = _BootClock(record.at_ms, [_SegmentStart(BEFORE_FIRST_NUMBER, 0)])
             self._boots[record.boot_id] = clock
         segment = ClockSegment(record.node, record.boot, clock.advance(record))
         span = self._spans.setdefault(segment, _TimeSpan(record.at_ms, record.at_ms))
-        span.first = min(span.first, record.at_ms)
-        span.last = max(span.last, record.at_ms)
+        span.first_ms = min(span.first_ms, record.at_ms)
+        span.last_ms = max(span.last_ms, record.at_ms)
         if record.kind == RecordKind.SECOND:
             self._add_samples(segment, record)
 
     def fit(self) -> dict[ClockSegment, ClockOffset]:
-        """Find and return the offsets of all segments."""
-        for number, segments in enumerate(self._groups()):
-            first_seen = {segment: self._spans[segment].first for segment in segments}
+        """Estimate the offsets of all segments, store them in ``offsets`` and return them."""
+        for number, segments in enumerate(self._linked_groups()):
+            first_seen = {segment: self._spans[segment].first_ms for segment in segments}
             self.offsets |= fit_group(number, first_seen, self._samples)
         return self.offsets
 
@@ -108,27 +108,27 @@
         return ClockSegment(record.node, record.boot, part)
 
     def common_time(self, record: Record) -> float:
-        """Return a record's time on its group's common time line, in ms."""
+        """Return the time of a record on the common time line of its group, in ms."""
         offset = self.offsets.get(self.segment_of(record))
         return record.at_ms if offset is None else offset.to_common_time(record.at_ms)
 
     def bound_ms(self, record: Record) -> float:
-        """Return how far off that time may be, in ms; infinite if that is not known."""
+        """Return the largest error of ``common_time`` for a record in ms; infinite if it is not known."""
         offset = self.offsets.get(self.segment_of(record))
         return UNKNOWN_BOUND_MS if offset is None else offset.bound_ms
 
     def _add_samples(self, segment: ClockSegment, record: Record) -> None:
-        """Keep the least age that each balancer's requests show in this bucket."""
+        """Keep the least request age of each balancer in the current bucket."""
         bucket = int(record.at_ms // BUCKET_MS)
         for caller, age_ms in record.fields.get("floors", {}).items():
             key = SampleKey(segment, int(caller), bucket)
             sample = AgeSample(age_ms, record.at_ms)
             self._samples[key] = min(sample, self._samples.get(key, sample))
 
-    def _groups(self) -> list[list[ClockSegment]]:
-        """Return the segments that balancers link, the largest group first.
+    def _linked_groups(self) -> list[list[ClockSegment]]:
+        """Return the groups of segments that are linked by balancers, the largest group first.
 
-        A balancer counts as one clock throughout.
+        The clock of a balancer is assumed not to be set, so that it links segments at all times.
         """
         links = _DisjointSets()
         for segment in self._spans:
@@ -136,27 +136,27 @@
         for key in self._samples:
             links.join(key.segment, key.caller)
         groups: dict[object, list[ClockSegment]] = {}
-        for segment in self._by_first_time(self._spans):
+        for segment in self._sort_by_first_time(self._spans):
             groups.setdefault(links.root(segment), []).append(segment)
         return sorted(
             groups.values(), key=lambda group: (-len(group), group[0].node, group[0].boot, group[0].part)
         )
 
-    def _by_first_time(self, segments: Iterable[ClockSegment]) -> list[ClockSegment]:
+    def _sort_by_first_time(self, segments: Iterable[ClockSegment]) -> list[ClockSegment]:
         return sorted(
             segments,
-            key=lambda segment: (self._spans[segment].first, segment.node, segment.boot, segment.part),
+            key=lambda segment: (self._spans[segment].first_ms, segment.node, segment.boot, segment.part),
         )
 
 
 class _DisjointSets:
-    """Sets of objects that are linked, each named by one of its members."""
+    """A disjoint-set structure; each set is represented by one of its members."""
 
     def __init__(self) -> None:
         self._parents: dict[object, object] = {}
 
     def root(self, member: object) -> object:
-        """Return the member that names the set; an object that is new is a set of its own."""
+        """Return the member that represents the set; a new object forms its own set."""
         parents = self._parents
         while parents.setdefault(member, member) != member:
             parents[member] = parents[parents[member]]
@@ -164,5 +164,5 @@
         return member
 
     def join(self, member: object, other: object) -> None:
-        """Join the sets of two members."""
+        """Merge the sets of two members."""
         self._parents[self.root(member)] = self.root(other)
--- a/snowthread/incident/episodes.py
+++ b/snowthread/incident/episodes.py
@@ -1,4 +1,4 @@
-"""What can be found on a time line: episodes of a kind, each with the records that show it."""
+"""The kinds of episodes that are found in records, and an episode with the records that show it."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from snowthread.records.model import RecordKey
 
-EVIDENCE_MAX = 6  # records that are cited for one episode
+MAX_EVIDENCE = 6  # most records that are cited for one episode
 
 
 class EpisodeKind(StrEnum):
-    """The kinds of episodes; the values are part of the report's JSON."""
+    """The kinds of episodes; the values are part of the JSON report."""
 
     SLOW_DATABASE = "slow database"
     TRAFFIC_JUMP = "traffic jump"
@@ -24,23 +24,24 @@
     NOT_SERVED = "turned away"
 
 
-INCIDENT_KINDS = frozenset(EpisodeKind) - {EpisodeKind.NOT_SERVED}  # what can be a story of its own
+# All kinds except the rejected, failed and late requests, which are an effect of other episodes.
+INCIDENT_KINDS = frozenset(EpisodeKind) - {EpisodeKind.NOT_SERVED}
 
 
 @dataclass(frozen=True, slots=True)
 class Episode:
-    """Something that went on for a while. Times are in ms on the common time line.
+    """A disturbance that lasted some time. Times are in Unix milliseconds on the common time line.
 
-    ``magnitude`` depends on the kind: how many times the usual duration of a call (slow database) or the
-    usual requests (traffic jump), percent of requests (turned away), requests a second (bad clients), else a
-    count of nodes or connections.
+    ``magnitude`` depends on the kind: the ratio of call durations to their usual level (slow database), the
+    ratio of requests to their usual level (traffic jump), a percentage of requests (turned away), requests
+    per second (bad clients), and for the other kinds a number of nodes or connections.
     """
 
     kind: EpisodeKind
     start_ms: float
-    end_ms: float | None  # None: the records end first
-    bound_ms: float  # how far off the start may be
+    end_ms: float | None  # None if the episode goes on at the end of the records
+    bound_ms: float  # largest error of the start, infinite if it is not known
     nodes: tuple[str, ...]
     magnitude: float
     evidence: tuple[RecordKey, ...]
-    record_count: int = 0  # how many records show it
+    record_count: int = 0  # number of seconds or events that show the episode
--- a/snowthread/incident/event_episodes.py
+++ b/snowthread/incident/event_episodes.py
@@ -1,44 +1,46 @@
-"""Find events that belong together: deploys, restarts, crashes and lost connections. Free of I/O."""
+"""Find episodes made of events: deploys, restarts, crashes and lost connections. Free of I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from snowthread.incident.episodes import EVIDENCE_MAX, Episode, EpisodeKind
+from snowthread.incident.episodes import MAX_EVIDENCE, Episode, EpisodeKind
 from snowthread.incident.series import BootSummary, Series, TimedEvent
 from snowthread.records.model import BootId, RecordKey, RecordKind
 
-DEPLOY_GAP_MS = 90_000.0  # at most, between two nodes of one rolling deploy
-DEPLOY_EVIDENCE_MAX = 4 * EVIDENCE_MAX
-SILENT_MS = 5_000.0  # a node that records nothing for so long, while others do, has crashed
-BOOT_OVERLAP_MS = 1000.0  # the next boot of a node may seem to begin so much before the end of the last
-CRASH_BOUND_MS = 1000.0
-OUTAGE_GAP_MS = 5_000.0  # at most, between outages of several nodes that make one episode
-DIRECTORY_LOST = "tenants.link_lost"  # events of the log
-DIRECTORY_REFRESHED = "tenants.refreshed"
+MAX_DEPLOY_GAP_MS = 90_000.0  # longest time between the shutdowns of two nodes in one rolling deploy
+MAX_DEPLOY_EVIDENCE = 4 * MAX_EVIDENCE
+CRASH_SILENCE_MS = 5_000.0  # a node without records for this long, while others record, has crashed
+# Clock errors can make the next boot of a node seem to begin up to this long before the previous one ended.
+MAX_BOOT_OVERLAP_MS = 1000.0
+CRASH_BOUND_MS = 1000.0  # largest error of the time of a crash
+MAX_OUTAGE_GAP_MS = 5_000.0  # longest time between outages of nodes that form one episode
+# Log events of the connection to the directory.
+DIRECTORY_LINK_LOST_EVENT = "tenants.link_lost"
+DIRECTORY_REFRESHED_EVENT = "tenants.refreshed"
 
 
 @dataclass(frozen=True, slots=True)
 class _Outage:
-    """A connection that was lost, and the event with which it was back, if any."""
+    """The event of a lost connection, and the event that restored it, if any."""
 
     lost: TimedEvent
     restored: TimedEvent | None = None
 
     @property
-    def end(self) -> float | None:
-        """When the connection was back."""
+    def end_ms(self) -> float | None:
+        """When the connection was restored, or None."""
         return None if self.restored is None else self.restored.at_ms
 
     @property
     def evidence(self) -> list[RecordKey]:
-        """The records of both events."""
+        """The keys of the records of both events."""
         return [event.record.key for event in (self.lost, self.restored) if event is not None]
 
 
 def find_event_episodes(series: Series) -> list[Episode]:
-    """Return the episodes that events show, by kind."""
+    """Return the episodes that events show, grouped by kind."""
     return [*_deploys(series), *_crashes(series), *_directory_outages(series), *_runtime_outages(series)]
 
 
@@ -46,12 +48,12 @@
 
 
 def _deploys(series: Series) -> list[Episode]:
-    """Return shutdowns one after the other as deploys; a single one is a restart."""
+    """Return an episode for each chain of shutdowns: a rolling deploy, or the restart of a single node."""
     chains: list[list[TimedEvent]] = []
     for event in series.events:
         if event.record.kind != RecordKind.DRAIN:
             continue
-        if chains and event.at_ms - chains[-1][-1].at_ms <= DEPLOY_GAP_MS:
+        if chains and event.at_ms - chains[-1][-1].at_ms <= MAX_DEPLOY_GAP_MS:
             chains[-1].append(event)
         else:
             chains.append([event])
@@ -64,12 +66,12 @@
     ends: list[float] = []
     for event in shutdowns:
         boot = series.boots[event.record.boot_id]
-        if boot.end is not None:
-            evidence.append(boot.end)
+        if boot.end_record is not None:
+            evidence.append(boot.end_record)
             ends.append(boot.last_at_ms)
         successor = _next_boot(series, boot.boot_id, event.at_ms)
-        if successor is not None and successor.start is not None:
-            evidence.append(successor.start)
+        if successor is not None and successor.start_record is not None:
+            evidence.append(successor.start_record)
             ends.append(successor.first_at_ms)
     return Episode(
         EpisodeKind.ROLLING_DEPLOY if len(nodes) > 1 else EpisodeKind.RESTART,
@@ -78,13 +80,13 @@
         bound_ms=shutdowns[0].bound_ms,
         nodes=nodes,
         magnitude=float(len(nodes)),
-        evidence=tuple(evidence[:DEPLOY_EVIDENCE_MAX]),
+        evidence=tuple(evidence[:MAX_DEPLOY_EVIDENCE]),
         record_count=len(shutdowns),
     )
 
 
 def _next_boot(series: Series, boot_id: BootId, after_ms: float) -> BootSummary | None:
-    """Return the first other boot of the node that begins after this time."""
+    """Return the first other boot of the same node that begins after this time."""
     return next((boot for boot in series.other_boots(boot_id) if boot.first_at_ms > after_ms), None)
 
 
@@ -92,18 +94,18 @@
 
 
 def _crashes(series: Series) -> list[Episode]:
-    """Return boots without an end whose node starts again, or is silent while others are not."""
+    """Return boots without an ``end`` record whose node restarts, or is silent while others record."""
     _, last_second = series.span
     crashes = []
     for boot in series.boots.values():
-        if boot.end is not None or boot.last is None:
+        if boot.end_record is not None or boot.last_record is None:
             continue
         successor = _boot_after_crash(series, boot)
-        if successor is None and last_second * 1000.0 - boot.last_at_ms < SILENT_MS:
-            continue  # the records simply end here
-        evidence = [boot.last]
-        if successor is not None and successor.start is not None:
-            evidence.append(successor.start)
+        if successor is None and last_second * 1000.0 - boot.last_at_ms < CRASH_SILENCE_MS:
+            continue  # the records end here, which does not show a crash
+        evidence = [boot.last_record]
+        if successor is not None and successor.start_record is not None:
+            evidence.append(successor.start_record)
         crashes.append(
             Episode(
                 EpisodeKind.CRASH,
@@ -120,7 +122,7 @@
 
 
 def _boot_after_crash(series: Series, crashed: BootSummary) -> BootSummary | None:
-    earliest = crashed.last_at_ms - BOOT_OVERLAP_MS
+    earliest = crashed.last_at_ms - MAX_BOOT_OVERLAP_MS
     return next((boot for boot in series.other_boots(crashed.boot_id) if boot.first_at_ms >= earliest), None)
 
 
@@ -128,15 +130,15 @@
 
 
 def _directory_outages(series: Series) -> list[Episode]:
-    """Return outages from the first connection to the directory that was lost to the next refresh."""
+    """Return outages of the directory, from the first lost connection of a node to its next refresh."""
     open_outages: dict[str, TimedEvent] = {}
     outages: list[_Outage] = []
     for event in series.events:
         name = event.record.fields.get("event")
         node = event.record.node
-        if name == DIRECTORY_LOST:
+        if name == DIRECTORY_LINK_LOST_EVENT:
             open_outages.setdefault(node, event)
-        elif name == DIRECTORY_REFRESHED and node in open_outages:
+        elif name == DIRECTORY_REFRESHED_EVENT and node in open_outages:
             outages.append(_Outage(open_outages.pop(node), event))
     outages += [_Outage(event) for event in open_outages.values()]
     groups: list[list[_Outage]] = []
@@ -149,13 +151,15 @@
 
 
 def _overlaps(group: Sequence[_Outage], outage: _Outage) -> bool:
-    """Return whether an outage begins before, or soon after, one of the group has ended."""
-    return any(other.end is None or outage.lost.at_ms <= other.end + OUTAGE_GAP_MS for other in group)
+    """Return whether an outage begins before or shortly after the end of one in the group."""
+    return any(
+        other.end_ms is None or outage.lost.at_ms <= other.end_ms + MAX_OUTAGE_GAP_MS for other in group
+    )
 
 
 def _directory_outage(group: Sequence[_Outage]) -> Episode:
     first = group[0].lost
-    ends = [outage.end for outage in group]
+    ends = [outage.end_ms for outage in group]
     evidence = [key for outage in group for key in outage.evidence]
     return Episode(
         EpisodeKind.DIRECTORY_OUTAGE,
@@ -164,13 +168,13 @@
         bound_ms=first.bound_ms,
         nodes=tuple(sorted({outage.lost.record.node for outage in group})),
         magnitude=float(len(group)),
-        evidence=tuple(evidence[:EVIDENCE_MAX]),
+        evidence=tuple(evidence[:MAX_EVIDENCE]),
         record_count=len(group),
     )
 
 
 def _runtime_outages(series: Series) -> list[Episode]:
-    """Return outages of nodes' connections to the runtime, those that ended first."""
+    """Return outages of the connections to the runtime; those that have ended come first."""
     open_outages: dict[BootId, TimedEvent] = {}
     outages: list[_Outage] = []
     for event in series.events:
@@ -189,7 +193,7 @@
     return Episode(
         EpisodeKind.RUNTIME_LINK_LOST,
         start_ms=outage.lost.at_ms,
-        end_ms=outage.end,
+        end_ms=outage.end_ms,
         bound_ms=outage.lost.bound_ms,
         nodes=(outage.lost.record.node,),
         magnitude=1.0,
--- a/snowthread/incident/timeline.py
+++ b/snowthread/incident/timeline.py
@@ -15,7 +15,7 @@
 from snowthread.incident.clocks import Clocks
 from snowthread.incident.episodes import Episode, EpisodeKind
 from snowthread.incident.event_episodes import find_event_episodes
-from snowthread.incident.figure_episodes import find_figure_episodes
+from snowthread.incident.metric_episodes import find_metric_episodes
 from snowthread.incident.series import Series
 from snowthread.records.model import RecordKey
 
@@ -101,7 +101,7 @@
 
 def find_episodes(series: Series) -> list[Episode]:
     """Return all episodes by their start."""
-    episodes = [*find_event_episodes(series), *find_figure_episodes(series)]
+    episodes = [*find_event_episodes(series), *find_metric_episodes(series)]
     return sorted(episodes, key=lambda episode: (episode.start_ms, episode.kind))
 
 
@@ -196,11 +196,11 @@
             f"The clocks of {len(groups)} groups of nodes are linked by nothing in the records; what "
             "happened in one is not ordered against another more finely than their own clocks say."
         )
-    if series.lost:
-        lines.append(f"{series.lost} records are known to be missing.")
-    if series.events_left_out:
-        lines.append(f"{series.events_left_out} events were left out here: too many to keep.")
+    if series.lost_records:
+        lines.append(f"{series.lost_records} records are known to be missing.")
+    if series.omitted_events:
+        lines.append(f"{series.omitted_events} events were left out here: too many to keep.")
     for boot_id, boot in sorted(series.boots.items(), key=lambda item: item[0]):
-        if boot.end is None:
+        if boot.end_record is None:
             lines.append(f"How {boot_id.node} (boot {boot_id.boot}) ended is not in its records.")
     return lines
