--- a/snowthread/incident/charts.py
+++ b/snowthread/incident/charts.py
@@ -1,4 +1,4 @@
-"""Charts of the report as SVG, by pygal. All text is escaped by the library."""
+"""Draw the charts of the report as SVG with pygal, which escapes all text."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from pygal.style import Style
 
 from snowthread.incident.series import ClassSecond, NodeSecond, Series
-from snowthread.incident.times import format_clock
+from snowthread.incident.times import format_time_of_day
 
-POINTS_MAX = 240  # of one line: longer stretches are averaged
+MAX_POINTS_PER_LINE = 240  # most points of a line; longer series are averaged over equal intervals
 WIDTH = 900
-HEIGHT = 260  # in the chart's own units; the page scales them
-LABELS = 6  # times below the chart
+HEIGHT = 260  # width and height are in SVG units, which the page scales
+TIME_LABEL_COUNT = 6  # time labels below the chart
 COLORS = ("#2b6cb0", "#c05621", "#2f855a", "#b83280", "#6b46c1", "#b7791f")
-READ = "read"  # legends of the lines
-SERVED_IN_TIME = "served in time"
-NOT_SERVED = "rejected, failed or late"
-CALL_MS = "call, ms"
+READ_LEGEND = "received"
+SERVED_IN_TIME_LEGEND = "served in time"
+NOT_SERVED_LEGEND = "rejected, failed or served late"
+CALL_DURATION_LEGEND = "call duration, ms"
 
-Line = dict[int, float]  # value by second
+SecondValues = dict[int, float]  # values by second in Unix time
 _STYLE = Style(
     background="transparent",
     plot_background="transparent",
@@ -36,41 +36,41 @@
 
 
 def fleet_chart(series: Series) -> str:
-    """Return the chart of all nodes together."""
-    lines: dict[str, Line] = {READ: {}, SERVED_IN_TIME: {}, NOT_SERVED: {}}
+    """Return the chart of the request counts of all nodes together."""
+    lines: dict[str, SecondValues] = {READ_LEGEND: {}, SERVED_IN_TIME_LEGEND: {}, NOT_SERVED_LEGEND: {}}
     for rows in series.nodes.values():
         for second, row in rows.items():
-            _add(lines[READ], second, row.read)
-            _add(lines[SERVED_IN_TIME], second, row.served_in_time)
-            _add(lines[NOT_SERVED], second, row.not_served_in_time)
+            _add(lines[READ_LEGEND], second, row.read)
+            _add(lines[SERVED_IN_TIME_LEGEND], second, row.served_in_time)
+            _add(lines[NOT_SERVED_LEGEND], second, row.not_served_in_time)
     first, last = series.span
-    return line_chart("All nodes: requests a second", first, last, lines)
+    return line_chart("All nodes: requests per second", first, last, lines)
 
 
 def class_chart(name: str, rows: Mapping[int, ClassSecond]) -> str:
-    """Return the chart of one class of requests."""
+    """Return the chart of the request counts of one class."""
     lines = {
-        READ: {second: float(row.read) for second, row in rows.items()},
-        SERVED_IN_TIME: {second: float(row.served_in_time) for second, row in rows.items()},
-        NOT_SERVED: {second: float(row.not_served_in_time) for second, row in rows.items()},
+        READ_LEGEND: {second: float(row.read) for second, row in rows.items()},
+        SERVED_IN_TIME_LEGEND: {second: float(row.served_in_time) for second, row in rows.items()},
+        NOT_SERVED_LEGEND: {second: float(row.not_served_in_time) for second, row in rows.items()},
     }
-    return line_chart(f"{name}: requests a second", min(rows), max(rows), lines)
+    return line_chart(f"{name}: requests per second", min(rows), max(rows), lines)
 
 
 def node_chart(node: str, rows: Mapping[int, NodeSecond]) -> str:
-    """Return the chart of one node."""
+    """Return the chart of the request counts and call durations of one node."""
     lines = {
-        READ: {second: float(row.read) for second, row in rows.items()},
-        SERVED_IN_TIME: {second: float(row.served_in_time) for second, row in rows.items()},
-        NOT_SERVED: {second: float(row.not_served_in_time) for second, row in rows.items()},
-        CALL_MS: {second: row.call_ms for second, row in rows.items() if row.calls},
+        READ_LEGEND: {second: float(row.read) for second, row in rows.items()},
+        SERVED_IN_TIME_LEGEND: {second: float(row.served_in_time) for second, row in rows.items()},
+        NOT_SERVED_LEGEND: {second: float(row.not_served_in_time) for second, row in rows.items()},
+        CALL_DURATION_LEGEND: {second: row.call_ms for second, row in rows.items() if row.calls},
     }
     return line_chart(node, min(rows), max(rows), lines)
 
 
-def line_chart(title: str, first: int, last: int, lines: Mapping[str, Line]) -> str:
-    """Return an SVG element with one line for each name, from the first to the last second."""
-    step = max(1, -(-(last - first + 1) // POINTS_MAX))
+def line_chart(title: str, first: int, last: int, lines: Mapping[str, SecondValues]) -> str:
+    """Return an SVG element with a line for each name, from the first to the last second inclusive."""
+    step = max(1, -(-(last - first + 1) // MAX_POINTS_PER_LINE))
     starts = range(first, last + 1, step)
     chart = pygal.Line(
         title=title,
@@ -87,25 +87,25 @@
         pretty_print=False,
         style=_STYLE,
     )
-    chart.x_labels = [format_clock(start * 1000.0) for start in starts]
-    chart.x_labels_major_count = LABELS
+    chart.x_labels = [format_time_of_day(start * 1000.0) for start in starts]
+    chart.x_labels_major_count = TIME_LABEL_COUNT
     for name, values in lines.items():
         chart.add(name, [_average(values, start, min(start + step, last + 1)) for start in starts])
     return _without_scripts(chart.render_tree())
 
 
-def _add(line: Line, second: int, value: float) -> None:
+def _add(line: SecondValues, second: int, value: float) -> None:
     line[second] = line.get(second, 0.0) + value
 
 
-def _average(values: Line, begin: int, end: int) -> float | None:
-    """Return the average from ``begin`` until before ``end``; None where there is no value."""
+def _average(values: SecondValues, begin: int, end: int) -> float | None:
+    """Return the average of the values from ``begin`` to ``end``, exclusive; None if there are none."""
     present = [values[second] for second in range(begin, end) if second in values]
     return round(sum(present) / len(present), 3) if present else None
 
 
 def _without_scripts(root: ElementTree.Element) -> str:
-    """Return the SVG without the script, which repeats the chart's texts, and the comments."""
+    """Return the SVG without comments and without the script, which repeats the texts of the chart."""
     for parent in list(root.iter()):
         for child in list(parent):
             if not isinstance(child.tag, str) or child.tag.rpartition("}")[2] == "script":
--- a/snowthread/incident/cli.py
+++ b/snowthread/incident/cli.py
@@ -1,4 +1,4 @@
-"""The command ``snowthread report``: what happened, as one HTML file."""
+"""The command ``snowthread report``: write the incident report of a fleet."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 @click.command()
-@click.argument("places", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
+@click.argument("paths", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 @click.option(
     "-o",
     "--output",
     required=True,
     type=click.Path(dir_okay=False, path_type=Path),
-    help="The HTML file to write; a JSON file is written beside it.",
+    help="The HTML file to write; a JSON file with the same name is written next to it.",
 )
-def report(places: tuple[Path, ...], output: Path) -> None:
-    """Tell from nodes' records (files and folders) what happened, in one HTML file and a JSON beside it."""
+def report(paths: tuple[Path, ...], output: Path) -> None:
+    """Reconstruct incidents from records of nodes (files and folders); write an HTML and a JSON report."""
     from snowthread.incident.report import Report
 
-    click.echo("reading the records...", err=True)
-    result = Report(places, lambda count: click.echo(f"{count} records...", err=True))
+    click.echo("Reading records...", err=True)
+    result = Report(paths, lambda count: click.echo(f"{count} records read...", err=True))
     output.write_text(result.html(), encoding="utf-8")
     json_output = output.with_suffix(".json")
     json_output.write_bytes(result.json())
     for sentence in result.timeline.sentences:
         click.echo(sentence.text)
     if not result.timeline.sentences:
-        click.echo("Nothing out of the ordinary is in these records.")
-    click.echo(f"{output} and {json_output}", err=True)
+        click.echo("The records show no incidents.")
+    click.echo(f"Wrote {output} and {json_output}.", err=True)
--- a/snowthread/incident/report.py
+++ b/snowthread/incident/report.py
@@ -1,6 +1,6 @@
-"""The report: one HTML file that needs nothing else, and the same as JSON.
+"""Render the incident report as one self-contained HTML file and as JSON.
 
-All text from records is escaped by the template and by the chart library; nothing of it runs.
+All text from records is escaped by the template and by the chart library, so that no script in it can run.
 """
 
 from __future__ import annotations
@@ -19,31 +19,36 @@
 from snowthread.incident.clocks import Clocks
 from snowthread.incident.series import NodeSecond, Series, build_series
 from snowthread.incident.timeline import Sentence, Timeline, build_timeline
-from snowthread.incident.times import format_clock, format_date
+from snowthread.incident.times import format_date, format_time_of_day
 from snowthread.records.reader import Findings, merge_records
 
-PROGRESS_EVERY = 100_000  # records
-NODE_CHARTS_MAX = 40
-TEMPLATE = "report.html.j2"
+PROGRESS_INTERVAL = 100_000  # records between two progress messages
+MAX_NODE_CHARTS = 40
+TEMPLATE_FILE = "report.html.j2"
 
 
 class Report:
-    """What happened, and what that was made from. The records are read twice, to hold few of them."""
+    """The reconstructed timeline, and the series and clocks that it is based on.
 
-    def __init__(self, places: Iterable[Path], progress: Callable[[int], None] = lambda _count: None) -> None:
-        paths = list(places)
+    The records are read twice, once to fit the clocks and once to build the series, so that few of them are
+    held in memory. ``progress`` is called with the number of records read, every ``PROGRESS_INTERVAL``
+    records.
+    """
+
+    def __init__(self, paths: Iterable[Path], progress: Callable[[int], None] = lambda _count: None) -> None:
+        path_list = list(paths)
         self.clocks = Clocks()
         self.findings = Findings()
-        for count, record in enumerate(merge_records(paths, Findings()), 1):
+        for count, record in enumerate(merge_records(path_list, Findings()), 1):
             self.clocks.add(record)
-            if count % PROGRESS_EVERY == 0:
+            if count % PROGRESS_INTERVAL == 0:
                 progress(count)
         self.clocks.fit()
-        self.series: Series = build_series(merge_records(paths, self.findings), self.clocks)
+        self.series: Series = build_series(merge_records(path_list, self.findings), self.clocks)
         self.timeline: Timeline = build_timeline(self.series, self.clocks)
 
     def to_dict(self) -> dict[str, Any]:
-        """Return the same for programs: sentences with their records, offsets, findings, totals."""
+        """Return the content of the JSON report: sentences with their records, offsets, findings, totals."""
         return {
             "version": __version__,
             "quiet": self.timeline.quiet,
@@ -53,16 +58,17 @@
             "offsets": _offset_dicts(self.clocks),
             "findings": _findings_dict(self.findings),
             "nodes": [
-                {"node": node, **_totals(rows.values())} for node, rows in sorted(self.series.nodes.items())
+                {"node": node, **_request_totals(rows.values())}
+                for node, rows in sorted(self.series.nodes.items())
             ],
         }
 
     def json(self) -> bytes:
-        """Return ``to_dict`` as indented JSON."""
+        """Return the JSON report, indented."""
         return orjson.dumps(self.to_dict(), option=orjson.OPT_INDENT_2)
 
     def html(self) -> str:
-        """Return the page."""
+        """Return the HTML report."""
         environment = Environment(
             loader=PackageLoader("snowthread.incident", "."),
             autoescape=True,
@@ -70,20 +76,20 @@
             trim_blocks=True,
             lstrip_blocks=True,
         )
-        environment.filters["clock"] = format_clock
+        environment.filters["time_of_day"] = format_time_of_day
         nodes = sorted(self.series.nodes.items())
-        return environment.get_template(TEMPLATE).render(
+        return environment.get_template(TEMPLATE_FILE).render(
             report=self.to_dict(),
             timeline=self.timeline,
             charts=self._charts(),
-            node_charts=[node_chart(node, rows) for node, rows in nodes[:NODE_CHARTS_MAX]],
+            node_charts=[node_chart(node, rows) for node, rows in nodes[:MAX_NODE_CHARTS]],
             offsets=self.clocks.offsets,
-            nodes_without_chart=max(0, len(nodes) - NODE_CHARTS_MAX),
+            nodes_without_chart=max(0, len(nodes) - MAX_NODE_CHARTS),
             date=format_date(self.series.span[0] * 1000.0) if nodes else "",
         )
 
     def _charts(self) -> list[str]:
-        """Return the charts of the fleet and of each class."""
+        """Return the chart of the fleet and a chart for each class."""
         charts = [fleet_chart(self.series)] if self.series.nodes else []
         return charts + [class_chart(name, rows) for name, rows in sorted(self.series.classes.items())]
 
@@ -130,8 +136,8 @@
     }
 
 
-def _totals(rows: Collection[NodeSecond]) -> dict[str, int]:
-    """Return the sums of a node's counts, under the names of the JSON."""
+def _request_totals(rows: Collection[NodeSecond]) -> dict[str, int]:
+    """Return the sums of the request counts of a node, with the keys of the JSON report."""
     return {
         "read": sum(row.read for row in rows),
         "good": sum(row.served_in_time for row in rows),
--- a/tests/incident/test_demo.py
+++ b/tests/incident/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo as a newcomer runs it: real nodes, a slow database, a rolling deploy, a crash, and its report."""
+"""The demo command: real nodes, a slow database, a rolling deploy, a crash, and the report of them."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     )
     assert process.returncode == 0, process.stderr
     report = json.loads(output.with_suffix(".json").read_text())
-    # Where the machine itself pauses, what was due comes at once: that jump is in the records and the report.
+    # If the machine pauses, requests that were due arrive at once, which the report shows as a traffic jump.
     kinds = [s["kind"] for s in report["sentences"] if s["kind"] not in ("turned away", "traffic jump")]
     assert kinds == ["slow database", "rolling deploy", "crash"], (kinds, process.stdout)
     deploy, crash = (next(s for s in report["sentences"] if s["kind"] == k) for k in kinds[1:])
     assert crash["nodes"] == ["n2"] and deploy["start"] < crash["start"]
-    offsets = {o["node"]: o["offset_ms"] for o in report["offsets"]}  # the last boot of each
-    for node, apart in (("n2", 1000.0), ("n3", 400.0)):
-        assert abs(offsets["n1"] - offsets[node] - apart) < 100.0
+    offsets = {o["node"]: o["offset_ms"] for o in report["offsets"]}  # offset of the last boot of each node
+    for node, difference_ms in (("n2", 1000.0), ("n3", 400.0)):
+        assert abs(offsets["n1"] - offsets[node] - difference_ms) < 100.0
     assert output.read_text().count("<svg") == 7 and not report["findings"]["spoilt"]
--- a/tests/incident/test_incident_clocks.py
+++ b/tests/incident/test_incident_clocks.py
@@ -1,4 +1,4 @@
-"""Offsets of clocks: found within their bounds, also where clocks step or nothing links them."""
+"""Clock offsets: estimated within their error bounds, also if clocks are set or nodes are not linked."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from snowthread.records.model import Record
 
 STEP_MS = 8000.0
-LAST_BEFORE_STEP = 120  # number of a record
+LAST_BEFORE_STEP = 120  # number of the last record before the clock is set back
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -19,7 +19,7 @@
     day = record_day(seed, nodes=5, seconds=300, offset_ms=3000.0, drift_ppm=200.0)
     (first_segment, first), *others = reconstruct(day).clocks.offsets.items()
     true_first = day.clocks[first_segment.node]
-    for segment, found in others:  # what counts is how far two nodes are apart
+    for segment, found in others:  # only differences between nodes can be estimated
         true_offset_ms = day.clocks[segment.node].offset_ms - true_first.offset_ms
         true_drift_ppm = day.clocks[segment.node].drift_ppm - true_first.drift_ppm
         truth_ms = true_offset_ms + true_drift_ppm * 1e-3 * (found.at / 1000.0 - BEGIN_S)
@@ -30,7 +30,7 @@
 
 
 def set_back(record: Record) -> Record:
-    """Return the record as it would be had the clock been set back before it."""
+    """Return the record with the time and request ages of a clock that was set back by STEP_MS."""
     fields = record.fields
     if "floors" in fields:
         ages = {caller: age_ms - STEP_MS for caller, age_ms in fields["floors"].items()}
@@ -53,7 +53,7 @@
     assert not reconstruction.timeline.sentences
 
 
-def test_nodes_that_nothing_links_are_reported_as_not_ordered() -> None:
+def test_nodes_without_common_balancers_are_reported_as_not_ordered() -> None:
     day = record_day(1, nodes=2, seconds=120, faults=ONE_CRASH)
     for record in day.records["n1"]:
         if "floors" in record.fields:
@@ -61,4 +61,4 @@
             record.fields["floors"] = {caller + 100: age_ms for caller, age_ms in ages.items()}
     reconstruction = reconstruct(day)
     assert len({offset.group for offset in reconstruction.clocks.offsets.values()}) == 2
-    assert any("linked by nothing" in line for line in reconstruction.timeline.unknown)
+    assert any("not linked by requests" in line for line in reconstruction.timeline.unknown)
--- a/tests/incident/test_incident_report.py
+++ b/tests/incident/test_incident_report.py
@@ -1,4 +1,4 @@
-"""The report: from damaged files too, self-contained, safe with any text, and the same as its JSON."""
+"""The report: works with corrupt files, is self-contained, escapes all text, and agrees with its JSON."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from support.incident_days import ONE_AFTER_THE_OTHER, ONE_CRASH
+from support.incident_days import CONSECUTIVE_FAULTS, ONE_CRASH
 from support.record_files import write_records
 
 from emulators.recorded_incidents import draw_faults, record_day
@@ -21,19 +21,19 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_a_node_without_records_and_truncated_files_do_no_harm(tmp_path: Path) -> None:
-    record_day(4, faults=ONE_AFTER_THE_OTHER).write(tmp_path)
+def test_an_empty_file_and_a_truncated_file_do_not_change_the_incidents(tmp_path: Path) -> None:
+    record_day(4, faults=CONSECUTIVE_FAULTS).write(tmp_path)
     (tmp_path / f"n9-1-aa-000001{RECORD_FILE_SUFFIX}").write_bytes(b"")
     path = next(tmp_path.glob("n1-*"))
     path.write_bytes(path.read_bytes()[:-9])
     report = Report([tmp_path])
     kinds = [sentence.kind for sentence in report.timeline.sentences if sentence.kind in INCIDENT_KINDS]
-    assert [kind.value for kind in kinds] == [fault.kind.value for fault in ONE_AFTER_THE_OTHER]
+    assert [kind.value for kind in kinds] == [fault.kind.value for fault in CONSECUTIVE_FAULTS]
     assert report.findings.corrupt_frames
     empty = tmp_path / "empty"
     empty.mkdir()
     nothing = Report([empty])
-    assert nothing.timeline.quiet and "Nothing out of the ordinary" in nothing.html()
+    assert nothing.timeline.quiet and "The records show no incidents." in nothing.html()
 
 
 def test_markup_in_names_and_texts_is_escaped(tmp_path: Path) -> None:
@@ -49,8 +49,8 @@
     assert not re.search(r"<script|src=|javascript:|onload=|<link", page.replace("&lt;script", ""))
 
 
-def test_the_page_is_self_contained_and_the_json_says_the_same(tmp_path: Path) -> None:
-    record_day(4, faults=ONE_AFTER_THE_OTHER).write(tmp_path)
+def test_the_page_is_self_contained_and_has_the_sentences_of_the_json(tmp_path: Path) -> None:
+    record_day(4, faults=CONSECUTIVE_FAULTS).write(tmp_path)
     output = tmp_path / "report.html"
     done = subprocess.run(
         [sys.executable, "-m", "snowthread", "report", str(tmp_path), "-o", str(output)],
@@ -60,7 +60,7 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 0 and "times their usual length" in done.stdout
+    assert done.returncode == 0 and "times their usual duration" in done.stdout
     page, plain = output.read_text(), json.loads(output.with_suffix(".json").read_text())
     links = re.findall(r'https?://[^"\s<>)]+', page)
     assert all(link.startswith(("http://www.w3.org/",)) for link in links), links
--- a/tests/incident/test_incident_timeline.py
+++ b/tests/incident/test_incident_timeline.py
@@ -1,4 +1,4 @@
-"""Timelines of emulated days: every fault named, in the right order, nothing invented, all with records."""
+"""Timelines of emulated days: each fault is found, in order, with its records and no false positives."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 import pytest
-from support.incident_days import ONE_AFTER_THE_OTHER, reconstruct
+from support.incident_days import CONSECUTIVE_FAULTS, reconstruct
 
 from emulators.recorded_incidents import BEGIN_S, Fault, FaultKind, draw_faults, record_day
 from snowthread.incident.episodes import Episode, EpisodeKind
@@ -15,10 +15,10 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_known_faults_are_named_in_order_with_clocks_3_s_apart(seed: int) -> None:
-    day = record_day(seed, faults=ONE_AFTER_THE_OTHER, offset_ms=3000.0, drift_ppm=200.0)
+    day = record_day(seed, faults=CONSECUTIVE_FAULTS, offset_ms=3000.0, drift_ppm=200.0)
     incidents = reconstruct(day).incidents
     assert [episode.kind for episode in incidents] == ["slow database", "rolling deploy", "crash"]
-    for episode, fault in zip(incidents, ONE_AFTER_THE_OTHER, strict=True):
+    for episode, fault in zip(incidents, CONSECUTIVE_FAULTS, strict=True):
         error_ms = episode.start_ms - (BEGIN_S + fault.start_s) * 1000.0
         assert abs(error_ms) <= 2500.0, (episode, error_ms)
     slow_database, deploy, crash = incidents
@@ -27,7 +27,7 @@
 
 
 def test_every_sentence_is_supported_by_records_that_exist() -> None:
-    day = record_day(3, faults=ONE_AFTER_THE_OTHER)
+    day = record_day(3, faults=CONSECUTIVE_FAULTS)
     sentences = reconstruct(day).timeline.sentences
     by_key = {record.key: record for records in day.records.values() for record in records}
     assert sentences
@@ -40,17 +40,17 @@
 
 
 def test_quiet_days_have_no_episodes() -> None:
-    invented = {}
+    false_positives = {}
     for seed in range(100):
         timeline = reconstruct(record_day(seed, nodes=3, seconds=120)).timeline
         if timeline.sentences or not timeline.quiet:
-            invented[seed] = [sentence.text for sentence in timeline.sentences]
-    assert not invented
+            false_positives[seed] = [sentence.text for sentence in timeline.sentences]
+    assert not false_positives
 
 
 def count_found(seeds: Sequence[int]) -> tuple[int, int, int]:
-    """Return how many faults were found, how many were invented, and how many were missed."""
-    found = invented = missed = 0
+    """Return the numbers of faults found, of false positives, and of faults missed."""
+    found = false_positives = missed = 0
     for seed in seeds:
         faults = draw_faults(seed)
         day = record_day(seed, seconds=240, faults=faults)
@@ -61,34 +61,34 @@
                 found += 1
             else:
                 missed += 1
-        invented += len(kinds)
-    return found, invented, missed
+        false_positives += len(kinds)
+    return found, false_positives, missed
 
 
-def test_drawn_days_with_several_faults_at_once() -> None:
-    found, invented, missed = count_found(range(25))
-    assert invented == 0 and found / (found + missed) > 0.9
+def test_days_with_several_random_faults() -> None:
+    found, false_positives, missed = count_found(range(25))
+    assert false_positives == 0 and found / (found + missed) > 0.9
 
 
-def test_two_faults_with_the_same_effect_are_both_named_and_neither_is_blamed() -> None:
+def test_two_faults_with_the_same_effect_are_both_named_as_possible_causes() -> None:
     both = (
         Fault(FaultKind.SLOW_DATABASE, 60.0, 25.0, 8.0),
         Fault(FaultKind.ROLLING_DEPLOY, 59.0, 20.0, 5.0, (0, 1, 2, 3)),
     )
     text = not_served_text(both)
     assert "slow database" in text and "rolling deploy" in text
-    assert "do not tell which" in text
+    assert "do not show which" in text
     text = not_served_text(both[:1])
-    assert "slow database" in text and "do not tell" not in text
+    assert "slow database" in text and "do not show" not in text
 
 
 def not_served_text(faults: Sequence[Fault]) -> str:
-    """Return the first sentence on requests that were not served on such a day."""
+    """Return the first sentence on requests that were not served on a day with these faults."""
     sentences = reconstruct(record_day(5, faults=faults)).timeline.sentences
     return next(sentence.text for sentence in sentences if sentence.kind == EpisodeKind.NOT_SERVED)
 
 
-def test_nothing_is_attributed_to_what_came_after_it() -> None:
+def test_an_effect_is_not_attributed_to_a_later_episode() -> None:
     effect = Episode(EpisodeKind.NOT_SERVED, 50_000.0, 60_000.0, 500.0, (), 10.0, ())
     later = Episode(EpisodeKind.TRAFFIC_JUMP, 55_000.0, 60_000.0, 500.0, (), 2.0, ())
     earlier = Episode(EpisodeKind.CRASH, 30_000.0, 40_000.0, 500.0, (), 1.0, ())
