--- a/snowthread/console/__init__.py
+++ b/snowthread/console/__init__.py
@@ -1,5 +1,6 @@
-"""The terminal console: nodes and recent events, from files of records that grow or that are replayed.
+"""The terminal console: shows nodes and recent events from growing or replayed record files.
 
-``model`` keeps what is known of each node, ``screen`` draws it, ``tail`` and ``replay`` are the sources of
-records, ``keyboard`` reads keys, ``live`` is the loop that connects them, and ``cli`` is the command.
+``model`` keeps the present state of each node and ``screen`` renders it; ``sorting`` defines the orders of
+nodes. ``tail`` and ``replay`` are the sources of records, ``keyboard`` reads keys, and ``live`` is the loop
+that connects them. ``cli`` is the command ``snowthread console``.
 """
--- a/snowthread/console/cli.py
+++ b/snowthread/console/cli.py
@@ -1,4 +1,4 @@
-"""The command ``snowthread console``: a fleet on the terminal."""
+"""The command ``snowthread console``: show a fleet on the terminal."""
 
 from __future__ import annotations
 
@@ -11,35 +11,39 @@
 
 
 @click.command()
-@click.argument("places", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
+@click.argument("paths", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 @click.option(
     "--sort",
     type=click.Choice([order.value for order in SortOrder]),
     default=SortOrder.NODE.value,
-    help="The order of nodes.",
+    help="Sort nodes by this value.",
+)
+@click.option(
+    "--only", default="", help="Show only nodes whose name contains this text, or that have this state."
 )
-@click.option("--only", default="", help="Only nodes with this in their name, or of this state.")
 @click.option(
     "--replay",
     "speed",
     type=click.FloatRange(0.1, 1000.0),
     default=None,
     metavar="SPEED",
-    help="Play what is recorded again, so many times as fast.",
+    help="Replay the records at this multiple of the recorded speed.",
+)
+@click.option(
+    "--once", is_flag=True, help="Print the present state once and exit; the default if the output is piped."
 )
-@click.option("--once", is_flag=True, help="Print the picture as it is now, and exit; so also where piped.")
-def console(places: tuple[Path, ...], sort: str, only: str, speed: float | None, once: bool) -> None:
-    """Show a fleet from its nodes' records: state, service, refusals, calls, and the course of things."""
+def console(paths: tuple[Path, ...], sort: str, only: str, speed: float | None, once: bool) -> None:
+    """Show the state, request counts, calls and events of a fleet from the records of its nodes."""
     from snowthread.console.model import Fleet
     from snowthread.console.screen import ViewOptions, render_text
     from snowthread.records.reader import Findings, merge_records
 
     fleet = Fleet()
-    look = ViewOptions(sort, only)
+    view_options = ViewOptions(sort, only)
     if once or not sys.stdout.isatty():
-        for record in merge_records(places, Findings()):
+        for record in merge_records(paths, Findings()):
             fleet.add(record)
-        click.echo(render_text(fleet, look), nl=False)
+        click.echo(render_text(fleet, view_options), nl=False)
         return
 
     from snowthread.console.live import RecordSource, run
@@ -47,5 +51,5 @@
     from snowthread.console.tail import Tail
 
     source: RecordSource
-    source = Tail(places) if speed is None else Replay(merge_records(places, Findings()), speed)
-    run(source, fleet, look)
+    source = Tail(paths) if speed is None else Replay(merge_records(paths, Findings()), speed)
+    run(source, fleet, view_options)
--- a/snowthread/console/keyboard.py
+++ b/snowthread/console/keyboard.py
@@ -13,28 +13,29 @@
 
 
 class Keyboard:
-    """A context in which keys are read one by one; without a terminal there are none."""
+    """A context manager in which keys are read one by one; without a terminal no key is ever read."""
 
     def __init__(self) -> None:
-        self._saved: list[Any] | None = None  # the terminal's attributes, while it is a terminal
+        # Terminal attributes to restore on exit; None if standard input is no terminal.
+        self._saved_attributes: list[Any] | None = None
 
     def __enter__(self) -> Keyboard:
-        """Stop the terminal from waiting for complete lines."""
+        """Switch the terminal to cbreak mode, which delivers keys without waiting for a complete line."""
         if sys.stdin.isatty():
-            self._saved = termios.tcgetattr(sys.stdin)
+            self._saved_attributes = termios.tcgetattr(sys.stdin)
             tty.setcbreak(sys.stdin)
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Restore the terminal."""
-        if self._saved is not None:
-            termios.tcsetattr(sys.stdin, termios.TCSADRAIN, self._saved)
+        """Restore the terminal attributes."""
+        if self._saved_attributes is not None:
+            termios.tcsetattr(sys.stdin, termios.TCSADRAIN, self._saved_attributes)
 
     def read_key(self, timeout_s: float) -> str:
-        """Return the key that is pressed within this time, or an empty string after it."""
-        if self._saved is None:
+        """Return the next key, or an empty string if none is pressed within ``timeout_s`` seconds."""
+        if self._saved_attributes is None:
             time.sleep(timeout_s)
             return ""
         ready, _, _ = select.select([sys.stdin], [], [], timeout_s)
--- a/snowthread/console/live.py
+++ b/snowthread/console/live.py
@@ -1,4 +1,4 @@
-"""The console's loop: take records, draw, and follow the keys."""
+"""The loop of the live console: read records, render the screen, and handle keys."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
 
 
 class RecordSource(Protocol):
-    """Where records come from."""
+    """A source of records, such as growing files or a replay."""
 
     def poll(self) -> Iterable[Record]:
         """Return the records since the last call."""
 
 
-def run(source: RecordSource, fleet: Fleet, look: ViewOptions) -> None:
-    """Show the fleet until q is pressed."""
+def run(source: RecordSource, fleet: Fleet, view_options: ViewOptions) -> None:
+    """Show the fleet until the key q is pressed."""
     console = Console()
     with Keyboard() as keyboard, Live(console=console, screen=True, auto_refresh=False) as live:
         while True:
             for record in source.poll():
                 fleet.add(record)
-            live.update(render_screen(fleet, look, console.width, console.height), refresh=True)
+            live.update(render_screen(fleet, view_options, console.width, console.height), refresh=True)
             key = keyboard.read_key(REFRESH_S)
             if key == "q":
                 return
-            apply_key(look, key)
+            apply_key(view_options, key)
 
 
-def apply_key(look: ViewOptions, key: str) -> None:
-    """Change what is shown as the key says: page, order, or place in the events; others do nothing."""
+def apply_key(view_options: ViewOptions, key: str) -> None:
+    """Change the page, the order or the event position by a key; other keys do nothing."""
     match key:
         case "n":
-            look.page += 1
+            view_options.page += 1
         case "p":
-            look.page = max(0, look.page - 1)
+            view_options.page = max(0, view_options.page - 1)
         case "k":
-            look.scroll += 1
+            view_options.scroll += 1
         case "j":
-            look.scroll = max(0, look.scroll - 1)
+            view_options.scroll = max(0, view_options.scroll - 1)
         case "s":
-            look.sort = SortOrder(look.sort).next()
+            view_options.sort = SortOrder(view_options.sort).next()
--- a/snowthread/console/replay.py
+++ b/snowthread/console/replay.py
@@ -1,4 +1,4 @@
-"""Replay recorded time: records come as far apart as they were recorded, some times as fast."""
+"""Replay records with the time between them that was recorded, at a multiple of that speed."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class Replay:
-    """A source of records that were read already, in order of time."""
+    """A source that returns the given records, which are ordered by time, when they are due."""
 
     def __init__(
         self, records: Iterable[Record], speed: float, clock: Callable[[], float] = time.monotonic
     ) -> None:
         self._records = iter(records)
         self._speed = speed
-        self._clock = clock  # in seconds
+        self._clock = clock  # a monotonic clock in seconds
         self._started_at_s = clock()
         self._first_at_ms: float | None = None
         self._next: Record | None = None
 
     def poll(self) -> list[Record]:
-        """Return the records that are due and were not returned yet."""
+        """Return the records that have become due since the last call."""
         elapsed_ms = (self._clock() - self._started_at_s) * 1000.0 * self._speed
         due: list[Record] = []
         while (record := self._peek()) is not None:
--- a/snowthread/console/screen.py
+++ b/snowthread/console/screen.py
@@ -1,4 +1,4 @@
-"""Draw the console with rich: at 80 columns, without colour, and as plain text if the output is piped."""
+"""Render the console with rich, at 80 columns or more, with or without colour, and also as plain text."""
 
 from __future__ import annotations
 
@@ -12,32 +12,34 @@
 from rich.table import Table
 from rich.text import Text
 
-from snowthread.console.model import HISTORY_S, EventLine, Fleet, NodeState, NodeView
+from snowthread.console.model import HISTORY_SECONDS, EventLine, Fleet, NodeState, NodeView
 from snowthread.console.sorting import SortOrder
 
-BARS = " ▁▂▃▄▅▆▇█"
+BAR_CHARACTERS = " ▁▂▃▄▅▆▇█"
 STATE_STYLES = {
     NodeState.UP: "green",
     NodeState.SHUTTING_DOWN: "yellow",
     NodeState.ENDED: "dim",
     NodeState.SILENT: "bold red",
 }
-NODE_COLUMN_WIDTH = 14  # characters of a node's name that are shown at most
-WIDE_COLUMNS = 100  # from this width on the last minute of each node is drawn
-TABLE_COLUMNS = 82  # what the table takes without that
-OTHER_LINES = 6  # of the screen that neither nodes nor events take
-ROWS_MIN = 3  # of nodes, and of events
-TENANTS_SHOWN = 5
-TENANT_WIDTH = 12
+MAX_NODE_CHARS = 14  # longest part of a node name that is shown
+MIN_WIDTH_WITH_HISTORY = 100  # narrower screens omit the request history of the nodes
+TABLE_WIDTH_WITHOUT_HISTORY = 82  # characters of a row without the request history
+FIXED_LINES = 6  # screen lines that show neither nodes nor events
+MIN_ROWS = 3  # fewest rows of nodes, and fewest rows of events
+MAX_TENANTS_SHOWN = 5
+MAX_TENANT_CHARS = 12  # longest part of a tenant name that is shown
+# Columns of the node table. "slo" is the share of requests served within the latency objective, "block" the
+# blocking probability, "run" the running requests, "call" the call duration in ms, "MB" the memory.
 COLUMNS: tuple[tuple[str, Literal["left", "right"]], ...] = (
     ("node", "left"),
     ("state", "left"),
-    ("read", "right"),
-    ("aim", "right"),
-    ("refd", "right"),
+    ("req", "right"),
+    ("slo", "right"),
+    ("rej", "right"),
     ("fail", "right"),
-    ("b", "right"),
-    ("held", "right"),
+    ("block", "right"),
+    ("queue", "right"),
     ("run", "right"),
     ("call", "right"),
     ("MB", "right"),
@@ -46,68 +48,68 @@
 
 @dataclass(slots=True)
 class ViewOptions:
-    """What part of the fleet is shown, and in which order."""
+    """Which nodes and events are shown, and in which order; ``filter_text`` is part of a name, or a state."""
 
     sort: str = SortOrder.NODE
-    only: str = ""
+    filter_text: str = ""
     page: int = 0
-    scroll: int = 0  # event lines back from the newest
+    scroll: int = 0  # number of newest event lines that are skipped
 
 
 @dataclass(frozen=True, slots=True)
 class _Page:
-    """One page of nodes."""
+    """One page of the list of nodes; ``number`` counts from zero, ``count`` is the number of pages."""
 
     views: Sequence[NodeView]
     number: int
     count: int
 
 
-def render_screen(fleet: Fleet, look: ViewOptions, width: int, height: int) -> RenderableType:
-    """Return the screen for so many columns and lines."""
-    views = fleet.shown(look.sort, look.only)
-    rows = max(ROWS_MIN, (height - OTHER_LINES) * 2 // 3)
-    page = _page(views, look.page, rows)
-    events = _visible_events(fleet, look.scroll, max(ROWS_MIN, height - rows - OTHER_LINES))
+def render_screen(fleet: Fleet, view_options: ViewOptions, width: int, height: int) -> RenderableType:
+    """Return the screen, ``width`` characters wide and about ``height`` lines high."""
+    views = fleet.select_nodes(view_options.sort, view_options.filter_text)
+    rows = max(MIN_ROWS, (height - FIXED_LINES) * 2 // 3)
+    page = _page(views, view_options.page, rows)
+    events = _visible_events(fleet, view_options.scroll, max(MIN_ROWS, height - rows - FIXED_LINES))
     parts: list[RenderableType] = [
         _header(fleet),
         _node_table(fleet, page, width),
-        *_rejections(views),
-        *_top_tenants(views),
-        *(_event(line) for line in events),
-        _footer(look, page),
+        *_rejections_line(views),
+        *_tenants_line(views),
+        *(_event_text(line) for line in events),
+        _footer(view_options, page),
     ]
     return Group(*parts)
 
 
-def render_text(fleet: Fleet, look: ViewOptions, width: int = 80, height: int = 24) -> str:
-    """Return the screen as plain text."""
+def render_text(fleet: Fleet, view_options: ViewOptions, width: int = 80, height: int = 24) -> str:
+    """Return the screen as plain text without colour."""
     console = Console(width=width, no_color=True, force_terminal=False, legacy_windows=False)
     with console.capture() as captured:
-        console.print(render_screen(fleet, look, width, height))
+        console.print(render_screen(fleet, view_options, width, height))
     return captured.get()
 
 
 def _page(views: Sequence[NodeView], wanted: int, rows: int) -> _Page:
-    """Return the page that is wanted, or the nearest there is."""
+    """Return the wanted page, or the nearest one that exists."""
     count = max(1, -(-len(views) // rows))
     number = min(max(0, wanted), count - 1)
     return _Page(views[number * rows : (number + 1) * rows], number, count)
 
 
 def _visible_events(fleet: Fleet, scroll: int, rows: int) -> list[EventLine]:
-    lines = list(fleet.lines)
+    lines = list(fleet.event_lines)
     end = max(0, len(lines) - scroll)
     return lines[max(0, end - rows) : end]
 
 
 def _header(fleet: Fleet) -> Text:
     totals = fleet.totals()
-    when = _clock(fleet.now) if fleet.now else "--:--:--"
+    when = _format_time_of_day(fleet.now_ms) if fleet.now_ms else "--:--:--"
     share = f"{100.0 * totals.served_in_time / totals.read:.0f} %" if totals.read else "-"
     return Text(
-        f"{when} UTC  {len(fleet.nodes)} nodes  {totals.read}/s read  {share} in aim  "
-        f"{totals.rejected}/s refused  {totals.failed}/s failed",
+        f"{when} UTC  {len(fleet.nodes)} nodes  {totals.read}/s received  {share} in time  "
+        f"{totals.rejected}/s rejected  {totals.failed}/s failed",
         style="bold",
         overflow="ellipsis",
         no_wrap=True,
@@ -117,21 +119,21 @@
 def _node_table(fleet: Fleet, page: _Page, width: int) -> Table:
     table = Table(box=None, padding=(0, 1), expand=False, show_edge=False)
     for name, justify in COLUMNS:
-        max_width = NODE_COLUMN_WIDTH if name == "node" else None
+        max_width = MAX_NODE_CHARS if name == "node" else None
         table.add_column(name, justify=justify, no_wrap=True, overflow="ellipsis", max_width=max_width)
-    wide = width >= WIDE_COLUMNS
-    if wide:
+    with_history = width >= MIN_WIDTH_WITH_HISTORY
+    if with_history:
         table.add_column("last minute", no_wrap=True)
     for view in page.views:
         cells = _cells(view, fleet.state(view))
-        if wide:
-            cells.append(_bars(view, width - TABLE_COLUMNS))
+        if with_history:
+            cells.append(_history_bars(view, width - TABLE_WIDTH_WITHOUT_HISTORY))
         table.add_row(*cells)
     return table
 
 
 def _cells(view: NodeView, state: NodeState) -> list[RenderableType]:
-    """Return the cells of a node's row, in the order of COLUMNS."""
+    """Return the cells of the row of a node, in the order of COLUMNS."""
     return [
         Text(view.name),
         Text(state, style=STATE_STYLES[state]),
@@ -147,51 +149,53 @@
     ]
 
 
-def _bars(view: NodeView, width: int) -> str:
-    """Return the requests of the last seconds as bars, one column a second."""
-    recent = list(view.history)[-max(1, min(HISTORY_S, width)) :]
+def _history_bars(view: NodeView, width: int) -> str:
+    """Return the requests of the last seconds as a bar chart with one character per second."""
+    recent = list(view.request_history)[-max(1, min(HISTORY_SECONDS, width)) :]
     most = max(recent, default=0) or 1
-    highest = len(BARS) - 1
-    return "".join(BARS[min(highest, round(highest * count / most))] for count in recent)
+    highest = len(BAR_CHARACTERS) - 1
+    return "".join(BAR_CHARACTERS[min(highest, round(highest * count / most))] for count in recent)
 
 
-def _rejections(views: Sequence[NodeView]) -> list[Text]:
-    """Return a line on when requests were rejected, if any were."""
+def _rejections_line(views: Sequence[NodeView]) -> list[Text]:
+    """Return a line with the rejected requests by stage, or nothing if there are none."""
     counts: Counter[str] = Counter()
     for view in views:
-        counts.update(view.rejections)
+        counts.update(view.rejections_by_stage)
     if not counts:
         return []
     listed = ", ".join(f"{label} {count}/s" for label, count in sorted(counts.items()))
-    return [Text(f"refused: {listed}", no_wrap=True)]
+    return [Text(f"rejected: {listed}", no_wrap=True)]
 
 
-def _top_tenants(views: Sequence[NodeView]) -> list[Text]:
-    """Return a line on the tenants with the most requests, if there are tenants."""
+def _tenants_line(views: Sequence[NodeView]) -> list[Text]:
+    """Return a line with the tenants that have the most requests, or nothing if there are no tenants."""
     counts: Counter[str] = Counter()
     for view in views:
-        counts.update(view.tenants)
+        counts.update(view.requests_by_tenant)
     if not counts:
         return []
-    top = sorted(counts.items(), key=lambda item: (-item[1], item[0]))[:TENANTS_SHOWN]
-    listed = ", ".join(f"{tenant[:TENANT_WIDTH]} {count}/s" for tenant, count in top)
+    top = sorted(counts.items(), key=lambda item: (-item[1], item[0]))[:MAX_TENANTS_SHOWN]
+    listed = ", ".join(f"{tenant[:MAX_TENANT_CHARS]} {count}/s" for tenant, count in top)
     return [Text(f"tenants: {listed}", no_wrap=True, overflow="ellipsis")]
 
 
-def _event(line: EventLine) -> Text:
-    return Text(f"{_clock(line.at)} {line.node} {line.text}", no_wrap=True, overflow="ellipsis")
+def _event_text(line: EventLine) -> Text:
+    return Text(
+        f"{_format_time_of_day(line.at_ms)} {line.node} {line.text}", no_wrap=True, overflow="ellipsis"
+    )
 
 
-def _footer(look: ViewOptions, page: _Page) -> Text:
-    only = f", only {look.only}" if look.only else ""
+def _footer(view_options: ViewOptions, page: _Page) -> Text:
+    only = f", only {view_options.filter_text}" if view_options.filter_text else ""
     return Text(
-        f"page {page.number + 1} of {page.count}, by {look.sort}{only}   "
-        "q quit  n/p page  s sort  j/k course",
+        f"page {page.number + 1} of {page.count}, sorted by {view_options.sort}{only}   "
+        "q quit  n/p page  s sort  j/k scroll events",
         style="dim",
         no_wrap=True,
         overflow="ellipsis",
     )
 
 
-def _clock(time_ms: float) -> str:
+def _format_time_of_day(time_ms: float) -> str:
     return datetime.fromtimestamp(time_ms / 1000.0, UTC).strftime("%H:%M:%S")
--- a/snowthread/console/sorting.py
+++ b/snowthread/console/sorting.py
@@ -1,4 +1,4 @@
-"""The orders in which nodes are shown; their values are those of the option ``--sort``."""
+"""The orders in which the console shows nodes; the values are those of the option ``--sort``."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SortOrder(StrEnum):
-    """What nodes are sorted by; figures have the node that needs attention first."""
+    """What nodes are sorted by; for a number, the node that most needs attention comes first."""
 
     NODE = "node"
     STATE = "state"
@@ -18,6 +18,6 @@
     CALL_DURATION = "calls"
 
     def next(self) -> SortOrder:
-        """Return the order after this one; the first follows the last."""
+        """Return the next order; after the last order comes the first."""
         orders = list(SortOrder)
         return orders[(orders.index(self) + 1) % len(orders)]
--- a/snowthread/incident/series.py
+++ b/snowthread/incident/series.py
@@ -10,7 +10,10 @@
 
 MAX_EVENTS = 50_000
 MAX_CLASSES = 50
-REJECTED_COUNTS = ("refused", "refused_held")  # names of RequestCounts before a shutdown
+REJECTED_COUNTS = (
+    "refused",
+    "refused_held",
+)  # names of the stored counts of rejected requests, except during a shutdown
 REJECTED_IN_SHUTDOWN_COUNT = "refused_leaving"
 FAILED_COUNTS = ("failed", "failed_running", "failed_calling")
 NOT_SERVED_IN_TIME_COUNTS = ("late", *REJECTED_COUNTS, REJECTED_IN_SHUTDOWN_COUNT, *FAILED_COUNTS)
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -1,4 +1,4 @@
-"""The console: what it shows of a fleet, at 80 columns, piped, of many nodes, and while files grow."""
+"""The console: its content at 80 columns, when piped, with many nodes, and while files grow."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from emulators.recorded_incidents import Fault, FaultKind, record_day
 from snowthread.console.live import apply_key
-from snowthread.console.model import LINES_MAX, Fleet
+from snowthread.console.model import MAX_EVENT_LINES, Fleet
 from snowthread.console.replay import Replay
 from snowthread.console.screen import ViewOptions, render_text
 from snowthread.console.sorting import SortOrder
@@ -37,7 +37,7 @@
     return Record(node, "b", number, at, RecordKind.SECOND, fields)
 
 
-def test_a_nodes_states_and_figures() -> None:
+def test_the_state_and_counts_of_a_node() -> None:
     fleet = Fleet()
     fleet.add(Record("n1", "b", 1, START_MS, "start", {"version": "1"}))
     fleet.add(second("n1", 2, START_MS + 1000.0, read=10, served=7, refused=2, refused_held=1))
@@ -45,7 +45,7 @@
     view = fleet.nodes["n1"]
     assert (view.read, view.served_in_time, view.rejected) == (10, 7, 3)
     assert (view.share_in_time, view.call_ms) == (0.7, 36.0)
-    assert fleet.totals() == (14, 11, 3, 0) and view.rejections == {"as read": 2, "held": 1}
+    assert fleet.totals() == (14, 11, 3, 0) and view.rejections_by_stage == {"on arrival": 2, "queued": 1}
     fleet.add(Record("n1", "b", 3, START_MS + 1500.0, "drain", {"left_ms": 900.0}))
     assert fleet.state(view) == "leaving"
     fleet.add(Record("n1", "b", 4, START_MS + 2000.0, "end", {"how": "left", "seconds": 2.0}))
@@ -53,7 +53,7 @@
     assert fleet.state(view) == "left" and fleet.state(fleet.nodes["n2"]) == "silent"
     fleet.add(Record("n1", "c", 1, START_MS + 9500.0, "start", {"version": "1"}))
     assert fleet.state(view) == "up"
-    assert [line.text.split(",")[0] for line in fleet.lines][:2] == ["started", "told to leave"]
+    assert [line.text.split(",")[0] for line in fleet.event_lines][:2] == ["started", "asked to shut down"]
 
 
 @pytest.mark.parametrize("width", [80, 100, 200])
@@ -65,51 +65,51 @@
     screen = render_text(fleet, ViewOptions(), width, 30)
     assert max(len(line) for line in screen.splitlines()) <= width
     assert "[red]a-node" in screen and "[bold]x[/bold]" in screen and "\x1b" not in screen
-    assert "as read" not in screen and "tenants: farbhof 60/s" in screen
+    assert "on arrival" not in screen and "tenants: farbhof 60/s" in screen
 
 
-def test_thousands_of_nodes_by_page_sort_and_filter() -> None:
+def test_thousands_of_nodes_are_paged_sorted_and_filtered() -> None:
     fleet = Fleet()
     for number in range(6000):
         at = START_MS + number % 3
         fleet.add(second(f"n{number:04d}", 1, at, read=number % 50, served=0, refused=number % 7))
-    assert len(fleet.nodes) == 5000 and fleet.left_out == 1000
+    assert len(fleet.nodes) == 5000 and fleet.ignored_records == 1000
     assert "n0000" in render_text(fleet, ViewOptions(), 80, 24) and "n0000" not in render_text(
         fleet, ViewOptions(page=1), 80, 24
     )
     assert "n4999" in render_text(fleet, ViewOptions(page=10**6), 80, 24)
-    assert [view.name for view in fleet.shown("node", "n499")][:2] == ["n4990", "n4991"]
-    assert fleet.shown("read")[0].read == 49 and fleet.shown("refused")[0].rejected == 6
+    assert [view.name for view in fleet.select_nodes("node", "n499")][:2] == ["n4990", "n4991"]
+    assert fleet.select_nodes("read")[0].read == 49 and fleet.select_nodes("refused")[0].rejected == 6
     for sort in SortOrder:
-        assert len(fleet.shown(sort)) == 5000
+        assert len(fleet.select_nodes(sort)) == 5000
 
 
 def test_event_lines_are_bounded_and_scroll() -> None:
     fleet = Fleet()
-    last = 3 * LINES_MAX - 1
+    last = 3 * MAX_EVENT_LINES - 1
     for number in range(last + 1):
         fleet.add(note(number + 2, "n0001", "b", START_MS, text=str(number)))
-    assert len(fleet.lines) == LINES_MAX
+    assert len(fleet.event_lines) == MAX_EVENT_LINES
     assert str(last) in render_text(fleet, ViewOptions(), 80, 24)
     assert str(last) not in render_text(fleet, ViewOptions(scroll=500), 80, 24)
 
 
 def test_keys_turn_pages_scroll_and_change_the_order() -> None:
-    look = ViewOptions()
+    view_options = ViewOptions()
     for key in "pjnnk":
-        apply_key(look, key)
-    assert (look.page, look.scroll) == (2, 1)
-    apply_key(look, "s")
-    assert look.sort == "state"
+        apply_key(view_options, key)
+    assert (view_options.page, view_options.scroll) == (2, 1)
+    apply_key(view_options, "s")
+    assert view_options.sort == "state"
     for _ in range(len(SortOrder) - 1):
-        apply_key(look, "s")
-    apply_key(look, "x")
-    assert look == ViewOptions(sort="node", page=2, scroll=1)
+        apply_key(view_options, "s")
+    apply_key(view_options, "x")
+    assert view_options == ViewOptions(sort="node", page=2, scroll=1)
 
 
 def test_a_replay_returns_each_record_when_it_is_due() -> None:
     now_s = 50.0
-    records = [note(number) for number in (1, 2, 3, 9)]  # each number is its second
+    records = [note(number) for number in (1, 2, 3, 9)]  # the number of each record is its time in seconds
     replay = Replay(records, speed=2.0, clock=lambda: now_s)
     assert replay.poll() == records[:1] and replay.poll() == []
     now_s = 51.0
@@ -134,7 +134,7 @@
     assert tail.poll() == [] and not tail._positions
 
 
-def test_piped_it_prints_plain_text_once(tmp_path: Path) -> None:
+def test_piped_output_is_plain_text_printed_once(tmp_path: Path) -> None:
     crash = Fault(FaultKind.CRASH, 40.0, 30.0, 1.0, (1,))
     record_day(1, seconds=60, faults=(crash,), offset_ms=0.0).write(tmp_path)
     done = subprocess.run(
