--- a/snowthread/console/model.py
+++ b/snowthread/console/model.py
@@ -18,11 +18,8 @@
 MAX_SILENCE_MS = 3_500.0
 # Stage in which a request was rejected, by the name of the stored count.
 REJECTION_STAGES = {"refused": "on arrival", "refused_held": "queued", "refused_leaving": "in shutdown"}
-FAILED_COUNTS = (
-    "failed",
-    "failed_running",
-    "failed_calling",
-)  # names of the stored counts of failed requests
+# Names of the stored counts of failed requests.
+FAILED_COUNT_NAMES = ("failed", "failed_running", "failed_calling")
 
 
 class NodeState(StrEnum):
@@ -88,7 +85,7 @@
         for _class_name, tenant, counts in fields.get("totals", ()):
             self.read += counts.get("read", 0)
             self.served_in_time += counts.get("served", 0)
-            self.failed += sum(counts.get(name, 0) for name in FAILED_COUNTS)
+            self.failed += sum(counts.get(name, 0) for name in FAILED_COUNT_NAMES)
             if tenant:
                 self.requests_by_tenant[tenant] = self.requests_by_tenant.get(tenant, 0) + counts.get(
                     "read", 0
--- a/snowthread/incident/charts.py
+++ b/snowthread/incident/charts.py
@@ -21,7 +21,7 @@
 NOT_SERVED_LEGEND = "rejected, failed or served late"
 CALL_DURATION_LEGEND = "call duration, ms"
 
-SecondValues = dict[int, float]  # values by second in Unix time
+SecondValues = dict[int, float]  # keys are seconds of Unix time
 _STYLE = Style(
     background="transparent",
     plot_background="transparent",
--- a/snowthread/incident/event_episodes.py
+++ b/snowthread/incident/event_episodes.py
@@ -10,9 +10,9 @@
 from snowthread.records.model import BootId, RecordKey, RecordKind
 
 MAX_DEPLOY_GAP_MS = 90_000.0  # longest time between the shutdowns of two nodes in one rolling deploy
-MAX_DEPLOY_EVIDENCE = 4 * MAX_EVIDENCE
+MAX_DEPLOY_EVIDENCE = 4 * MAX_EVIDENCE  # most records that are cited for a deploy
 CRASH_SILENCE_MS = 5_000.0  # a node without records for this long, while others record, has crashed
-# Clock errors can make the next boot of a node seem to begin up to this long before the previous one ended.
+# The next boot of a node may seem to begin up to this long before the end of the previous one.
 MAX_BOOT_OVERLAP_MS = 1000.0
 CRASH_BOUND_MS = 1000.0  # largest error of the time of a crash
 MAX_OUTAGE_GAP_MS = 5_000.0  # longest time between outages of nodes that form one episode
--- a/snowthread/incident/series.py
+++ b/snowthread/incident/series.py
@@ -1,4 +1,4 @@
-"""Put the metrics per second and the events of a fleet on one time line. Free of I/O, in bounded memory."""
+"""Put the metrics per second and the events of a fleet on one time line, in bounded memory. Free of I/O."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 from snowthread.incident.clocks import Clocks
 from snowthread.records.model import BootId, Record, RecordFields, RecordKey, RecordKind
 
-MAX_EVENTS = 50_000
-MAX_CLASSES = 50
-REJECTED_COUNTS = (
-    "refused",
-    "refused_held",
-)  # names of the stored counts of rejected requests, except during a shutdown
-REJECTED_IN_SHUTDOWN_COUNT = "refused_leaving"
-FAILED_COUNTS = ("failed", "failed_running", "failed_calling")
-NOT_SERVED_IN_TIME_COUNTS = ("late", *REJECTED_COUNTS, REJECTED_IN_SHUTDOWN_COUNT, *FAILED_COUNTS)
+MAX_EVENTS = 50_000  # further events are only counted
+MAX_CLASSES = 50  # further classes have no series of their own
+# Names of the stored request counts; REJECTED_COUNT_NAMES does not include rejections during a shutdown.
+REJECTED_COUNT_NAMES = ("refused", "refused_held")
+REJECTED_IN_SHUTDOWN_COUNT_NAME = "refused_leaving"
+FAILED_COUNT_NAMES = ("failed", "failed_running", "failed_calling")
+NOT_SERVED_IN_TIME_COUNT_NAMES = (
+    "late",
+    *REJECTED_COUNT_NAMES,
+    REJECTED_IN_SHUTDOWN_COUNT_NAME,
+    *FAILED_COUNT_NAMES,
+)
 
 
 @dataclass(slots=True)
@@ -67,9 +70,7 @@
     last_at_ms: float
     start_record: RecordKey | None = None
     end_record: RecordKey | None = None
-    last_record: RecordKey | None = (
-        None  # last record with a number from the node, not from its writer process
-    )
+    last_record: RecordKey | None = None  # last record that was numbered by the node and not by its writer
 
     def extend(self, at_ms: float) -> None:
         """Extend the boot so that it includes this time."""
@@ -140,7 +141,7 @@
             row = series.classes.setdefault(name, {}).setdefault(second, ClassSecond())
             row.read += counts.get("read", 0)
             row.served_in_time += counts.get("served", 0)
-            row.not_served_in_time += _sum_counts(counts, NOT_SERVED_IN_TIME_COUNTS)
+            row.not_served_in_time += _sum_counts(counts, NOT_SERVED_IN_TIME_COUNT_NAMES)
 
 
 def _add_event(series: Series, record: Record, at_ms: float, clocks: Clocks) -> None:
@@ -161,9 +162,9 @@
         row.read += counts.get("read", 0)
         row.served_in_time += counts.get("served", 0)
         row.late += counts.get("late", 0)
-        row.rejected += _sum_counts(counts, REJECTED_COUNTS)
-        row.rejected_in_shutdown += counts.get(REJECTED_IN_SHUTDOWN_COUNT, 0)
-        row.failed += _sum_counts(counts, FAILED_COUNTS)
+        row.rejected += _sum_counts(counts, REJECTED_COUNT_NAMES)
+        row.rejected_in_shutdown += counts.get(REJECTED_IN_SHUTDOWN_COUNT_NAME, 0)
+        row.failed += _sum_counts(counts, FAILED_COUNT_NAMES)
     _add_calls(row, record.fields)
     return row
 
--- a/snowthread/records/files.py
+++ b/snowthread/records/files.py
@@ -26,7 +26,7 @@
 class RecordFiles:
     """Append batches to the files of one boot in one folder.
 
-    A new file is begun when the current one is full; files beyond the retention of the node are deleted then.
+    A new file is opened when the current one is full. Then files that exceed the retention are deleted.
     """
 
     def __init__(self, folder: Path, node: str, boot: str, retention: Retention) -> None:
@@ -78,7 +78,7 @@
         os.close(fd)
 
     def _ensure_open(self, batch_bytes: int, now: float) -> None:
-        """Open a new file if none is open or the current one has no room for the batch.
+        """Open a new file if none is open, or if the current one is too large or too old for the batch.
 
         Raises:
             OSError: The file cannot be opened, or the last error is less than ``REOPEN_DELAY_MS`` ago.
--- a/snowthread/records/recorder.py
+++ b/snowthread/records/recorder.py
@@ -32,11 +32,12 @@
 
     from snowthread.config import Config
 
-SECOND_MS = 1000.0
-BOOT_ID_BYTES = 6
+SECOND_MS = 1000.0  # time between two ``second`` records
+BOOT_ID_BYTES = 6  # random bytes from which a boot id is made
 BYTES_PER_MB = 2**20
+# The kernel reports the memory of the process in this file, in pages.
 _MEMORY_FILE = Path("/proc/self/statm")
-_RESIDENT_FIELD = 1  # index in that file of the resident memory, which is in pages
+_RESIDENT_FIELD = 1  # index of the resident memory among the fields of /proc/self/statm
 
 
 class Recorder:
@@ -62,18 +63,18 @@
         )
         loop.spawn(self._record_seconds())
 
-    def set_connection_counter(self, connections: Callable[[], int]) -> None:
+    def set_connection_counter(self, count_connections: Callable[[], int]) -> None:
         """Set the function that counts open connections; until then 0 connections are recorded."""
-        self._count_connections = connections
+        self._count_connections = count_connections
 
     def apply_settings(self, settings: Settings) -> None:
         """Use the classes of these settings from now on."""
         self._observer.apply_settings(settings)
 
-    def reduce(self, state: NodeState, message: events.Event, now: float) -> list[effects.Effect]:
+    def reduce(self, state: NodeState, event: events.Event, now: float) -> list[effects.Effect]:
         """Run one step of the reducer, record it, and return its effects."""
-        produced = reduce(state, message, now)
-        for kind, fields in self._observer.observe(message, produced, state, now):
+        produced = reduce(state, event, now)
+        for kind, fields in self._observer.observe(event, produced, state, now):
             self.record(kind, fields)
         return produced
 
@@ -87,14 +88,15 @@
     def close(self, how: str) -> None:
         """Record the end, send what is queued and close the socket, after which the writer process exits.
 
-        ``how`` goes into the ``end`` record. It waits a short time for the writer to take the queued batches.
+        ``how`` is recorded as the way the node ended. The call waits at most ``CLOSE_TIMEOUT_MS`` for the
+        writer to take the queued batches.
         """
         logger.remove(self._log_sink)
         now = self._loop.clock.now()
         self.record(RecordKind.SECOND, self._second_fields(now))
         seconds = round((now - self._started_at_ms) / SECOND_MS, 1)
         self.record(RecordKind.END, {"how": how, "seconds": seconds})
-        self._close_batch()
+        self._queue_batch()
         self._link.close(now)
 
     def _record_seconds(self) -> TaskSteps:
@@ -103,7 +105,7 @@
             # Waits for the next full second of the clock, so that the seconds of all nodes coincide.
             yield Wait(until_ms=now + SECOND_MS - now % SECOND_MS)
             self.record(RecordKind.SECOND, self._second_fields(self._loop.clock.now()))
-            self._close_batch()
+            self._queue_batch()
             self._link.send()
 
     def _second_fields(self, now: float) -> RecordFields:
@@ -130,10 +132,10 @@
             self._outbox.drop(1)
             return
         if not self._batch.has_capacity_for(frame):
-            self._close_batch()
+            self._queue_batch()
         self._batch.add(frame)
 
-    def _close_batch(self) -> None:
+    def _queue_batch(self) -> None:
         records = self._batch.records
         if records:
             self._outbox.add(self._batch.take(), records)
--- a/snowthread/records/second.py
+++ b/snowthread/records/second.py
@@ -12,23 +12,24 @@
 from snowthread.records.model import RecordFields, RequestCounts
 
 COARSE_FROM_MS = 1000.0  # durations from this length on are rounded down to COARSE_STEP_MS
-COARSE_STEP_MS = 10
+COARSE_STEP_MS = 10  # resolution in which long durations are counted
 DURATION_MAX_MS = 3_600_000  # longer runs and calls are counted with this duration
 PERCENTILE_DIGITS = 2  # significant decimal digits of the recorded percentiles
 
 DurationCounts = dict[int, int]  # number of runs or calls by duration in ms
-ClassAndTenant = tuple[str, str]  # a plain tuple, as one is built for each request
+ClassAndTenant = tuple[str, str]  # a plain tuple and no class, as one is built for each request
 
 
 @dataclass(slots=True)
 class SecondCounts:
-    """The counts since the last ``second`` record; ``started_at_ms`` is when they began."""
+    """The counts since the last ``second`` record; ``started_at_ms`` is the Unix time of their start."""
 
     started_at_ms: float
     request_counts: dict[ClassAndTenant, RequestCounts] = field(default_factory=dict)
-    run_durations: dict[str, DurationCounts] = field(default_factory=dict)  # by class name
-    call_durations: dict[str, DurationCounts] = field(default_factory=dict)  # by outcome
-    least_age_ms_by_caller: dict[int, float] = field(default_factory=dict)  # by caller id
+    run_durations: dict[str, DurationCounts] = field(default_factory=dict)  # counts by class name
+    call_durations: dict[str, DurationCounts] = field(default_factory=dict)  # counts by outcome
+    # Least age on arrival among the requests of each caller, by caller id.
+    least_age_ms_by_caller: dict[int, float] = field(default_factory=dict)
 
 
 def count_duration(durations: dict[str, DurationCounts], name: str, duration_ms: float) -> None:
--- a/snowthread/records/writer.py
+++ b/snowthread/records/writer.py
@@ -59,13 +59,13 @@
         os.closerange(fd + 1, CLOSED_DESCRIPTORS_END)  # the other descriptors belong to the node alone
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, signal.SIG_IGN)  # the child exits after its node, not on a signal
-        _serve(writer_end, files)
+        _write_batches(writer_end, files)
         status = 0
     finally:
         os._exit(status)
 
 
-def _serve(source: socket.socket, files: RecordFiles) -> None:
+def _write_batches(source: socket.socket, files: RecordFiles) -> None:
     """Read batches from the socket and write them until it is closed."""
     while message := source.recv(COUNT_BYTES + BATCH_MAX_BYTES):
         records = int.from_bytes(message[:COUNT_BYTES], "little")
