--- a/snowthread/console/cli.py
+++ b/snowthread/console/cli.py
@@ -11,7 +11,7 @@
 
 
 @click.command()
-@click.argument("paths", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
+@click.argument("places", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 @click.option(
     "--sort",
     type=click.Choice([order.value for order in SortOrder]),
@@ -32,7 +32,7 @@
 @click.option(
     "--once", is_flag=True, help="Print the present state once and exit; the default if the output is piped."
 )
-def console(paths: tuple[Path, ...], sort: str, only: str, speed: float | None, once: bool) -> None:
+def console(places: tuple[Path, ...], sort: str, only: str, speed: float | None, once: bool) -> None:
     """Show the state, request counts, calls and events of a fleet from the records of its nodes."""
     from snowthread.console.model import Fleet
     from snowthread.console.screen import ViewOptions, render_text
@@ -41,7 +41,7 @@
     fleet = Fleet()
     view_options = ViewOptions(sort, only)
     if once or not sys.stdout.isatty():
-        for record in merge_records(paths, Findings()):
+        for record in merge_records(places, Findings()):
             fleet.add(record)
         click.echo(render_text(fleet, view_options), nl=False)
         return
@@ -51,5 +51,5 @@
     from snowthread.console.tail import Tail
 
     source: RecordSource
-    source = Tail(paths) if speed is None else Replay(merge_records(paths, Findings()), speed)
+    source = Tail(places) if speed is None else Replay(merge_records(places, Findings()), speed)
     run(source, fleet, view_options)
--- a/snowthread/incident/cli.py
+++ b/snowthread/incident/cli.py
@@ -8,7 +8,7 @@
 
 
 @click.command()
-@click.argument("paths", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
+@click.argument("places", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 @click.option(
     "-o",
     "--output",
@@ -16,12 +16,12 @@
     type=click.Path(dir_okay=False, path_type=Path),
     help="The HTML file to write; a JSON file with the same name is written next to it.",
 )
-def report(paths: tuple[Path, ...], output: Path) -> None:
+def report(places: tuple[Path, ...], output: Path) -> None:
     """Reconstruct incidents from records of nodes (files and folders); write an HTML and a JSON report."""
     from snowthread.incident.report import Report
 
     click.echo("Reading records...", err=True)
-    result = Report(paths, lambda count: click.echo(f"{count} records read...", err=True))
+    result = Report(places, lambda count: click.echo(f"{count} records read...", err=True))
     output.write_text(result.html(), encoding="utf-8")
     json_output = output.with_suffix(".json")
     json_output.write_bytes(result.json())
--- a/snowthread/incident/report.py
+++ b/snowthread/incident/report.py
@@ -76,7 +76,7 @@
             trim_blocks=True,
             lstrip_blocks=True,
         )
-        environment.filters["time_of_day"] = format_time_of_day
+        environment.filters["clock"] = format_time_of_day
         nodes = sorted(self.series.nodes.items())
         return environment.get_template(TEMPLATE_FILE).render(
             report=self.to_dict(),
--- a/snowthread/records/cli.py
+++ b/snowthread/records/cli.py
@@ -16,7 +16,7 @@
     from snowthread.records.model import BootId, Record
 
 PATHS_ARGUMENT = click.argument(
-    "paths", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path)
+    "places", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path)
 )
 
 
@@ -30,11 +30,11 @@
 @click.option("--kind", multiple=True, help="Print only records of this kind; may be repeated.")
 @click.option("--node", multiple=True, help="Print only records of this node; may be repeated.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
-def cat(paths: tuple[Path, ...], kind: tuple[str, ...], node: tuple[str, ...], as_json: bool) -> None:
+def cat(places: tuple[Path, ...], kind: tuple[str, ...], node: tuple[str, ...], as_json: bool) -> None:
     """Print records ordered by time."""
     from snowthread.records.reader import Findings, merge_records
 
-    for record in merge_records(paths, Findings()):
+    for record in merge_records(places, Findings()):
         if (kind and record.kind not in kind) or (node and record.node not in node):
             continue
         click.echo(_as_json(record) if as_json else _as_text(record))
@@ -42,12 +42,12 @@
 
 @records.command("verify")
 @PATHS_ARGUMENT
-def verify(paths: tuple[Path, ...]) -> None:
+def verify(places: tuple[Path, ...]) -> None:
     """Report missing records, corrupt frames and unreadable files; exit with status 1 if there are any."""
     from snowthread.records.reader import Findings, merge_records
 
     findings = Findings()
-    for _ in merge_records(paths, findings):
+    for _ in merge_records(places, findings):
         pass
     for line in findings.unreadable:
         click.echo(line)
@@ -68,11 +68,11 @@
 
 @records.command("stats")
 @PATHS_ARGUMENT
-def stats(paths: tuple[Path, ...]) -> None:
+def stats(places: tuple[Path, ...]) -> None:
     """Print a line for each boot: its start, duration, whether its end is recorded, and counts by kind."""
     from snowthread.records.reader import Findings, merge_records
 
-    for boot_id, boot in _summarize_boots(merge_records(paths, Findings())):
+    for boot_id, boot in _summarize_boots(merge_records(places, Findings())):
         started = datetime.fromtimestamp(boot.first_at_ms / 1000.0, UTC).isoformat(timespec="seconds")
         seconds = (boot.last_at_ms - boot.first_at_ms) / 1000.0
         end = "ended normally" if boot.ended else "no end recorded"
