--- a/snowthread/records/frame.py
+++ b/snowthread/records/frame.py
@@ -68,7 +68,7 @@
         InvalidPayloadError: The payload is no msgpack list of a record's fields, or a field has a wrong type.
     """
     try:
-        version, node, boot, number, at, kind, fields = msgpack.unpackb(payload, strict_map_key=False)[:7]
+        version, node, boot, number, at_ms, kind, fields = msgpack.unpackb(payload, strict_map_key=False)[:7]
     except (ValueError, TypeError, msgpack.UnpackException) as error:
         raise InvalidPayloadError(f"payload is not a record: {error}") from None
     if not (
@@ -76,12 +76,12 @@
         and isinstance(node, str)
         and isinstance(boot, str)
         and isinstance(number, int)
-        and isinstance(at, float)
+        and isinstance(at_ms, float)
         and isinstance(kind, str)
         and isinstance(fields, dict)
     ):
         raise InvalidPayloadError("payload is not a record: a field has the wrong type")
-    return Record(node, boot, number, at, kind, fields)
+    return Record(node, boot, number, at_ms, kind, fields)
 
 
 class FrameReader:
--- a/snowthread/records/observer.py
+++ b/snowthread/records/observer.py
@@ -41,9 +41,8 @@
         self._open_by_attempt: dict[str, OpenRequest] = {}
         self._current_second = SecondCounts(now)
         self._runtime_connected = False
-        self._run_classes: dict[
-            str, str
-        ] = {}  # class names of runs by attempt id; a run may outlive its request
+        # Class names of runs by attempt id, kept apart because a run may outlive its request.
+        self._run_classes: dict[str, str] = {}
         self._received_by_event: OpenRequest | None = None  # the request that the current event brought
         self._event_handlers: dict[type, Callable[[Any, float], RecordDraft | None]] = {}
         self._effect_handlers: dict[type, Callable[[Any, NodeState, float], RecordDraft | None]] = {}
--- a/snowthread/records/reader.py
+++ b/snowthread/records/reader.py
@@ -90,9 +90,8 @@
     """The record numbers that were read of one boot."""
 
     highest_number: int = 0
-    seen: OrderedDict[int, None] = field(
-        default_factory=OrderedDict
-    )  # the latest record numbers, at most MAX_SEEN_RECORDS
+    # The latest record numbers, at most MAX_SEEN_RECORDS.
+    seen: OrderedDict[int, None] = field(default_factory=OrderedDict)
 
     def add(self, number: int) -> None:
         """Remember the number of a record that was read."""
--- a/tests/stored/test_stored_formats.py
+++ b/tests/stored/test_stored_formats.py
@@ -235,9 +235,8 @@
         "runs": 12,
     }
     assert totals.nonzero_counts() == expected
-    assert list(totals.nonzero_counts()) == list(
-        expected
-    )  # the stored bytes depend on the order of the counts
+    # The stored bytes depend on the order of the counts.
+    assert list(totals.nonzero_counts()) == list(expected)
 
 
 @pytest.mark.parametrize("name", [FIRST_FILE, SECOND_FILE])
