--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -28,10 +28,10 @@
 from emulators.load_generator import LoadGenerator
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 from snowthread.lab.process_usage import child_pids, cpu_seconds
-from snowthread.records.files import SUFFIX
-from snowthread.records.frame import encode
-from snowthread.records.model import Fields, Record, RecordKind
-from snowthread.records.reader import Findings, merge
+from snowthread.records.files import RECORD_FILE_SUFFIX
+from snowthread.records.frame import encode_record
+from snowthread.records.model import Record, RecordFields, RecordKind
+from snowthread.records.reader import Findings, merge_records
 
 SOURCES = [f"127.0.{number}.9" for number in range(5)]  # addresses of the load
 CORES = 64  # of the emulated runtime
@@ -121,7 +121,9 @@
         if with_records:
             cost.with_us.append(cpu_us)
             cost.writer_s += sum(cpu_seconds(pid) for pid in writers)
-            cost.file_bytes += sum(path.stat().st_size for path in (folder / "records").glob(f"*{SUFFIX}"))
+            cost.file_bytes += sum(
+                path.stat().st_size for path in (folder / "records").glob(f"*{RECORD_FILE_SUFFIX}")
+            )
             cost.recorded_requests += len(load.sent_requests)
         else:
             cost.without_us.append(cpu_us)
@@ -145,7 +147,7 @@
     ]
 
 
-def second_fields(rng: random.Random) -> Fields:
+def second_fields(rng: random.Random) -> RecordFields:
     """Return fields as a busy node makes them."""
     return {
         "ms": 1000.0,
@@ -172,8 +174,8 @@
 def write_files(folder: Path, node: int, records: Sequence[Record]) -> None:
     """Write the records of one boot, several files long."""
     for number, first in enumerate(range(0, len(records), FILE_SECONDS), 1):
-        path = folder / f"n{node}-1-{node:012x}-{number:06d}{SUFFIX}"
-        path.write_bytes(b"".join(encode(record) for record in records[first : first + FILE_SECONDS]))
+        path = folder / f"n{node}-1-{node:012x}-{number:06d}{RECORD_FILE_SUFFIX}"
+        path.write_bytes(b"".join(encode_record(record) for record in records[first : first + FILE_SECONDS]))
 
 
 def measure_reading(nodes: int, seconds: int, rng: random.Random) -> dict[str, float]:
@@ -187,9 +189,9 @@
         count = 0
         last_at = 0.0
         began = time.perf_counter()
-        for record in merge([folder], findings):
-            assert record.at >= last_at
-            last_at = record.at
+        for record in merge_records([folder], findings):
+            assert record.at_ms >= last_at
+            last_at = record.at_ms
             count += 1
         took_s = time.perf_counter() - began
         peak_mb = measure_merge_memory(folder)
@@ -207,7 +209,7 @@
 def measure_merge_memory(folder: Path) -> float:
     """Return the most memory that a merge takes, in MB."""
     tracemalloc.start()
-    for _ in merge([folder], Findings()):
+    for _ in merge_records([folder], Findings()):
         pass
     peak_bytes = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
--- a/tests/records/test_record_program.py
+++ b/tests/records/test_record_program.py
@@ -1,4 +1,4 @@
-"""A program that records: what it leaves behind, and that it goes on whatever the writer does."""
+"""A node program that records: what it leaves on disk, and that it survives failures of the writer."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from snowthread.config import ConfigError
 from snowthread.operator.features import Features
 from snowthread.records.model import Record
-from snowthread.records.reader import Findings, merge
+from snowthread.records.reader import Findings, merge_records
 
 ROOT = Path(__file__).parents[2]
 
@@ -55,7 +55,7 @@
 
 
 def serve_and_stop(path: Path, file: Path) -> int:
-    """Serve until the node listens, shut it down, and return its status."""
+    """Start a node, shut it down once it listens, and return its exit status."""
     with started("-m", "snowthread", "serve", "--with", str(file), env=environment(path)) as node:
         assert node.stderr is not None and "listens on" in node.stderr.readline()
         node.send_signal(signal.SIGTERM)
@@ -72,10 +72,10 @@
 
 
 def wait_for_served(folder: Path, wanted: int) -> list[Record]:
-    """Wait until the records show so many served requests, and return them."""
+    """Wait until the records show ``wanted`` served requests, and return the records."""
     deadline = time.monotonic() + TIMEOUT_S
     while True:
-        records = list(merge([folder], Findings()))
+        records = list(merge_records([folder], Findings()))
         if count_served(records) == wanted:
             return records
         assert time.monotonic() < deadline, records
@@ -95,7 +95,7 @@
         assert ask(listen_address(path), "match", b"grey") == [1, 1, None, [b"GREY", {}]]
         children = Path(f"/proc/{node.pid}/task/{node.pid}/children").read_text().split()
         os.kill(int(children[0]), signal.SIGKILL)
-        assert any("the writer has ended" in line for line in iter(node.stderr.readline, ""))
+        assert any("the writer process has exited" in line for line in iter(node.stderr.readline, ""))
         assert ask(listen_address(path), "match", b"grey") == [1, 1, None, [b"GREY", {}]]
         node.send_signal(signal.SIGTERM)
         assert node.wait(TIMEOUT_S) == 0
@@ -138,10 +138,10 @@
     assert lines[0]["kind"] == "start" and lines[-1]["kind"] == "end"
     assert run("cat", "--kind", "end", records).stdout.count("\n") == 1
     complete = run("verify", records)
-    assert complete.returncode == 0 and "nothing wrong" in complete.stdout
-    assert "n1" in run("stats", records).stdout and "left" in run("stats", records).stdout
+    assert complete.returncode == 0 and "no problems found" in complete.stdout
+    assert "n1" in run("stats", records).stdout and "ended normally" in run("stats", records).stdout
     (file_of_records,) = Path(records).iterdir()
     file_of_records.write_bytes(file_of_records.read_bytes()[:-7])
     truncated = run("verify", records)
-    assert truncated.returncode == 1 and "cut short" in truncated.stdout
-    assert "no end is recorded" in run("stats", records).stdout
+    assert truncated.returncode == 1 and "truncated frame" in truncated.stdout
+    assert "no end recorded" in run("stats", records).stdout
