--- a/snowthread/frontends/balancers/connection.py
+++ b/snowthread/frontends/balancers/connection.py
@@ -97,7 +97,7 @@
         """Restart the idle time if the connection is idle, else record that it is busy."""
         self._owner.mark_active(self)
 
-    # Writing and closing.
+    # Writing answers, and closing the connection.
 
     def write(self, data: bytes) -> None:
         """Send what the socket accepts and buffer the rest.
@@ -130,7 +130,7 @@
         self.closing_gracefully = True
         self._owner.loop.wake(self.task)
 
-    # Reading.
+    # Reading and handling messages.
 
     def read_pending(self) -> None:
         """Read the bytes that have arrived, before a decision whether to close the connection.
@@ -168,7 +168,7 @@
         handle_message(self, message)
         return not self.closing_immediately and not self.closing_gracefully
 
-    # The connection's task.
+    # The task that reads, writes and finally closes the connection.
 
     def _run(self) -> Coroutine:
         try:
--- a/snowthread/frontends/balancers/server.py
+++ b/snowthread/frontends/balancers/server.py
@@ -157,7 +157,7 @@
             self.post(events.RequestCancelled((connection.number, number)))
         connection.open_request_numbers.clear()
 
-    # Sending answers.
+    # Sending answers to balancers.
 
     def send_response(self, effect: effects.SendResponse) -> None:
         """Send an answer, unless its connection is closed or the request is answered or cancelled already."""
@@ -175,7 +175,7 @@
             connection.send_farewell()
         self.mark_active(connection)
 
-    # Timeouts.
+    # Checking the timeouts of connections.
 
     def _sweep(self) -> Coroutine:
         while True:
@@ -184,7 +184,7 @@
                 self.loop.clock.now(), closes_after_farewell=self.acceptor.paused or not self._releasing
             )
 
-    # Releasing clients and stopping.
+    # Releasing clients, and pausing or stopping the server.
 
     def send_farewell_to_all(self) -> None:
         """Release the clients: send a farewell on every connection.
--- a/snowthread/hot_restart/channel.py
+++ b/snowthread/hot_restart/channel.py
@@ -96,7 +96,7 @@
         if self._link is not None:
             self._link.flush()
 
-    # The successor's side.
+    # The successor's side of the handover.
 
     def _join(self) -> Coroutine:
         """Connect to the predecessor, again after each broken link, and serve standalone once it has exited.
@@ -129,7 +129,9 @@
         self._accept_clients()
 
     def _is_predecessor_absent(self, failure: ConnectFailure, give_up_at_ms: float) -> bool:
-        return failure.is_absent or (failure.is_refused and self._loop.clock.now() >= give_up_at_ms)
+        return failure.is_socket_file_missing or (
+            failure.is_refused and self._loop.clock.now() >= give_up_at_ms
+        )
 
     def _follow_predecessor(self, sock: socket.socket) -> Coroutine:
         """Serve one link to the predecessor until it breaks."""
@@ -140,7 +142,7 @@
         self._send(HandoverSignal.HELLO)
         yield from self._run_link(link)
 
-    # The predecessor's side.
+    # The predecessor's side of the handover.
 
     def _listen(self) -> None:
         """Listen on the socket in the shared directory, so that a successor finds this process."""
@@ -198,7 +200,7 @@
             self._report_exit()
             self._accept_clients()
 
-    # Both sides.
+    # Used on both sides of the handover.
 
     def _run_link(self, link: PeerLink) -> Coroutine:
         try:
--- a/snowthread/hot_restart/socket_file.py
+++ b/snowthread/hot_restart/socket_file.py
@@ -58,7 +58,7 @@
     error_number: int
 
     @property
-    def is_absent(self) -> bool:
+    def is_socket_file_missing(self) -> bool:
         """Whether there is no socket file."""
         return self.error_number == errno.ENOENT
 
--- a/snowthread/node/shutdown.py
+++ b/snowthread/node/shutdown.py
@@ -59,7 +59,7 @@
 
 
 class GracefulShutdown:
-    """Shuts a node down: decides when the listener closes and when the process exits."""
+    """Shuts a node down gracefully: decides when the listener closes and when the process exits."""
 
     def __init__(self, node: ServingNode) -> None:
         self._node = node
--- a/tests/hot_restart/test_hot_restart_program.py
+++ b/tests/hot_restart/test_hot_restart_program.py
@@ -21,8 +21,8 @@
 from support.hot_restart import packed_request
 from support.program import ROOT, TIMEOUT_S, configuration, environment, reserve_address, site
 
-BALANCERS = 6
-POLL_S = 0.02
+BALANCERS = 6  # number of balancers that send requests during the restart
+POLL_S = 0.02  # interval between checks of a condition
 
 
 def admin_status(port: int, method: str, path: str) -> int:
--- a/tests/node/test_connection_close.py
+++ b/tests/node/test_connection_close.py
@@ -20,7 +20,7 @@
 from snowthread.net.limits import SWEEP_INTERVAL_MS
 
 MALFORMED = b"\xa5hello"
-SOCKET_BUFFER_BYTES = 4096
+SOCKET_BUFFER_BYTES = 4096  # small, so that the buffers between the node and its peer fill soon
 UNSENT_WANTED_BYTES = 16_000  # the node pauses reading only from 32 KiB of unsent answers
 CHECKS_MAX = 20_000  # most health checks that are sent to reach ``UNSENT_WANTED_BYTES``
 IDLE_ROUNDS_MAX = 2000  # rounds without data after which the node is taken to send nothing more
--- a/tests/support/exchange.py
+++ b/tests/support/exchange.py
@@ -91,9 +91,8 @@
                 if line.strip() and not line.startswith("#"):
                     self._play_line(number, line)
             self.settle()
-            for peer_name in self.peers.keys() - {
-                "roster"
-            }:  # the node sends reports to the registry periodically
+            # Except for the registry, to which the node sends reports periodically.
+            for peer_name in self.peers.keys() - {"roster"}:
                 self.assert_silent(peer_name)
         finally:
             for sock in (*self.peers.values(), *self.listeners.values()):
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -17,7 +17,7 @@
 from snowthread.reload import reload
 
 RECORDED = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
-SOCKET_BUFFER_BYTES = 4096
+SOCKET_BUFFER_BYTES = 4096  # small, so that the buffers between the node and its peers fill soon
 PEERS = 12
 ROUNDS_MAX = 100  # rounds after which a peer must have been disconnected
 ROUND_MS = 5.0  # time per round; all rounds together take less than the timeouts for slow peers
