--- a/tests/hot_restart/test_hot_restart_capacity.py
+++ b/tests/hot_restart/test_hot_restart_capacity.py
@@ -36,7 +36,9 @@
     """The example settings have 15,906 KB and 2 cores; a run is counted with 4 times its request's memory."""
     first = pair.connect(pair.predecessor)
     send_matches(pair, first, "a", 2, 1800)
-    assert len(pair.started_runs(pair.predecessor)) == 2  # the two count as 14,400 KB of the 15,906 KB
+    assert (
+        len(pair.started_runs(pair.predecessor)) == 2
+    )  # both count as 14,400 KB, nearly all that may be used
     pair.start_successor()
     second = pair.connect(pair.successor)
     send_matches(pair, second, "b", 2, 600)
--- a/tests/node/test_no_site_names.py
+++ b/tests/node/test_no_site_names.py
@@ -55,7 +55,7 @@
 def test_neither_program_nor_deploy_file_names_a_site_s_parts() -> None:
     known = site_names()
     assert {"match", "recalc", "dispense", "lodz-labels", "charge", "swansea-tickets"} <= known
-    assert names_in("a = 'dispense'", known) == {"dispense"}  # the check does detect a name
+    assert names_in("a = 'dispense'", known) == {"dispense"}  # shows that the check can fail
     program = ROOT / "snowthread"
     for path in sorted(program.rglob("*.py")):
         if not EMULATING_PARTS & set(path.relative_to(program).parts):
