--- a/snowthread/sites/client_filter.py
+++ b/snowthread/sites/client_filter.py
@@ -40,7 +40,7 @@
 
     def __init__(self, loop: EventLoop, settings: SiteSettings, next_reducer: Reducer) -> None:
         self._loop = loop
-        self._balancer_ranges = settings.balancer_ranges
+        self._site_balancers = settings.site_balancers
         self._next_reducer = next_reducer
         # IDs of admitted attempts of other sites' clients that are in flight.
         self._other_site_attempts: dict[str, None] = {}
@@ -61,8 +61,8 @@
         """
         if type(event) is not events.RequestReceived:
             return self._next_reducer(state, event, now_ms)
-        home_site = self._balancer_ranges.site_of(event.caller_id)
-        if home_site == self._balancer_ranges.own_site:
+        home_site = self._site_balancers.site_of(event.caller_id)
+        if home_site == self._site_balancers.own_site:
             return self._next_reducer(state, event, now_ms)
         request_class = next((c for c in state.settings.classes if c.name == event.class_name), None)
         decision = (
@@ -117,6 +117,8 @@
             if self.decision_counts:
                 counts = self.decision_counts
                 self.decision_counts = Counter()
+                # The fields are named "SITE DECISION": "b own" counts the requests of site b's clients that
+                # were passed to admission control like the site's own, "b refuse" those that were rejected.
                 logger.bind(event="site.edge", **counts).info(
                     "requests of other sites' clients by home site and decision: {}", dict(counts)
                 )
--- a/snowthread/sites/membership.py
+++ b/snowthread/sites/membership.py
@@ -5,11 +5,13 @@
 | status     | event                                                     | next       | load of the site |
 | ---------- | --------------------------------------------------------- | ---------- | ---------------- |
 | up         | silent for longer than ``suspicion_timeout_ms``           | suspect    | stays            |
-| suspect    | heartbeat of the known incarnation                        | up         | stays            |
+| suspect    | heartbeat of the known incarnation, or the first one ever | up         | stays            |
 | suspect    | suspected for ``lost_after_ms``, and unreachable for all  | lost       | may migrate      |
 |            | sites that are up                                         |            |                  |
 | suspect    | suspected for ``lost_after_ms``, but reachable for a site | suspect    | stays            |
 |            | that is up                                                |            |                  |
+| up,        | heartbeat of another incarnation that is not an earlier   | recovering | paced            |
+| suspect    | one                                                       |            |                  |
 | any        | heartbeat of an earlier incarnation or generation         | unchanged  | unchanged        |
 | lost       | heartbeat                                                 | recovering | returns, paced   |
 | recovering | ``up_after_ms`` with heartbeats                           | up         | unchanged        |
@@ -42,7 +44,7 @@
     UP = "up"
     SUSPECT = "suspect"
     LOST = "lost"
-    RECOVERING = "back"
+    RECOVERING = "back"  # Heartbeats arrive again; the site is not up yet, and load returns to it gradually.
 
 
 @dataclass(frozen=True, slots=True)
@@ -162,7 +164,8 @@
         peer.last_heartbeat = heartbeat
         peer.last_heartbeat_ms = now_ms
         if peer.status is SiteStatus.SUSPECT:
-            # A new incarnation has lost its state, even if its restart was too short to be noticed.
+            # Another incarnation has restarted without its state, even if it was silent too briefly to be
+            # lost. The first heartbeat ever received has no earlier incarnation to compare with.
             is_known = same_incarnation or last is None
             return self._change_status(
                 heartbeat.site, SiteStatus.UP if is_known else SiteStatus.RECOVERING, now_ms
--- a/snowthread/sites/settings.py
+++ b/snowthread/sites/settings.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from snowthread.hcl import Block
-from snowthread.sites.shedding import BalancerRanges
+from snowthread.sites.shedding import SiteBalancers
 
 MAX_HOME_BLOCKS = 64
 
@@ -15,12 +15,12 @@
 class SiteSettings:
     """The site that this node belongs to, and the balancer numbers of every site."""
 
-    balancer_ranges: BalancerRanges
+    site_balancers: SiteBalancers
 
     def summary(self) -> str:
         """Return one line that describes the settings to operators."""
-        sites = ", ".join(self.balancer_ranges.ranges)
-        return f"site {self.balancer_ranges.own_site}; sites with configured balancers: {sites}"
+        sites = ", ".join(self.site_balancers.ranges)
+        return f"site {self.site_balancers.own_site}; sites with configured balancers: {sites}"
 
 
 class _AssignedRange(NamedTuple):
@@ -46,7 +46,7 @@
         ranges.setdefault(site, []).append((first, last))
     if own_site not in ranges:
         raise block.error("name", f"no block 'home' is named {own_site!r}, the site of this node")
-    return SiteSettings(BalancerRanges(own_site, ranges))
+    return SiteSettings(SiteBalancers(own_site, ranges))
 
 
 def _read_range(home: Block, text: str, site: str, assigned: list[_AssignedRange]) -> _AssignedRange:
--- a/snowthread/sites/shedding.py
+++ b/snowthread/sites/shedding.py
@@ -14,8 +14,8 @@
 higher; it is 0 at a site with free capacity. The threshold of a request grows with the position of its class
 in the shedding order (by priority weight per unit of work, lowest first) and with its rank within the class.
 At any pressure, a request of less weight is therefore rejected before one of more weight. From
-``MAX_OTHER_SITE_PRESSURE`` on, all requests of other sites' clients are rejected, and only then does
-admission control reject those of the site's own clients.
+``MAX_OTHER_SITE_PRESSURE`` on, all requests of other sites' clients are rejected. Requests of the site's own
+clients are never rejected here; admission control may reject them at any pressure, by its own rules.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 
 
 class SheddingDecision(Enum):
-    """What is done with a request."""
+    """What is done with a request; the values appear in the log line of ``client_filter``."""
 
-    ADMIT = "own"
-    FAIL = "fail"
-    REJECT = "refuse"
+    ADMIT = "own"  # Admission control decides on the request as on one of the site's own clients.
+    FAIL = "fail"  # Answered as failed.
+    REJECT = "refuse"  # Answered as rejected.
 
 
 @dataclass(frozen=True, slots=True)
-class BalancerRanges:
-    """Inclusive ranges of balancer numbers, by the site whose clients these balancers serve."""
+class SiteBalancers:
+    """Inclusive ranges of balancer numbers, by the name of the site whose clients these balancers serve."""
 
     own_site: str
     ranges: Mapping[str, Sequence[tuple[int, int]]]
--- a/tests/sites/test_shedding.py
+++ b/tests/sites/test_shedding.py
@@ -7,9 +7,9 @@
 from snowthread.sites.shedding import (
     MAX_OTHER_SITE_PRESSURE,
     MAX_OTHER_SITE_SHARE,
-    BalancerRanges,
     NodeLoad,
     SheddingDecision,
+    SiteBalancers,
     decide_request,
     load_pressure,
     shedding_order,
@@ -77,5 +77,5 @@
 
 
 def test_a_number_in_no_range_belongs_to_this_site() -> None:
-    ranges = BalancerRanges("a", {"a": [(0, 9)], "b": [(10, 19), (30, 30)]})
+    ranges = SiteBalancers("a", {"a": [(0, 9)], "b": [(10, 19), (30, 30)]})
     assert [ranges.site_of(n) for n in (0, 9, 10, 19, 20, 30, 31)] == ["a", "a", "b", "b", "a", "b", "a"]
--- a/tests/sites/test_site_settings.py
+++ b/tests/sites/test_site_settings.py
@@ -26,7 +26,7 @@
 
 def test_the_block_names_each_sites_balancers(tmp_path: Path) -> None:
     settings = read_block(tmp_path, 'name = "a"\n' + home("a", "0-9", "12") + home("b", "10-11"))
-    assert settings.balancer_ranges.ranges == {"a": [(0, 9), (12, 12)], "b": [(10, 11)]}
+    assert settings.site_balancers.ranges == {"a": [(0, 9), (12, 12)], "b": [(10, 11)]}
     assert "site a" in settings.summary()
 
 
