--- a/snowthread/recovery/cli.py
+++ b/snowthread/recovery/cli.py
@@ -49,7 +49,11 @@
 @FOLDER
 @click.option("--fresh-for", default=60.0, show_default=True, help="Seconds for which a snapshot is trusted.")
 def show(folder: Path, fresh_for: float) -> None:
-    """Show the state that a node started now would find, and whether it would use it."""
+    """Show the state that a node started now would find, and whether it would use it.
+
+    The snapshot's generation is not compared with the fleet's, which only the registry knows. So a snapshot
+    that is fresh here may still be of an older generation for the node.
+    """
     from snowthread.recovery import storage
     from snowthread.recovery.snapshot import decode_snapshot
     from snowthread.recovery.snapshot_assessment import assess_snapshot
--- a/snowthread/recovery/key_log.py
+++ b/snowthread/recovery/key_log.py
@@ -2,25 +2,32 @@
 
 Pure: decoding takes bytes and returns the contents with a status.
 
-The file has one ``HEADER`` followed by ``slots`` records of type ``SLOT``, all little-endian::
-
-    header  magic b"STKR", version u16, pad, slots u32, any_until f64 (Unix ms), crc32 u32, pad to 32 bytes
-    slot    sequence u64 (from 1; 0: empty), until f64 (Unix ms), key digest 16 bytes, crc32 u32, pad
-
-A key is written to slot ``sequence % slots`` before the command that starts its run is sent to the runtime.
-If that slot holds another key whose window is still open, the key is not written and its run does not start.
-The size of the log therefore limits the number of keys with an open window.
-
-The run of an indeterminate key may have started, and its result is unknown. Decoding gives these results:
-
-| file                                              | status  | indeterminate keys                           |
-| ------------------------------------------------- | ------- | -------------------------------------------- |
-| complete                                          | whole   | keys with an open window                     |
-| complete, ``any_until`` set by an earlier start   | whole   | all until ``any_until``, then as above       |
-| missing                                           | missing | all, for the longest window after this start |
-| size differs from the header, or the header or a  | torn    | all, for the longest window after this start |
-| slot has a wrong checksum or position             |         |                                              |
-| unknown magic or version                          | foreign | all, for the longest window after this start |
+The file has one ``HEADER`` followed by ``slot_count`` records of type ``SLOT``, all little-endian. The CRC-32
+of a record covers the bytes before it::
+
+    header  magic b"STKR", version u16, 2 bytes of padding, slot_count u32, all_indeterminate_until_ms f64
+            (Unix time in ms), CRC-32 u32, padding to 32 bytes
+    slot    sequence u64 (from 1; 0: empty), window_end_ms f64 (Unix time in ms), key digest 16 bytes,
+            CRC-32 u32, padding to 40 bytes
+
+A key is written to slot ``sequence % slot_count`` before the command that starts its run is sent to the
+runtime. If that slot holds another key whose window is still open, the key is not written and its run does
+not start. The size of the log therefore limits the number of keys with an open window.
+
+The run of an indeterminate key may have started, and its result is unknown. Decoding gives these results;
+the value of each status, which is logged, follows it in brackets:
+
+| file                                         | status                   | indeterminate keys               |
+| -------------------------------------------- | ------------------------ | -------------------------------- |
+| complete                                     | COMPLETE (whole)         | keys with an open window         |
+| complete, ``all_indeterminate_until_ms`` set | COMPLETE (whole)         | all until that time, then those  |
+| by an earlier start                          |                          | with an open window              |
+| missing or empty                             | MISSING (missing)        | all, for the longest window      |
+|                                              |                          | after this start                 |
+| size differs from the header, or the header  | CORRUPT (torn)           | all, for the longest window      |
+| or a slot has a wrong checksum or position   |                          | after this start                 |
+| unknown magic or version                     | UNKNOWN_FORMAT (foreign) | all, for the longest window      |
+|                                              |                          | after this start                 |
 """
 
 from __future__ import annotations
@@ -37,7 +44,8 @@
 SLOT = struct.Struct("<Qd16s")
 SLOT_BYTES = 40
 CRC = struct.Struct("<I")
-DEFAULT_SLOT_COUNT = 8192  # A new log holds more than five windows of keys at 100 keys per second.
+# At 100 keys per second, a new log holds the keys of 82 s: more than five idempotency windows of 16 s each.
+DEFAULT_SLOT_COUNT = 8192
 MAX_SLOT_COUNT = 1 << 20
 
 
--- a/snowthread/recovery/key_recorder.py
+++ b/snowthread/recovery/key_recorder.py
@@ -39,7 +39,8 @@
         """Write the key of a run to the key log.
 
         Returns:
-            Whether the run may start: its key was written, or it has none.
+            Whether the run may start: its key was written, or it has none. A key cannot be written if the key
+            log was not opened, or if its next slot holds a key whose window is open.
         """
         record = state.idempotency_table.find_by_attempt(start.attempt_id)
         if record is None:
@@ -48,7 +49,8 @@
         if self._key_log is not None and self._key_log.append(digest, record.expires_at_ms, now_ms):
             return True
         logger.bind(event="recovery.key_log").warning(
-            "could not write an idempotency key to the key log; its run is not started and its request fails"
+            "could not write an idempotency key: the key log is full of keys with open windows, or could not "
+            "be opened at start; the run of the key is not started and its request fails"
         )
         return False
 
--- a/snowthread/recovery/learned_snapshots.py
+++ b/snowthread/recovery/learned_snapshots.py
@@ -53,7 +53,8 @@
         Args:
             generation: The fleet's generation, as the registry reports it.
             now_ms: Current wall clock time in ms.
-            is_cold: Whether the machine is cold. A cold machine is taken to run at the configured cold speed.
+            is_cold: Whether the node is cold, that is, has not completed slow start. The machine of a cold
+                node is assumed to run at the configured cold speed.
         """
         assessment = assess_snapshot(
             self._stored_bytes,
--- a/snowthread/recovery/manager.py
+++ b/snowthread/recovery/manager.py
@@ -46,8 +46,9 @@
 # While calls are paced, the controller may have this many times its call quota in flight, because some of
 # these calls wait in the queue of call_pacing.
 PACED_CALL_QUOTA_FACTOR = 4.0
-MAX_WINDOW_RUNS_PER_CORE = 2.0
-MIN_WINDOW_RUNS_PER_CORE = 1.0
+# Limits of the slow-start window, which is the number of runs that a cold node may have in flight, per core.
+MAX_SLOW_START_RUNS_PER_CORE = 2.0
+MIN_SLOW_START_RUNS_PER_CORE = 1.0
 # Backoff after failed connects to the runtime, and after calls that did not reach the database.
 BACKOFF_BASE_MS = 20.0
 BACKOFF_CAP_MS = 2000.0
@@ -80,7 +81,7 @@
         self._settings = settings
         self._post = post
         self._next_reducer = next_reducer
-        self._random = random.Random(config.seed ^ RECOVERY_SEED_MASK)
+        self._random_generator = random.Random(config.seed ^ RECOVERY_SEED_MASK)
         self._report_now: Callable[[], None] = lambda: None
         self._execute_effect: Callable[[effects.Effect], None] = lambda _effect: None
 
@@ -91,7 +92,7 @@
         configured_nodes = max(1, config.settings.node_count)
         self._registry_member = RegistryMember(settings, configured_nodes, post, self._send_report)
         self._snapshots = SnapshotStore(settings, state, post)
-        self._pacer = _make_pacer(settings, config.settings.cores, self._random)
+        self._pacer = _make_pacer(settings, config.settings.cores, self._random_generator)
         self._update_fleet()
         self._warmup = WarmupTracker(self._pacer, started_at_ms, self._send_report)
         self._cold_admission = ColdRequestAdmission(self._pacer)
@@ -111,6 +112,9 @@
         self._execute_effect = execute_effect
         self._loop.spawn(self._write_snapshots())
 
+    # The next two methods are passed to the parts that are created above. They look up the callables at each
+    # call, because :meth:`start` sets these only after the parts were created.
+
     def _send_report(self) -> None:
         self._report_now()
 
@@ -145,7 +149,7 @@
 
     def reconnect_delay_ms(self) -> float:
         """Return how long to wait, in ms, before the next attempt to connect to the runtime."""
-        return self._reconnect_backoff.next_delay_ms(self._random)
+        return self._reconnect_backoff.next_delay_ms(self._random_generator)
 
     # Filtering of events and effects.
 
@@ -228,7 +232,7 @@
     def _write_snapshot(self) -> None:
         """Write a snapshot of the learned state.
 
-        Nothing is written while the machine is cold, before the registry has reported the fleet's generation,
+        Nothing is written while the node is cold, before the registry has reported the fleet's generation,
         or after another process has registered under this node's name.
         """
         view = self._registry_member.view
@@ -237,9 +241,9 @@
         self._snapshots.write(view, self._registry_member.incarnation, self._loop.clock.now())
 
 
-def _make_pacer(settings: RecoverySettings, cores: int, generator: random.Random) -> RecoveryPacer:
+def _make_pacer(settings: RecoverySettings, cores: int, random_generator: random.Random) -> RecoveryPacer:
     return RecoveryPacer(
-        SlowStart(MAX_WINDOW_RUNS_PER_CORE * cores, MIN_WINDOW_RUNS_PER_CORE * cores),
+        SlowStart(MAX_SLOW_START_RUNS_PER_CORE * cores, MIN_SLOW_START_RUNS_PER_CORE * cores),
         CallBudget(
             FLEET_BUDGET_RATIO * settings.database_calls_per_s,
             settings.database_call_latency_ms,
@@ -247,5 +251,5 @@
         ),
         Backoff(BACKOFF_BASE_MS, BACKOFF_CAP_MS),
         settings.database_calls_per_s * settings.database_call_latency_ms / MS_PER_S,
-        generator,
+        random_generator,
     )
--- a/snowthread/recovery/membership.py
+++ b/snowthread/recovery/membership.py
@@ -6,18 +6,18 @@
 ``FLEET generation listed cold highest``. ``listed`` and ``cold`` count nodes, and ``highest`` is the highest
 incarnation that the registry knows for the name of the reporting node. "Own" is this process's incarnation.
 
-| status    | answer                               | next status                                           |
-| --------- | ------------------------------------ | ----------------------------------------------------- |
-| unheard   | ``highest`` equals own, own is not 0 | member                                                |
-| unheard   | ``highest`` is above own             | member with incarnation ``highest + 1``, because the  |
-|           |                                      | stored incarnation was lost                           |
-| unheard   | own is 0                             | member with incarnation ``highest + 1``: nothing was  |
-|           |                                      | stored, or this is the node's first start             |
-| member    | ``highest`` equals own               | member                                                |
-| member    | ``highest`` is above own             | replaced: another process uses the node's name        |
-| replaced  | any                                  | replaced, permanently; the node stays unlisted        |
-| any       | malformed                            | unchanged; the answer is counted as invalid           |
-| any       | generation below one received before | unchanged; the outdated answer is counted as invalid  |
+| status      | answer                               | next status                                           |
+| ----------- | ------------------------------------ | ----------------------------------------------------- |
+| UNCONFIRMED | ``highest`` at most own, own not 0   | MEMBER                                                |
+| UNCONFIRMED | ``highest`` is above own             | MEMBER with incarnation ``highest + 1``, because the  |
+|             |                                      | stored incarnation was lost                           |
+| UNCONFIRMED | own is 0                             | MEMBER with incarnation ``highest + 1``: nothing was  |
+|             |                                      | stored, or this is the node's first start             |
+| MEMBER      | ``highest`` at most own              | MEMBER                                                |
+| MEMBER      | ``highest`` is above own             | REPLACED: another process uses the node's name        |
+| REPLACED    | any                                  | REPLACED, permanently; the node stays unlisted        |
+| any         | malformed                            | unchanged; the answer is counted as invalid           |
+| any         | generation below one received before | unchanged; the outdated answer is counted as invalid  |
 """
 
 from __future__ import annotations
--- a/snowthread/recovery/registry_member.py
+++ b/snowthread/recovery/registry_member.py
@@ -29,7 +29,10 @@
         post: Callable[[events.Event], None],
         report_now: Callable[[], None],
     ) -> None:
-        """Read the incarnation stored by the last start, and store the next one if there was one."""
+        """Read the incarnation that the previous start stored, add 1 and store the result.
+
+        If none was stored, the incarnation is 0 and nothing is stored until the registry has answered.
+        """
         self._folder = settings.folder
         self._post = post
         self._report_now = report_now
@@ -88,7 +91,8 @@
         incarnation = self._membership.incarnation
         if incarnation > 1:
             logger.bind(event="recovery.incarnation").warning(
-                "the registry knows a later incarnation of this node than {}; continuing as incarnation {}",
+                "the registry knows a later incarnation of this node than {} (0: none was stored); "
+                "continuing as incarnation {}",
                 earlier,
                 incarnation,
             )
--- a/snowthread/recovery/request_admission.py
+++ b/snowthread/recovery/request_admission.py
@@ -25,8 +25,11 @@
     ) -> effects.SendResponse | None:
         """Return the rejection of a request, or None if the reducer is to decide on it.
 
-        Only requests of classes whose runs cannot skip their calls are rejected here. Possible retries of a
-        keyed request are left to the reducer.
+        The reducer decides on all requests of unknown classes and of classes whose runs may skip a call
+        (``skipped_call_weight`` above 0). Of the other classes, a request whose class makes no calls is
+        rejected if it must yield to the warmup; an idempotency key makes no difference. A request whose class
+        makes calls is rejected if the slow-start window is full, unless it may be the retry of a keyed
+        request.
 
         Args:
             state: The node state.
@@ -47,8 +50,10 @@
     def _must_yield_to_warmup(self, state: NodeState, now_ms: float) -> bool:
         """Return whether a request that makes no calls is rejected in favor of requests that make calls.
 
-        While every key is indeterminate, keyed requests may not run, so the calls with the highest priority
-        weight may not be made. During that time, requests whose calls warm up the machine go first.
+        While every key is indeterminate, keyed requests may not run, and their calls, which have the highest
+        priority weight, are not made. Only the calls of the other requests warm up the machine. So for that
+        time, requests without calls are rejected once as many runs are in progress as there are cores,
+        provided that the call budget is mostly unused.
         """
         keys = state.indeterminate_keys
         if keys is None or now_ms >= keys.all_indeterminate_until_ms:
--- a/snowthread/recovery/snapshot.py
+++ b/snowthread/recovery/snapshot.py
@@ -5,7 +5,7 @@
     magic   4 bytes  b"STWS"
     version u16      FORMAT_VERSION
     gen     u64      the fleet's generation at the time of writing, as the registry reported it
-    life    u32      the node's incarnation: how many starts its state folder has seen
+    life    u32      the node's incarnation at the time of writing: the number of the node's start
     at_ms   f64      wall clock time of writing, milliseconds since the Unix epoch
     length  u32      length of the body in bytes
     body    JSON     :class:`LearnedTimes` as an object
@@ -35,7 +35,11 @@
 
 
 class SnapshotStatus(Enum):
-    """Whether a snapshot found at start may be used, and if not, why."""
+    """Whether a snapshot may be used, and if not, why.
+
+    Decoding alone gives FRESH to every snapshot that can be decoded; the assessment then checks its
+    generation and age.
+    """
 
     FRESH = "fresh"
     MISSING = "missing"
@@ -48,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedTimes:
-    """Times in seconds by class name, and the request rate, as learned by a node."""
+    """Times in seconds by class name, and the rate at which requests were read, as learned by a node."""
 
     # Core time of one run on an unloaded machine, in seconds by class name.
     core_time_s: Mapping[str, float] = field(default_factory=dict)
@@ -71,7 +75,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodedSnapshot:
-    """The result of decoding: FRESH with the snapshot if it is valid, otherwise a status and its reason."""
+    """The result of decoding: the status, its reason, and the snapshot if the bytes could be decoded.
+
+    The status FRESH means here only that they could; it says nothing about the age and the generation.
+    """
 
     status: SnapshotStatus
     reason: str = ""
--- a/snowthread/recovery/snapshot_assessment.py
+++ b/snowthread/recovery/snapshot_assessment.py
@@ -3,15 +3,18 @@
 Pure: no clock, no files. Only a fresh snapshot is used. In all other cases the node starts without learned
 times.
 
-| status  | condition                                                                            |
-| ------- | ------------------------------------------------------------------------------------ |
-| fresh   | complete, supported version, generation not below the fleet's, not too old           |
-| missing | no bytes                                                                             |
-| torn    | shorter than its header says or otherwise of the wrong size, or the digest is wrong  |
-| foreign | unknown magic or version, or the body is not an object with the fields of a snapshot |
-| older   | generation below the fleet's                                                         |
-| stale   | older than ``max_age_ms``                                                            |
-| future  | written more than ``clock_tolerance_ms`` after the current time                      |
+The value of each status, which is logged, follows it in brackets.
+
+| status                   | condition                                                                   |
+| ------------------------ | --------------------------------------------------------------------------- |
+| FRESH (fresh)            | complete, supported version, generation not below the fleet's, not too old  |
+| MISSING (missing)        | no bytes                                                                    |
+| CORRUPT (torn)           | size differs from what the header says, or the digest is wrong              |
+| UNKNOWN_FORMAT (foreign) | unknown magic or version, a body longer than any snapshot's, or a body that |
+|                          | is not an object with the fields of a snapshot                              |
+| OLDER_GENERATION (older) | generation below the fleet's                                                |
+| STALE (stale)            | older than ``max_age_ms``                                                   |
+| FUTURE (future)          | written more than ``clock_tolerance_ms`` after the current time             |
 """
 
 from __future__ import annotations
--- a/snowthread/recovery/storage.py
+++ b/snowthread/recovery/storage.py
@@ -1,9 +1,12 @@
-"""Reads and writes the files of a node's state folder; writes are atomic.
+"""Reads and writes the files of a node's state folder; a file is replaced atomically.
 
-A write goes to a temporary file in the same folder, which is fsynced and renamed over the target; then the
-folder is fsynced. A crash before the rename leaves the old file, a crash after it the new one. A file system
-that reorders the rename may leave a torn file, which is detected by the digest of a snapshot
-(:mod:`snapshot`) and the checksums of a key log (:mod:`key_log`).
+A write goes to a temporary file in the same folder, which is renamed over the target. A crash before the
+rename leaves the old file, a crash after it the new one. The file is fsynced before the rename and the folder
+after it, except for snapshots: these are written without any fsync (``sync=False``), so a power failure may
+lose or tear one. A file system that reorders the rename may leave a torn file too. The digest of a snapshot
+(:mod:`snapshot`) and the checksums of a key log (:mod:`key_log`) detect a torn file.
+
+Keys are appended to the key log in place, through a shared memory map and without an fsync.
 
 A failed write is returned as a :class:`StorageFailure` and raises nothing. Reading a missing file returns
 empty bytes.
@@ -70,7 +73,7 @@
     Args:
         folder: The state folder.
         data: The new contents.
-        name: Name of the file.
+        name: Name of the file; the snapshot by default.
         sync: Whether to wait until the data is on disk. Without it, the file outlives the process but perhaps
             not a power failure.
 
@@ -114,15 +117,22 @@
 
 
 def log_write_failure(error: StorageFailure | None) -> None:
-    """Log a failed write of state without which the node can continue."""
+    """Log the failed write of a snapshot or an incarnation, if there is one; the node continues without it.
+
+    Args:
+        error: The failure; None if the file was written.
+    """
     if error is not None:
         logger.bind(event="recovery.write_failed").warning(
-            "could not write recovery state, continuing without it: {}", error
+            "could not write a snapshot or incarnation to the state folder, continuing without it: {}", error
         )
 
 
 def read_state_file(folder: Path, name: str = SNAPSHOT_FILE, max_bytes: int = MAX_READ_BYTES) -> bytes:
-    """Return up to ``max_bytes`` bytes of a file; empty if it is missing or unreadable."""
+    """Return up to ``max_bytes`` bytes of a file of the state folder; empty if it is missing or unreadable.
+
+    The file is the snapshot unless ``name`` is given.
+    """
     try:
         with (folder / name).open("rb") as file:
             return file.read(max_bytes)
--- a/tests/recovery/test_key_log.py
+++ b/tests/recovery/test_key_log.py
@@ -45,6 +45,8 @@
     for length in range(1, len(data)):
         assert decode_key_log(data[:length]).status is not KeyLogStatus.COMPLETE, length
     written = range(key_log.HEADER_BYTES + SLOT_BYTES, key_log.HEADER_BYTES + 4 * SLOT_BYTES)
+    # Bytes 0 to 19 are the header, 20 and 21 the first half of its checksum. A slot and its checksum take 36
+    # bytes; no checksum covers the padding after them.
     for offset in [*range(22), *written]:
         altered = data[:offset] + bytes([data[offset] ^ 0x10]) + data[offset + 1 :]
         is_padding = offset in written and (offset - key_log.HEADER_BYTES) % SLOT_BYTES >= 36
--- a/tests/recovery/test_manager.py
+++ b/tests/recovery/test_manager.py
@@ -56,15 +56,15 @@
         """Handle a request; only requests of class ``dispense`` have an idempotency key."""
         return self.handle(
             events.RequestReceived(
-                (1, number),
-                f"{number:016x}",
-                class_name,
-                b"a",
-                self.loop.clock.now(),
-                3000.0,
-                1,
-                5.0,
-                0.5,
+                response_address=(1, number),
+                attempt_id=f"{number:016x}",
+                class_name=class_name,
+                body=b"a",
+                arrived_at_ms=self.loop.clock.now(),
+                timeout_ms=3000.0,
+                caller_id=1,
+                memory_kb=5.0,
+                rank=0.5,
                 idempotency_key=f"key{number}" if class_name == "dispense" else None,
             )
         )
@@ -125,9 +125,9 @@
     assert answers
     for answer in answers:
         assert isinstance(answer, effects.Rejected) and answer.retry_after_ms > 0.0
-        assert (
-            answer.attempt_id and answer.reason
-        )  # The log line of a rejection names the attempt and the reason.
+        # The log line of a rejection names the attempt and the reason.
+        assert answer.attempt_id and answer.reason
+    # The slow-start window is at first one run per core, so that many of the 11 requests are admitted.
     assert harness.manager.rejected_requests == len(answers) == 11 - harness.state.settings.cores
 
 
--- a/tests/recovery/test_membership.py
+++ b/tests/recovery/test_membership.py
@@ -22,7 +22,7 @@
     assert membership.report_suffix(True) == "42 cold"
 
 
-def test_lost_incarnation_is_never_taken_for_the_one_of_the_same_number() -> None:
+def test_second_start_without_a_stored_incarnation_gets_a_new_number() -> None:
     first = FleetMembership(0, configured_nodes=3)
     second = FleetMembership(0, configured_nodes=3)
     first.handle_answer(b"FLEET 1 3 1 0", 0.0)
