--- a/snowthread/lab/relay_direction.py
+++ b/snowthread/lab/relay_direction.py
@@ -18,7 +18,7 @@
 from snowthread.lab.faults import ForwardingState, LinkFaults, compute_release_ms, is_cut
 from snowthread.net.loop import HANGUP, READABLE, WRITABLE, Coroutine, EventLoop, Wait
 
-QUEUE_BYTES_MAX = 1 << 20  # Maximum number of bytes queued in one direction of a relayed connection.
+MAX_QUEUE_BYTES = 1 << 20  # Maximum number of bytes queued in one direction of a relayed connection.
 CHUNK_BYTES = 65536
 FAULT_POLL_MS = 50.0  # Interval at which a waiting direction checks the faults again.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0 s: closing resets the connection.
@@ -84,7 +84,7 @@
                         yield Wait(self._destination.fileno(), WRITABLE | HANGUP, now + FAULT_POLL_MS)
                     continue
                 wake_ms = self._wake_ms(now)
-                if self._source_ended or self._queued_bytes >= QUEUE_BYTES_MAX:
+                if self._source_ended or self._queued_bytes >= MAX_QUEUE_BYTES:
                     yield Wait(until_ms=wake_ms)
                     continue
                 if (yield Wait(self._source.fileno(), READABLE, wake_ms)):
--- a/snowthread/lab/scenario.py
+++ b/snowthread/lab/scenario.py
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineSettings:
-    """How the machine of a node warms up; ``emulators/machine.py`` describes the fields."""
+    """How the emulated machine of a node warms up (``emulators/machine.py``)."""
 
-    cold_share: float = 0.23
-    warm_calls: float = 0.5
-    cold_calls: float = 3.0
-    warm_replies: int = 150
+    cold_share: float = 0.23  # Speed of a cold machine, as a share of its speed when warm.
+    warm_calls: float = 0.5  # Mean number of database calls of a run on a warm machine.
+    cold_calls: float = 3.0  # Mean number of calls that a run on a cold machine makes beyond those.
+    warm_replies: int = 150  # Number of database replies after which a cold machine is warm.
 
 
 @dataclass(frozen=True, slots=True)
--- a/snowthread/lab/scenario_file.py
+++ b/snowthread/lab/scenario_file.py
@@ -11,13 +11,20 @@
     step { at = "6s"  do = "wipe"  share = 0.8 }
 
 Each step applies its action (``do``) to the ``nodes`` that it names, or to a ``share`` of the nodes drawn
-with the seed. Steps at the same time use the same random order of nodes: the same share selects the same
-nodes, and a smaller share selects a subset of them.
+with the seed. Without both, it hits no node; ``generation`` and ``slow`` need neither, as they apply to the
+whole fleet. Steps at the same time use the same random order of nodes: the same share selects the same nodes,
+and a smaller share selects a subset of them.
 
-| do         | effect                                                    | after ``again_after`` or ``for`` |
+The effect of ``kill`` and ``term`` ends after ``again_after``, that of the other actions with an end after
+``for``. Without this key, it lasts until the run ends.
+
+| do         | effect                                                    | end of the effect                |
 | ---------- | --------------------------------------------------------- | -------------------------------- |
-| kill       | SIGKILL, and the node's machine loses power               | both are restarted               |
-| term       | SIGTERM: the node shuts down gracefully                   | the node is restarted            |
+| kill       | SIGKILL; the node's machine is power-cycled at once, so   | the node is restarted            |
+|            | that it is up again but cold                              |                                  |
+| term       | SIGTERM: the node shuts down gracefully                   | the node is restarted; if it is  |
+|            |                                                           | still running, it is killed      |
+|            |                                                           | first                            |
 | stop       | SIGSTOP                                                   | SIGCONT                          |
 | wipe       | the contents of the state folder are deleted              | -                                |
 | tear       | each file of the state folder is truncated to half        | -                                |
@@ -65,16 +72,16 @@
 # Actions that apply to the whole fleet instead of single nodes.
 FLEET_ACTIONS = frozenset({Action.SLOW_DATABASE, Action.NEXT_GENERATION})
 RESTARTED_ACTIONS = frozenset({Action.KILL, Action.TERM})
-NODES_MAX = 64
-CORES_MAX = 64
-STEPS_MAX = 200
-SLOTS_MAX = 1000
-DURATION_MIN_MS = 1000.0
-DURATION_MAX_MS = 600_000.0
-RUN_TIME_MIN_MS = 1.0
-RUN_TIME_MAX_MS = 10_000.0
-CALL_TIME_MIN_MS = 0.1
-CALL_TIME_MAX_MS = 10_000.0
+MAX_NODES = 64
+MAX_CORES = 64
+MAX_STEPS = 200
+MAX_SLOTS = 1000
+MIN_DURATION_MS = 1000.0
+MAX_DURATION_MS = 600_000.0
+MIN_RUN_TIME_MS = 1.0
+MAX_RUN_TIME_MS = 10_000.0
+MIN_CALL_TIME_MS = 0.1
+MAX_CALL_TIME_MS = 10_000.0
 
 
 class _DatabaseSettings(NamedTuple):
@@ -101,16 +108,16 @@
         raise ConfigError(f"{path}: the scenario file does not exist")
     file = read_file(path)
     seed = file.integer("seed", 1)
-    nodes = file.integer("nodes", 5, 1, NODES_MAX)
-    duration_ms = file.duration_ms("duration", "20s", min_ms=DURATION_MIN_MS, max_ms=DURATION_MAX_MS)
-    cores = file.integer("cores", 4, 1, CORES_MAX)
-    run_ms = file.duration_ms("run_time", "100ms", min_ms=RUN_TIME_MIN_MS, max_ms=RUN_TIME_MAX_MS)
+    nodes = file.integer("nodes", 5, 1, MAX_NODES)
+    duration_ms = file.duration_ms("duration", "20s", min_ms=MIN_DURATION_MS, max_ms=MAX_DURATION_MS)
+    cores = file.integer("cores", 4, 1, MAX_CORES)
+    run_ms = file.duration_ms("run_time", "100ms", min_ms=MIN_RUN_TIME_MS, max_ms=MAX_RUN_TIME_MS)
     load = _read_load(file.block_or_empty("load"))
     database = _read_database(file.block_or_empty("database"))
     machine = _read_machine(file.block_or_empty("machine"))
     comeback = file.flag("comeback", False)
     reader = _StepReader(node_names(nodes), seed, duration_ms)
-    steps = [step for block in file.blocks("step", STEPS_MAX) for step in reader.read(block)]
+    steps = [step for block in file.blocks("step", MAX_STEPS) for step in reader.read(block)]
     file.reject_unknown_keys()
     # The sort is stable, so that simultaneous steps stay in the order of the file.
     steps.sort(key=lambda step: step.at_ms)
@@ -143,8 +150,8 @@
 
 def _read_database(block: Block) -> _DatabaseSettings:
     settings = _DatabaseSettings(
-        slots=block.integer("slots", 6, 1, SLOTS_MAX),
-        call_ms=block.duration_ms("call_time", "80ms", min_ms=CALL_TIME_MIN_MS, max_ms=CALL_TIME_MAX_MS),
+        slots=block.integer("slots", 6, 1, MAX_SLOTS),
+        call_ms=block.duration_ms("call_time", "80ms", min_ms=MIN_CALL_TIME_MS, max_ms=MAX_CALL_TIME_MS),
     )
     block.reject_unknown_keys()
     return settings
