--- a/snowthread/lab/demo_fleet.py
+++ b/snowthread/lab/demo_fleet.py
@@ -51,28 +51,29 @@
         self._features = folder / "demo.hcl"
         self._features.write_text(f'records {{\n  folder = "{self.records}"\n}}\n')
         self._reservation = AddressReservation(FLEET_HOST)
-        self.nodes = [self._create_node(number) for number in range(NODE_COUNT)]
+        self.nodes = [self._create_node(index) for index in range(NODE_COUNT)]
         self._site_emulators = [
             EmulatorProcess(
-                "emulators.site", str(self._config_file(node.number)), str(CORES_PER_NODE), str(RUN_MS)
+                "emulators.site", str(self._config_file(node.index)), str(CORES_PER_NODE), str(RUN_MS)
             )
             for node in self.nodes
         ]
-        self.loads = [
+        self.load_generators = [
             LoadGenerator(format_address(node.listen), BALANCER_HOSTS, loop=loop, caller=BALANCER_NUMBER)
             for node in self.nodes
         ]
-        for load in self.loads:
-            load.others = [other for other in self.loads if other is not load]
+        for load in self.load_generators:
+            load.others = [other for other in self.load_generators if other is not load]
 
-    def _config_file(self, number: int) -> Path:
-        return self.folder / f"node{number + 1}.json"
+    def _config_file(self, index: int) -> Path:
+        return self.folder / f"node{index + 1}.json"
 
-    def _create_node(self, number: int) -> NodeProcess:
-        name = f"n{number + 1}"
+    def _create_node(self, index: int) -> NodeProcess:
+        name = f"n{index + 1}"
         listen = self._reservation.reserve()
         fields = read_example_configuration()
         fields["settings"]["domain"]["cores"] = CORES_PER_NODE
+        # "index" and "roster" are the configuration keys for the addresses of the database and the registry.
         fields |= {
             "name": name,
             "listen": format_address(listen),
@@ -81,11 +82,11 @@
             "roster": format_address(self._reservation.reserve(socket.SOCK_DGRAM)),
             "stop_ms": SHUTDOWN_TIMEOUT_MS,
         }
-        config = self._config_file(number)
+        config = self._config_file(index)
         config.write_text(json.dumps(fields))
-        offset_s = str(CLOCK_OFFSETS_S[number])
+        offset_s = str(CLOCK_OFFSETS_S[index])
         command = ("emulators.skewed_clock", offset_s, "serve", "--with", str(self._features))
-        return NodeProcess(name, number, listen, self.folder, command, {"NODE_CONFIG": str(config)})
+        return NodeProcess(name, index, listen, self.folder, command, {"NODE_CONFIG": str(config)})
 
     def start(self) -> None:
         """Start the nodes one after the other.
@@ -99,7 +100,7 @@
             deadline = self.loop.clock.now() + START_TIMEOUT_MS
             while not node.accepting:
                 if self.loop.clock.now() >= deadline or not node.running:
-                    raise StartError(f"demo node {node.number + 1}")
+                    raise StartError(f"demo node {node.index + 1}")
                 self.loop.run_once(LOOP_STEP_S)
         self.set_database_call_time(DATABASE_CALL_MS)
 
@@ -109,29 +110,30 @@
     def start_load(self, seconds: float) -> None:
         """Send requests to all nodes for this many seconds; the same requests are drawn in each demo."""
         generator = random.Random(LOAD_SEED)
-        for load in self.loads:
+        for load in self.load_generators:
             load.schedule_arrivals(generator, REQUESTS_PER_S, seconds, CLASS_SHARES)
 
     def set_database_call_time(self, milliseconds: float) -> None:
         """Set the duration of every database call from now on."""
         for site in self._site_emulators:
+            # "index" is the emulator's name for the database.
             site.send(f"index {milliseconds}")
 
-    def stop_action(self, number: int, signal_number: signal.Signals) -> Callable[[], None]:
+    def stop_action(self, index: int, signal_number: signal.Signals) -> Callable[[], None]:
         """Return an action that stops a node with a signal and moves its load to the other nodes."""
 
         def stop() -> None:
-            self.loads[number].paused = True
-            self.nodes[number].send_signal(signal_number)
+            self.load_generators[index].paused = True
+            self.nodes[index].send_signal(signal_number)
 
         return stop
 
-    def restart_action(self, number: int) -> Callable[[], None]:
+    def restart_action(self, index: int) -> Callable[[], None]:
         """Return an action that restarts a node after it has ended, and gives its load back to it."""
-        return lambda: self._spawn_restart(number)
+        return lambda: self._spawn_restart(index)
 
-    def _spawn_restart(self, number: int) -> None:
-        self.loop.spawn(self._restart(self.nodes[number], self.loads[number]))
+    def _spawn_restart(self, index: int) -> None:
+        self.loop.spawn(self._restart(self.nodes[index], self.load_generators[index]))
 
     def _restart(self, node: NodeProcess, load: LoadGenerator) -> Coroutine:
         while node.running:
--- a/snowthread/lab/demo_timeline.py
+++ b/snowthread/lab/demo_timeline.py
@@ -21,7 +21,7 @@
 DEPLOY_INTERVAL_S = 3.0
 DEPLOY_RESTART_S = 2.0
 CRASH_RESTART_S = 4.0
-CRASHED_NODE = 1
+CRASHED_NODE_INDEX = 1
 MIN_TRAFFIC_AFTER_LAST_STEP_S = 6.0  # Seconds of load at least after the last step.
 
 
@@ -49,24 +49,24 @@
         ),
     ]
     deploy_s = DEPLOY_START_SHARE * seconds
-    for number in range(NODE_COUNT):
+    for index in range(NODE_COUNT):
         steps += _stop_and_restart(
-            fleet, number, deploy_s + number * DEPLOY_INTERVAL_S, signal.SIGTERM, DEPLOY_RESTART_S
+            fleet, index, deploy_s + index * DEPLOY_INTERVAL_S, signal.SIGTERM, DEPLOY_RESTART_S
         )
     deployed_s = deploy_s + NODE_COUNT * DEPLOY_INTERVAL_S + DEPLOY_RESTART_S
     crash_s = max(CRASH_TIME_SHARE * seconds, deployed_s)
-    steps += _stop_and_restart(fleet, CRASHED_NODE, crash_s, signal.SIGKILL, CRASH_RESTART_S)
+    steps += _stop_and_restart(fleet, CRASHED_NODE_INDEX, crash_s, signal.SIGKILL, CRASH_RESTART_S)
     return sorted(steps, key=lambda step: step.at_s)
 
 
 def _stop_and_restart(
-    fleet: DemoFleet, number: int, at_s: float, signal_number: signal.Signals, restart_after_s: float
+    fleet: DemoFleet, index: int, at_s: float, signal_number: signal.Signals, restart_after_s: float
 ) -> list[DemoStep]:
-    name = fleet.nodes[number].name
+    name = fleet.nodes[index].name
     stopped = f"{name} is killed" if signal_number is signal.SIGKILL else f"{name} shuts down gracefully"
     return [
-        DemoStep(at_s, stopped, fleet.stop_action(number, signal_number)),
-        DemoStep(at_s + restart_after_s, f"{name} starts again", fleet.restart_action(number)),
+        DemoStep(at_s, stopped, fleet.stop_action(index, signal_number)),
+        DemoStep(at_s + restart_after_s, f"{name} starts again", fleet.restart_action(index)),
     ]
 
 
--- a/snowthread/lab/deployment.py
+++ b/snowthread/lab/deployment.py
@@ -1,7 +1,8 @@
 """Configurations for the nodes and emulators of a scenario, scaled from those of a reference site.
 
-Pure. The times of the reference site apply to runs of 302 ms on average. A scenario with runs of 100 ms uses
-a third of each time, so that 20 s of its run represent a minute and a window of 15,951 ms becomes 5.3 s.
+Pure. The reference site has the request classes of ``REFERENCE_CLASSES``. Its times apply to runs that take
+302 ms of core time on average. A scenario with runs of 100 ms uses a third of each time, so that 20 s of its
+run represent a minute and a window of 15,951 ms becomes 5.3 s.
 """
 
 from __future__ import annotations
@@ -16,15 +17,16 @@
 from snowthread.lab.scenario import Scenario
 
 MS_PER_S = 1000.0
-# Core time of a run at the reference site, averaged over the classes by their shares.
+# Mean core time of a run at the reference site, in ms. The classes below have about this mean (301.8 ms) if a
+# fifth of the requests has an idempotency key, which is the default of a scenario.
 REFERENCE_RUN_MS = 301.6
 MACHINE_WARMUP_S = 17.0  # Time from the cold start of a machine until it is warm.
-DATABASE_CALLS_PER_SLOT_MAX = 5.0  # The database survives this many calls per slot, in progress or waiting.
+MAX_DATABASE_CALLS_PER_SLOT = 5.0  # The database survives this many calls per slot, in progress or waiting.
 MEMORY_KB_PER_CORE = 8000.0
 SHUTDOWN_TIMEOUT_MS = 1500
 # Delay until a client repeats a keyed request; it stays within the idempotency window of the class.
-RETRY_DELAY_MIN_MS = 900.0
-RETRY_DELAY_MAX_MS = 14_000.0
+MIN_RETRY_DELAY_MS = 900.0
+MAX_RETRY_DELAY_MS = 14_000.0
 # Balancer numbers in requests: for clients of this site, and for clients of another site.
 OWN_BALANCER_NUMBER = 0
 OTHER_SITE_BALANCER_NUMBER = 100
@@ -106,7 +108,7 @@
     return scenario.run_ms / REFERENCE_RUN_MS
 
 
-def run_times_ms(scenario: Scenario) -> dict[str, float]:
+def core_times_ms(scenario: Scenario) -> dict[str, float]:
     """Return the core time of one run in ms, by class name."""
     return {
         request_class.name: request_class.run_ms * time_scale(scenario) for request_class in REFERENCE_CLASSES
@@ -127,14 +129,14 @@
     return scenario.load.share * capacity_per_s
 
 
-def services_plan(scenario: Scenario, addresses: ServiceAddresses) -> dict[str, Any]:
-    """Return the plan for ``emulators.fleet_services``."""
+def services_configuration(scenario: Scenario, addresses: ServiceAddresses) -> dict[str, Any]:
+    """Return the configuration of ``emulators.fleet_services``, which that module calls its plan."""
     return {
         "runtimes": [format_address(address) for address in addresses.runtimes],
         "database": format_address(addresses.database),
         "roster": format_address(addresses.registry),
         "cores": scenario.cores,
-        "run_ms": run_times_ms(scenario),
+        "run_ms": core_times_ms(scenario),
         "call_ms": scenario.call_ms,
         "slots": scenario.slots,
         "seed": scenario.seed,
@@ -143,10 +145,10 @@
     }
 
 
-def balancers_plan(
+def balancers_configuration(
     scenario: Scenario, inbound_addresses: Mapping[str, Address], registry: Address, source_network: str
 ) -> dict[str, Any]:
-    """Return the plan for ``emulators.balancers``.
+    """Return the configuration of ``emulators.balancers``, which that module calls its plan.
 
     Args:
         scenario: The scenario.
@@ -167,7 +169,7 @@
         "foreign": scenario.load.foreign,
         "own_number": OWN_BALANCER_NUMBER,
         "others_number": OTHER_SITE_BALANCER_NUMBER,
-        "again_ms": [RETRY_DELAY_MIN_MS * scale, RETRY_DELAY_MAX_MS * scale],
+        "again_ms": [MIN_RETRY_DELAY_MS * scale, MAX_RETRY_DELAY_MS * scale],
         "classes": [_traffic_fields(request_class, scale) for request_class in REFERENCE_CLASSES],
     }
 
@@ -197,7 +199,7 @@
     settings["classes"] = [_class_fields(request_class, scale_s) for request_class in REFERENCE_CLASSES]
     settings["domain"] |= {
         "cores": scenario.cores,
-        "calls_out": DATABASE_CALLS_PER_SLOT_MAX * scenario.slots / scenario.nodes,
+        "calls_out": MAX_DATABASE_CALLS_PER_SLOT * scenario.slots / scenario.nodes,
         "class_calls": [request_class.makes_calls for request_class in REFERENCE_CLASSES],
         "class_skip_worth": [request_class.value_without_calls for request_class in REFERENCE_CLASSES],
         "memory_kb": MEMORY_KB_PER_CORE * scenario.cores,
--- a/snowthread/lab/fleet.py
+++ b/snowthread/lab/fleet.py
@@ -22,10 +22,10 @@
 from snowthread.lab.datagram_relay import DatagramRelay
 from snowthread.lab.deployment import (
     ServiceAddresses,
-    balancers_plan,
+    balancers_configuration,
     node_configuration,
     operator_file,
-    services_plan,
+    services_configuration,
 )
 from snowthread.lab.processes import (
     FLEET_HOST,
@@ -91,48 +91,51 @@
             database=self._reservation.reserve(),
             registry=self._reservation.reserve(socket.SOCK_DGRAM),
         )
-        plan = services_plan(scenario, addresses)
-        self.services = self._start_emulator("emulators.fleet_services", plan, folder / "fleet.json")
+        configuration = services_configuration(scenario, addresses)
+        self.services = self._start_emulator("emulators.fleet_services", configuration, folder / "fleet.json")
         self.links: dict[str, NodeLinks] = {}
         self.nodes: dict[str, NodeProcess] = {}
         self._create_nodes(addresses)
         inbound_addresses = {name: links.inbound.address for name, links in self.links.items()}
-        plan = balancers_plan(scenario, inbound_addresses, addresses.registry, LOOPBACK_NETWORK)
-        self.balancers = self._start_emulator("emulators.balancers", plan, folder / "balancers.json")
+        configuration = balancers_configuration(
+            scenario, inbound_addresses, addresses.registry, LOOPBACK_NETWORK
+        )
+        self.balancers = self._start_emulator("emulators.balancers", configuration, folder / "balancers.json")
 
-    def _start_emulator(self, module: str, plan: dict[str, object], path: Path) -> EmulatorProcess:
-        path.write_text(json.dumps(plan))
+    def _start_emulator(self, module: str, configuration: dict[str, object], path: Path) -> EmulatorProcess:
+        path.write_text(json.dumps(configuration))
         return EmulatorProcess(module, str(path), log=path.with_suffix(".log"))
 
     def _create_nodes(self, addresses: ServiceAddresses) -> None:
         generator = random.Random(self.scenario.seed)
-        for number, name in enumerate(self.scenario.node_names()):
+        for index, name in enumerate(self.scenario.node_names()):
             listen = self._reservation.reserve()
             database = self._create_relay(addresses.database, generator)
             inbound = self._create_relay(listen, generator)
             inbound.close()
             links = NodeLinks(inbound, database, DatagramRelay(self.loop, addresses.registry))
             self.links[name] = links
-            self.nodes[name] = self._create_node(name, number, listen, addresses.runtimes[number], links)
+            self.nodes[name] = self._create_node(name, index, listen, addresses.runtimes[index], links)
 
     def _create_relay(self, target: Address, generator: random.Random) -> Relay:
         listen = self._reservation.reserve()
         return Relay(self.loop, listen, target, random.Random(generator.random()))
 
     def _create_node(
-        self, name: str, number: int, listen: Address, runtime: Address, links: NodeLinks
+        self, name: str, index: int, listen: Address, runtime: Address, links: NodeLinks
     ) -> NodeProcess:
         folder = self.folder / name
         state = state_folder(folder)
         state.mkdir(parents=True, exist_ok=True)
         fields = node_configuration(self.scenario, read_example_configuration())
+        # "index" and "roster" are the configuration keys for the addresses of the database and the registry.
         fields |= {
             "name": name,
             "listen": format_address(listen),
             "runtime": format_address(runtime),
             "index": format_address(links.database.address),
             "roster": format_address(links.registry.address),
-            "seed": f"{self.scenario.seed * 1000 + number:016x}",
+            "seed": f"{self.scenario.seed * 1000 + index:016x}",
         }
         config = folder / "node.json"
         features = folder / "features.hcl"
@@ -140,7 +143,7 @@
         features.write_text(operator_file(self.scenario, folder))
         environment = {"NODE_CONFIG": str(config), "TMPDIR": str(state), "NODE_LOG": "INFO"}
         command = ("snowthread", "serve", "--with", str(features))
-        return NodeProcess(name, number, listen, folder, command, environment)
+        return NodeProcess(name, index, listen, folder, command, environment)
 
     def start(self) -> None:
         """Start all nodes and run the event loop until each accepts connections.
@@ -158,7 +161,7 @@
         while not all(node.accepting for node in self.nodes.values()):
             dead = [node.name for node in self.nodes.values() if not node.running]
             if dead or time.monotonic() > deadline:
-                raise StartError(f"{dead or 'some nodes'}", self.folder)
+                raise StartError(", ".join(dead) or "some nodes", self.folder)
             self.loop.run_once(LOOP_STEP_S)
 
     def start_node(self, node: NodeProcess) -> None:
@@ -176,16 +179,16 @@
             took_ms = round(self.loop.clock.now() - started_ms, 1)
             self.ready_ms.setdefault(node.name, []).append(took_ms)
 
-    def signal_node(self, node: NodeProcess, number: signal.Signals) -> None:
+    def signal_node(self, node: NodeProcess, signal_number: signal.Signals) -> None:
         """Send a signal to a node if it is running; SIGKILL also power-cycles its emulated machine."""
         if not node.running:
             return
-        if number in (signal.SIGKILL, signal.SIGSTOP):
+        if signal_number in (signal.SIGKILL, signal.SIGSTOP):
             self.report_node_down(node)
-        node.send_signal(number)
-        if number is signal.SIGKILL:
+        node.send_signal(signal_number)
+        if signal_number is signal.SIGKILL:
             self.links[node.name].inbound.close()
-            self.services.send(f"cold {node.number}")
+            self.services.send(f"cold {node.index}")
 
     def restart_node(self, node: NodeProcess) -> None:
         """Restart a node; if it is still shutting down, it is killed first."""
--- a/snowthread/lab/processes.py
+++ b/snowthread/lab/processes.py
@@ -31,8 +31,10 @@
 _OCTET_VALUES = 250
 _HIGH_OCTET = 1 + os.getpid() // _OCTET_VALUES % _OCTET_VALUES
 _LOW_OCTET = os.getpid() % _OCTET_VALUES
-# Loopback network of this process, derived from its process ID so that concurrent fleets never collide. The
-# host .1 has the nodes and emulators; .2 and above have the balancers.
+# Loopback network of this process, derived from its process ID so that concurrent fleets hardly ever share
+# one: only process IDs that differ by a multiple of 62,500 give the same. With 250 values, both octets are
+# valid (below 255); the first is never 0, so that the network is not that of 127.0.0.1. The host .1 has the
+# nodes and emulators; .2 and above have the balancers.
 LOOPBACK_NETWORK = f"127.{_HIGH_OCTET}.{_LOW_OCTET}"
 FLEET_HOST = f"{LOOPBACK_NETWORK}.1"
 
@@ -41,7 +43,7 @@
     """A process of the fleet ended or took too long during its start."""
 
     def __init__(self, names: str, folder: Path | None = None) -> None:
-        """Store the names of the processes, and the path of their logs."""
+        """Store the names of the processes, and the folder or file with their logs; None if there is none."""
         self.names = names
         self.folder = folder
         super().__init__(f"{names} did not start" + (f"; see {folder}" if folder else ""))
@@ -51,10 +53,10 @@
     """An emulator process ended while it was needed."""
 
     def __init__(self, module: str, log: Path | None) -> None:
-        """Store the emulator's module, and the path of its log."""
+        """Store the emulator's module, and the path of its log; None if it has none."""
         self.module = module
         self.log = log
-        super().__init__(f"{module} ended unexpectedly; see {log}")
+        super().__init__(f"{module} ended unexpectedly (log file: {log})")
 
 
 def require_repository(command: str) -> None:
@@ -83,7 +85,7 @@
     """One node of a fleet: how to start it, and its current process."""
 
     name: str
-    number: int  # Index of the node within the fleet, starting at 0.
+    index: int  # Index of the node within the fleet, starting at 0.
     listen: Address
     folder: Path
     command: tuple[str, ...]  # The module to run with ``python -m``, followed by its arguments.
@@ -150,12 +152,12 @@
             return False
         return True
 
-    def send_signal(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Send a signal to the process if it is running."""
         if self.process is None or not self.running:
             return
-        self.process.send_signal(number)
-        if number is signal.SIGKILL:
+        self.process.send_signal(signal_number)
+        if signal_number is signal.SIGKILL:
             self.killed = True
             self.accepting = False
 
--- a/snowthread/lab/runner.py
+++ b/snowthread/lab/runner.py
@@ -54,7 +54,7 @@
             self._close()
         records = merge(sorted(self._folder.glob("*/records")), Findings())
         return (
-            summarize(self._scenario, traffic, services, self._report())
+            summarize(self._scenario, traffic, services, self._observations())
             | summarize_records(records)
             | {"plan": plan_lines(self._scenario)}
         )
@@ -81,7 +81,7 @@
         self._loop.end_all_tasks()
         self._cores.release()
 
-    def _report(self) -> dict[str, Any]:
+    def _observations(self) -> dict[str, Any]:
         """Return the observations of the runner, as keys of the summary."""
         return {
             "alive_by_s": self._accepting_by_s,
--- a/snowthread/lab/service_recovery.py
+++ b/snowthread/lab/service_recovery.py
@@ -1,7 +1,7 @@
 """Measures how service recovers after a fault. Pure.
 
 Service is smoothed by a mean over three seconds. It has fully recovered in the first second from which three
-smoothed values in a row reach 95 % of the baseline. A second dip is a later smoothed value below 90 %.
+smoothed values in a row reach 95 % of the baseline. Each later smoothed value below 90 % is a later dip.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 FULL_SERVICE_SHARE = 0.95  # Service counts as full from this share of the baseline.
-DIP_SHARE = 0.9  # Service below this share of the baseline, after it was full again, is a second dip.
+DIP_SHARE = 0.9  # Service below this share of the baseline, after it was full again, is a later dip.
 FULL_SERVICE_SECONDS = 3  # Service must be full for this number of consecutive seconds.
 
 
@@ -18,7 +18,7 @@
     """The time until service was full after a fault, and the number of later dips."""
 
     full_service_s: float | None  # Seconds from the fault to full service; None if the run ended before.
-    second_dips: int
+    later_dips: int  # Number of seconds in which service dipped again; "second_dips" in the summary.
 
 
 def smooth(values: Sequence[float]) -> list[float]:
--- a/snowthread/lab/summary.py
+++ b/snowthread/lab/summary.py
@@ -1,9 +1,12 @@
 """Summarizes a run of the lab as one JSON object. Pure.
 
 Service is the value of the answers over the value of the requests, by the second in which the requests were
-sent. The baseline is the mean service from the third second to the first fault.
+sent; the reports and the summary call the value "worth". The baseline is the service from the third second of
+the run to the first kill, term or stop of a node, or to the end of a run that has none: the sum of the values
+of all answers in that time over the sum of the values of all requests.
 
-``benchmarks/recovery.py`` and ``docs/lab.md`` use the keys of the objects that are read and returned here.
+The keys of the objects that are read and returned here are outer names: ``benchmarks/recovery.py`` reads the
+summary, and ``docs/lab.md`` describes it.
 """
 
 from __future__ import annotations
@@ -11,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from snowthread.lab.deployment import DATABASE_CALLS_PER_SLOT_MAX
+from snowthread.lab.deployment import MAX_DATABASE_CALLS_PER_SLOT
 from snowthread.lab.scenario import Action, Scenario
 from snowthread.lab.service_recovery import ServiceRecovery, measure_recovery
 
@@ -41,7 +44,7 @@
 
     @property
     def fault_s(self) -> float | None:
-        """Time of the first fault of a node, in seconds from the start of the run; None if there is none."""
+        """Time of the first kill, term or stop, in seconds from the start of the run; None without one."""
         faults = [step.at_ms / MS_PER_S for step in self.scenario.steps if step.do in NODE_FAULTS]
         return faults[0] if faults else None
 
@@ -49,14 +52,17 @@
     def seconds_after_fault(self) -> range:
         return range(self.seconds if self.fault_s is None else int(self.fault_s), self.seconds)
 
-    def services_by_second(self, name: str) -> list[Any]:
-        """Return a count of the services for each second of the run; they count by seconds of their clock."""
+    def emulator_counts_by_second(self, name: str) -> list[Any]:
+        """Return a count of ``emulators.fleet_services`` for each second of the run.
+
+        That process counts by the seconds of its clock; a second that it does not report counts as 0.
+        """
         counts = self.services[name]
         begin = int(self.traffic["begin"] // MS_PER_S)
         return [counts.get(str(begin + second), 0) for second in range(self.seconds)]
 
     def largest_after_fault(self, name: str) -> float:
-        counts = self.services_by_second(name)
+        counts = self.emulator_counts_by_second(name)
         return max((counts[second] for second in self.seconds_after_fault), default=0)
 
 
@@ -112,21 +118,22 @@
     baseline = sum(table["worth"][second] for second in baseline_seconds) / max(MIN_VALUE_ASKED, value_asked)
     recovery = ServiceRecovery(0.0, 0)
     if reports.fault_s is not None:
-        recovery = measure_recovery(_service_by_second(reports), reports.fault_s, baseline)
+        recovery = measure_recovery(_service_levels(reports), reports.fault_s, baseline)
     # The cost of the recovery, however it went: the value that baseline service would have delivered, minus
     # the value that was delivered.
     lost = sum(baseline * table["worth_asked"][second] - table["worth"][second] for second in after)
     return {
         "served_before": round(baseline, 3),
         "time_to_full_s": recovery.full_service_s,
-        "second_dips": recovery.second_dips,
+        "second_dips": recovery.later_dips,
         "worth_lost": round(lost, 1),
         "falls": sum(reports.services["falls"]),
         "known": reports.services["known"],
     }
 
 
-def _service_by_second(reports: _RunReports) -> list[float]:
+def _service_levels(reports: _RunReports) -> list[float]:
+    """Return the service in each second of the run; 1 in a second without requests."""
     rows = zip(reports.table["worth"], reports.table["worth_asked"], strict=True)
     return [value / asked if asked else 1.0 for value, asked in rows]
 
@@ -134,7 +141,7 @@
 def _database_figures(reports: _RunReports) -> dict[str, Any]:
     scenario = reports.scenario
     capacity_per_s = scenario.database_per_s
-    calls_max = DATABASE_CALLS_PER_SLOT_MAX * scenario.slots
+    calls_max = MAX_DATABASE_CALLS_PER_SLOT * scenario.slots
     return {
         "database_per_s": round(capacity_per_s, 1),
         "database_peak_over_capacity": round(reports.largest_after_fault("calls") / capacity_per_s, 3),
@@ -149,14 +156,14 @@
     return {
         "classes": {name: _value_share(rows) for name, rows in classes.items()},
         "classes_by_s": {name: [_value_share([row]) for row in rows] for name, rows in classes.items()},
-        "service_by_s": [round(value, 3) for value in _service_by_second(reports)],
-        "warmth_by_s": reports.services_by_second("warmth"),
+        "service_by_s": [round(value, 3) for value in _service_levels(reports)],
+        "warmth_by_s": reports.emulator_counts_by_second("warmth"),
         "asked_by_s": reports.table["asked"],
         "refused_by_s": reports.table["refused"],
         "failed_by_s": reports.table["failed"],
-        "database_by_s": reports.services_by_second("calls"),
-        "database_done_by_s": reports.services_by_second("done"),
-        "database_held_by_s": reports.services_by_second("held"),
+        "database_by_s": reports.emulator_counts_by_second("calls"),
+        "database_done_by_s": reports.emulator_counts_by_second("done"),
+        "database_held_by_s": reports.emulator_counts_by_second("held"),
     }
 
 
