--- a/snowthread/lab/datagram_relay.py
+++ b/snowthread/lab/datagram_relay.py
@@ -9,7 +9,7 @@
 from snowthread.lab.faults import LinkFaults
 from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
-DATAGRAM_BYTES_MAX = 65536
+MAX_DATAGRAM_BYTES = 65536
 ANY_PORT = Address("127.0.0.1", 0)
 
 
@@ -39,7 +39,7 @@
                 yield Wait(self._client_socket.fileno(), READABLE)
                 # If there is no registry, the datagram is lost, as on a real network.
                 with contextlib.suppress(OSError):
-                    datagram, client = self._client_socket.recvfrom(DATAGRAM_BYTES_MAX)
+                    datagram, client = self._client_socket.recvfrom(MAX_DATAGRAM_BYTES)
                     self._client = Address(*client)
                     if not self.faults.partitioned:
                         self._target_socket.send(datagram)
@@ -51,7 +51,7 @@
             while True:
                 yield Wait(self._target_socket.fileno(), READABLE)
                 with contextlib.suppress(OSError):
-                    datagram = self._target_socket.recv(DATAGRAM_BYTES_MAX)
+                    datagram = self._target_socket.recv(MAX_DATAGRAM_BYTES)
                     if self._client is not None and not self.faults.partitioned:
                         self._client_socket.sendto(datagram, self._client)
         finally:
--- a/snowthread/lab/demo_display.py
+++ b/snowthread/lab/demo_display.py
@@ -16,7 +16,7 @@
 from snowthread.console.tail import Tail
 
 REFRESH_S = 0.5
-HEIGHT_MAX = 24  # Maximum height of the console view, in lines.
+MAX_HEIGHT = 24  # Maximum height of the console view, in lines.
 
 
 class Display(Protocol):
@@ -61,7 +61,7 @@
         self._refreshed_s = now_s
         for record in self._tail.poll():
             self._fleet.add(record)
-        height = min(HEIGHT_MAX, self._console.height)
+        height = min(MAX_HEIGHT, self._console.height)
         self._live.update(draw(self._fleet, ViewOptions(), self._console.width, height), refresh=True)
 
 
--- a/snowthread/lab/scenario_file.py
+++ b/snowthread/lab/scenario_file.py
@@ -36,7 +36,8 @@
 | cut        | the connections of ``link`` are closed                    | -                                |
 | slow       | the database takes ``factor`` times as long for all nodes | the database is healed           |
 
-``link`` is ``front`` (balancers to node), ``database`` or ``roster`` (node to registry).
+``link`` is ``front`` (balancers to node), ``database`` or ``roster`` (node to registry). On ``roster``, whose
+traffic is datagrams, only ``partition`` has an effect.
 """
 
 from __future__ import annotations
