--- a/snowthread/frontends/admin/codec.py
+++ b/snowthread/frontends/admin/codec.py
@@ -67,7 +67,9 @@
         except httptools.HttpParserError as error:
             self._fail(HTTPStatus.BAD_REQUEST, str(error))
         if not self._head_complete and self._head_bytes > MAX_HEAD_BYTES:
-            self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the request head is too long")
+            # Reply text, part of the administration interface, sent to operators: it must not change. It
+            # means that the request head is longer than ``MAX_HEAD_BYTES``.
+            self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "a head without end")
 
     def _fail(self, status: HTTPStatus, reason: str) -> None:
         if self.result is None:
@@ -103,7 +105,9 @@
         try:
             path = (httptools.parse_url(self._target).path or b"/").decode("ascii")
         except (httptools.HttpParserError, UnicodeDecodeError):
-            self._fail(HTTPStatus.BAD_REQUEST, "the request target is not valid")
+            # Reply text, part of the administration interface, sent to operators: it must not change. It
+            # means that the request target is not valid.
+            self._fail(HTTPStatus.BAD_REQUEST, "not a target")
         else:
             self.result = AdminRequest(self._parser.get_method().decode("ascii"), path)
 
--- a/snowthread/node/operator_calls.py
+++ b/snowthread/node/operator_calls.py
@@ -41,7 +41,9 @@
         """Report whether this process accepts clients."""
         if self._balancers.accepting and (self._hot_restart is None or self._hot_restart.takeover_complete):
             return AdminResponse(HTTPStatus.OK, "ready")
-        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "not accepting clients")
+        # Reply text, part of the administration interface, sent to operators: it must not change. It means
+        # that this process does not accept clients.
+        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "takes no clients")
 
     def drain(self) -> AdminResponse:
         """Withdraw the node's registration; requests that still arrive are served."""
@@ -51,7 +53,9 @@
     def resume(self) -> AdminResponse:
         """Register the node again; answer 409 (Conflict) if this process is shutting down."""
         if self._state.shutting_down:
-            text = "this process is shutting down and cannot resume"
+            # Reply text, part of the administration interface, sent to operators: it must not change. It
+            # means that this process is shutting down and cannot be resumed.
+            text = "this process has been told to leave: it can't go back to work"
             return AdminResponse(HTTPStatus.CONFLICT, text)
         self._set_drained(False)
         return AdminResponse(HTTPStatus.OK, "back to work")
--- a/tests/frontends/test_admin.py
+++ b/tests/frontends/test_admin.py
@@ -1,4 +1,4 @@
-"""Tests of the administration interface: invalid requests, stalled clients, floods and configuration."""
+"""Tests of the administration interface: requests, reply texts, stalled clients, floods and configuration."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
 from snowthread.frontends.admin.server import MAX_CLIENTS, REQUEST_TIMEOUT_MS
 
 READY = b"GET /-/ready HTTP/1.1\r\n\r\n"
+REPLY_MAX_BYTES = 4096  # more than any reply, so that a complete one is read until the node closes
 HEALTH_CHECK = b"\x94\x00\x01\xa6health\x91\x80"
 
 
@@ -86,6 +87,56 @@
     assert player.peers["9"].recv(15) == b"HTTP/1.1 200 OK"
 
 
+def receive_reply(player: ExchangePlayer, data: bytes) -> tuple[bytes, bytes]:
+    """Send bytes as an operator; return the status line and the body of the node's reply."""
+    player.connect_operator("9")
+    player.send("9", data)
+    head, _, body = player.receive("9", REPLY_MAX_BYTES).partition(b"\r\n\r\n")
+    assert player.closed_by_node
+    player.close_peer("9")
+    return head.partition(b"\r\n")[0], body
+
+
+# The texts of replies are part of the administration interface, and operators' programs may compare them: the
+# next two tests compare complete bodies with literal bytes.
+
+
+@pytest.mark.parametrize(
+    ("data", "status_line", "body"),
+    [
+        (READY, b"HTTP/1.1 503 Service Unavailable", b"takes no clients\n"),
+        (
+            b"POST /-/resume HTTP/1.1\r\n\r\n",
+            b"HTTP/1.1 409 Conflict",
+            b"this process has been told to leave: it can't go back to work\n",
+        ),
+    ],
+)
+def test_reply_text_during_a_shutdown_does_not_change(
+    player: ExchangePlayer, data: bytes, status_line: bytes, body: bytes
+) -> None:
+    player.begin_shutdown()
+    assert receive_reply(player, data) == (status_line, body)
+
+
+@pytest.mark.parametrize(
+    ("data", "status_line", "body"),
+    [
+        (
+            b"GET / HTTP/1.1\r\nA: " + b"a" * MAX_HEAD_BYTES,
+            b"HTTP/1.1 431 Request Header Fields Too Large",
+            b"a head without end\n",
+        ),
+        # The port of the target is out of range.
+        (b"GET http://n1:99999/ HTTP/1.1\r\n\r\n", b"HTTP/1.1 400 Bad Request", b"not a target\n"),
+    ],
+)
+def test_reply_text_to_an_invalid_request_does_not_change(
+    player: ExchangePlayer, data: bytes, status_line: bytes, body: bytes
+) -> None:
+    assert receive_reply(player, data) == (status_line, body)
+
+
 @pytest.mark.parametrize(
     ("environment", "named"), [({"NODE_FD": "three"}, "NODE_FD"), ({"NODE_ADMIN_ADDR": "here"}, "admin_addr")]
 )
