--- a/snowthread/tenants/snapshot.py
+++ b/snowthread/tenants/snapshot.py
@@ -1,4 +1,4 @@
-"""The snapshot file of the known tenants, for a cold start of a node while the directory is down.
+"""The snapshot file of the known tenants, for a node that starts while the directory is down.
 
 The file is one header line and one line of JSON, the body. The header holds the name of the format, its
 version, and the length and BLAKE2b digest of the body, so that a truncated or foreign file, or one of another
@@ -133,7 +133,7 @@
         raise SnapshotError(error.strerror or str(error)) from None
     snapshot = decode(data)
     if snapshot.source != source:
-        raise SnapshotError("taken from another directory, base or filter")
+        raise SnapshotError("taken with another search base or filter")
     return snapshot
 
 
--- a/tests/stored/test_stored_formats.py
+++ b/tests/stored/test_stored_formats.py
@@ -287,7 +287,7 @@
 
 
 def test_the_stored_tenant_snapshot_of_another_source_is_refused() -> None:
-    with pytest.raises(tenant_snapshot.SnapshotError, match="another directory"):
+    with pytest.raises(tenant_snapshot.SnapshotError, match="taken with another search base or filter"):
         tenant_snapshot.read(STORED / "tenants.snapshot", "dc=other")
 
 
--- a/tests/tenants/test_tenant_snapshot.py
+++ b/tests/tenants/test_tenant_snapshot.py
@@ -71,7 +71,7 @@
 def test_the_snapshot_of_another_query_and_a_missing_file_are_rejected(tmp_path: Path) -> None:
     path = tmp_path / "s"
     tenant_snapshot.write(path, tenant_snapshot.encode(SNAPSHOT))
-    with pytest.raises(tenant_snapshot.SnapshotError, match="another directory"):
+    with pytest.raises(tenant_snapshot.SnapshotError, match="taken with another search base or filter"):
         tenant_snapshot.read(path, "dc=y?(cn=*)")
     with pytest.raises(tenant_snapshot.SnapshotError, match="No such file"):
         tenant_snapshot.read(tmp_path / "none", "")
