--- a/snowthread/tenants/changes.py
+++ b/snowthread/tenants/changes.py
@@ -1,4 +1,7 @@
-"""The result of one step of the tenant state: quota changes for admission control and log lines."""
+"""What one step of the tenant state changed: quotas for admission control, and the log lines about it.
+
+A step is one call of a method of ``TenantState`` that can change it, for instance ``apply_refresh``.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +33,7 @@
 
 @dataclass(slots=True)
 class TenantChanges:
-    """The quota changes, removed tenants and log lines of one step."""
+    """The quota changes, removed tenants and log lines of one step: one call that can change TenantState."""
 
     quotas: list[TenantQuota] = field(default_factory=list)
     removed_ids: list[str] = field(default_factory=list)
@@ -65,7 +68,8 @@
         self.add_log_line(
             "tenants.removal_held",
             f"{len(removal.tenant_ids)} tenants are missing from the directory and are kept until "
-            f"the removal is confirmed ({removal.reason}); removal digest {removal.digest}",
+            f"the removal is confirmed ({removal.reason}); removal digest {removal.digest}; "
+            "to accept the removal, set accept in the block tenants.removal to this digest",
         )
 
     def add_conflict(self, conflict: Conflict) -> None:
@@ -81,7 +85,7 @@
     def add_staleness_stage(self, stage: StalenessStage, age_ms: float) -> None:
         """Log the staleness stage that was reached, with the age of the tenant data."""
         age = "" if stage is StalenessStage.NONE else f", last confirmed {age_ms / MS_PER_S:.0f} s ago"
-        self.add_log_line("tenants.age", f"tenant data is now {stage.value}{age}")
+        self.add_log_line("tenants.age", f"tenant data: stage {stage.value}{age}")
 
 
 def _quota_of(tenant: Tenant) -> TenantQuota:
--- a/snowthread/tenants/identification.py
+++ b/snowthread/tenants/identification.py
@@ -24,7 +24,7 @@
 
 HOUSEKEEPING_INTERVAL_MS = 500.0
 MS_PER_S = 1000.0
-SEED_SALT = 0x7E4A47
+SEED_SALT = 0x7E4A47  # separates this random generator from others that use the node's seed
 _WARNING_EVENTS = frozenset({"tenants.conflict", "tenants.bad_entry", "tenants.removal_held"})
 
 
@@ -43,7 +43,8 @@
         self._loop = loop
         self._post = post
         self._peer_address: Callable[[int], str] = lambda _connection: ""
-        # The seed differs between nodes and between starts of a node, so that jitter differs across a fleet.
+        # ``seed`` comes from the node's configuration and is the same at every start of a node. Nodes with
+        # different seeds have different jitter, so that a fleet does not query the directory in step.
         self._rng = random.Random(seed ^ SEED_SALT)
         self._snapshots = SnapshotSchedule(loop.clock, settings, self.tenants, self.publish)
 
@@ -134,7 +135,7 @@
             held=len(removal.tenant_ids) if removal else 0,  # ``held`` is the documented name of this field
             **asdict(tenants.counters),
         ).info(
-            "tenants: {} known, data is {}, {} requests from known clients, {} from unknown clients",
+            "tenants: {} known, data at stage {}, {} requests from known clients, {} from unknown clients",
             len(tenants.table),
             stage,
             tenants.counters.known_requests,
