--- a/snowthread/ldap/health.py
+++ b/snowthread/ldap/health.py
@@ -1,9 +1,9 @@
 """Choose the directory server to use, the time of the next attempt and the reaction to a result code.
 
-This module does no I/O. Servers are tried in the configured order; the first one whose circuit breaker allows
-an attempt is used until it fails. Retries wait for a backoff with full jitter, and a retry budget limits them
-to a share of the successes, so that a fleet of nodes adds a bounded load to a failing directory, however long
-the failure lasts.
+This module does no I/O. The first server whose circuit breaker allows an attempt is used until it fails. Then
+the search for the next one starts at the server after it, in the configured order and cyclically. Retries
+wait for a backoff with full jitter, and a retry budget limits them to a share of the successes, so that a
+fleet of nodes adds a bounded load to a failing directory, however long the failure lasts.
 """
 
 from __future__ import annotations
@@ -74,8 +74,9 @@
     def choose(self, now: float) -> int | None:
         """Return the index of the server to use now, or None if no circuit allows an attempt.
 
-        The server in use is preferred until it fails. After a failure the choice starts at the next server.
-        Otherwise a server that accepts connections and then fails would be retried before the others.
+        The server in use is preferred until it fails. After a failure the choice starts at the server after
+        it, or at the same server if the reaction was RETRY. If it started at the first server instead, one
+        that accepts connections and then fails would be retried before the others.
         """
         count = len(self.names)
         for offset in range(count):
@@ -93,8 +94,9 @@
     def backoff_ms(self, now: float, rng: random.Random) -> float:
         """Return the milliseconds to wait before the next attempt after a failure.
 
-        It is the largest of the jittered backoff, the wait for the retry budget (at most the maximum backoff)
-        and the time until the first circuit allows an attempt.
+        This takes a retry from the budget if one is available. The wait is the largest of the jittered
+        backoff, the wait for the retry budget (at most the maximum backoff) and the time until the first
+        circuit allows an attempt.
         """
         wait_ms = backoff_ms(max(1, self._consecutive_failures), self.policy, rng)
         wait_ms = max(wait_ms, min(self.budget.take_retry(now), self.policy.max_backoff_ms))
--- a/snowthread/ldap/retry_budget.py
+++ b/snowthread/ldap/retry_budget.py
@@ -14,7 +14,8 @@
 class RetryPolicy:
     """The settings of retries and circuit breakers; times are milliseconds.
 
-    Without ``budget_floor_per_s`` no server would be tried again after the budget is used up.
+    With a ``budget_floor_per_s`` of 0, only successes refill the budget. Without them, ServerSelector waits
+    at least ``max_backoff_ms`` before each attempt once the budget is used up.
     """
 
     first_backoff_ms: float = 200.0  # upper bound of the wait before the first retry; doubles with each retry
@@ -28,7 +29,10 @@
 
 
 def backoff_ms(retry: int, policy: RetryPolicy, rng: random.Random) -> float:
-    """Return the wait before a retry, counted from 1, with full jitter: uniform from 0 to an upper bound."""
+    """Return the milliseconds to wait before a retry; ``retry`` is its number, counted from 1.
+
+    The wait has full jitter: it is uniform from 0 to an upper bound that doubles with each retry.
+    """
     cap_ms = min(policy.max_backoff_ms, policy.first_backoff_ms * 2.0 ** min(retry - 1, MAX_DOUBLINGS))
     return rng.uniform(0.0, cap_ms)
 
@@ -47,7 +51,11 @@
         self._deposit(self._policy.budget_share)
 
     def take_retry(self, now: float) -> float:
-        """Take a retry from the budget and return 0, or return the milliseconds until one is available."""
+        """Take a retry from the budget and return 0, or return the milliseconds until one is available.
+
+        Nothing is taken if the result is above 0. The result is infinity if the budget holds no retry and
+        none is added over time.
+        """
         floor_per_s = self._policy.budget_floor_per_s
         self._deposit(max(0.0, now - self._refilled_at_ms) / MS_PER_S * floor_per_s)
         self._refilled_at_ms = now
--- a/snowthread/ldap/session.py
+++ b/snowthread/ldap/session.py
@@ -2,12 +2,15 @@
 
 | state          | requests allowed          | event: next state                                       |
 | -------------- | ------------------------- | ------------------------------------------------------- |
-| READY          | all                       | bind: BINDING; StartTLS: START_TLS_SENT                 |
+| READY          | all, within limits        | bind: BINDING; StartTLS: START_TLS_SENT                 |
 | START_TLS_SENT | none                      | StartTLS response: success: TLS_HANDSHAKE, else READY   |
 | TLS_HANDSHAKE  | none                      | handshake complete: READY; a byte of clear text: CLOSED |
 | BINDING        | none (RFC 4511, 4.2.1)    | bind response: READY                                    |
 | CLOSED         | none                      | -                                                       |
 
+In READY, bind and StartTLS are allowed only while no operation is open, and a request that expects a response
+only while fewer than ``MAX_OPEN_OPERATIONS`` operations are open.
+
 An unbind request, a notice of disconnection or a protocol error changes any state to CLOSED. A request that
 the state does not allow raises SessionStateError, since it is an error in this program. A protocol error of
 the server is reported as a ``SessionEnded`` value. Nothing is read after it, because the start of the next
--- a/snowthread/tenants/removal_guard.py
+++ b/snowthread/tenants/removal_guard.py
@@ -1,10 +1,12 @@
 """Decide which removals of tenants are applied at once and which need confirmation, without I/O.
 
 A directory can lose entries by mistake, or a server with older content can answer. Its report alone must not
-remove many tenants. A removal is applied at once only if it comes from the server whose content the node has,
-and if all removals within a time window stay below a share of the tenants. Any other removal is pending: the
-tenants are kept until a second full refresh, some time later, lacks them too, or until an operator accepts
-the removal by the digest in its log message. A tenant that reappears is taken out of the pending removal.
+remove many tenants. A removal is applied at once only if all removals within a time window are at most a
+share of the tenants, or at most a minimum allowance. A full refresh must also come from the server whose
+content the node has; reported deletions may come from any server, but are not applied while a removal is
+pending. Any other removal is pending: the tenants are kept until a second full refresh, some time later,
+lacks them too, or until an operator accepts the removal by the digest in its log message. A tenant that
+reappears is taken out of the pending removal.
 """
 
 from __future__ import annotations
--- a/snowthread/tenants/snapshot_writer.py
+++ b/snowthread/tenants/snapshot_writer.py
@@ -19,7 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """The result of a write; ``error`` is empty if the write succeeded."""
+    """The result of a write.
+
+    ``error`` is empty if the write succeeded, and also if its result is unknown because other code reaped the
+    child process.
+    """
 
     error: str = ""
 
@@ -66,7 +70,7 @@
             return None
         try:
             pid, status = os.waitpid(self._child_pid, os.WNOHANG)
-        except ChildProcessError:  # reaped elsewhere, so its exit status is lost
+        except ChildProcessError:  # reaped by other code: the result is unknown
             self._child_pid = NO_CHILD
             return WriteResult()
         if not pid:
--- a/snowthread/tenants/staleness.py
+++ b/snowthread/tenants/staleness.py
@@ -1,15 +1,19 @@
 """Track the age of the tenant data and what a node does at that age, without I/O.
 
-| stage | age: time since the last confirmation    | known clients   | unknown clients               |
-| ----- | ---------------------------------------- | --------------- | ----------------------------- |
-| NONE  | never confirmed, and no snapshot existed | -               | default tenant                |
-| FRESH | up to ``stale_ms``                       | identified      | looked up; default tenant     |
-| STALE | up to ``old_ms``                         | identified      | default tenant                |
-| OLD   | longer                                   | as ``when_old`` | default tenant                |
-
-The setting ``when_old`` is "serve" (clients are identified as before, so that a directory that is down for a
-day affects no client) or "default" (all clients share the default tenant's quota, for operators who prefer
-a small quota to an outdated one). A suspended tenant stays suspended at every stage.
+| stage | age: time since the last confirmation       | clients that a known tenant owns |
+| ----- | ------------------------------------------- | -------------------------------- |
+| NONE  | never confirmed, and no snapshot restored   | -                                |
+| FRESH | up to ``stale_ms``                          | identified                       |
+| STALE | up to ``old_ms``                            | identified                       |
+| OLD   | longer                                      | as ``when_old`` says             |
+
+At every stage, a client that no known tenant owns belongs to the default tenant, and is looked up in the
+directory if lookups are enabled and the directory is connected.
+
+The key ``when_old`` of the operator's file, read into the field ``default_when_old``, is "serve" (clients are
+identified as before, so that a directory that is down for a day affects no client) or "default" (all clients
+share the default tenant's quota, for operators who prefer a small quota to an outdated one). A suspended
+tenant stays suspended at every stage.
 """
 
 from __future__ import annotations
@@ -52,7 +56,10 @@
         self.confirmed_at_ms = max(self.confirmed_at_ms, now)
 
     def age_ms(self, now: float) -> float:
-        """Return the time since the last confirmation, or 0 if the clock was set back before it."""
+        """Return the time since the last confirmation: infinity if there was none, 0 if it is in the future.
+
+        It is in the future if the clock was set back.
+        """
         return max(0.0, now - self.confirmed_at_ms)
 
     def stage(self, now: float) -> StalenessStage:
--- a/snowthread/tenants/sync.py
+++ b/snowthread/tenants/sync.py
@@ -1,14 +1,20 @@
 """The state machine of directory synchronisation: turns a server's messages into changes, without I/O.
 
-| state      | message                            | event and next state                              |
-| ---------- | ---------------------------------- | ------------------------------------------------- |
-| IDLE       | start_refresh                      | REFRESHING                                        |
-| REFRESHING | entry, id set, cookie              | none: collected until the refresh ends            |
-| REFRESHING | end of the refresh                 | RefreshCompleted: FOLLOWING in PERSIST, else IDLE |
-| REFRESHING | end of a page that is not the last | NextPage: REFRESHING                              |
-| FOLLOWING  | entry, id set, cookie              | EntriesChanged: FOLLOWING                         |
-| any        | end of the search, error, reset    | SearchEnded: IDLE; collected entries are dropped  |
-
+| state      | message or call                      | event and next state                             |
+| ---------- | ------------------------------------ | ------------------------------------------------ |
+| any        | call of start_refresh                | no event: REFRESHING                             |
+| any        | call of reset                        | no event: IDLE; collected entries are dropped    |
+| IDLE       | any message                          | no event: the message is ignored                 |
+| REFRESHING | entry, id set, cookie                | no event: collected until the refresh ends       |
+| REFRESHING | end of a page that is not the last   | NextPage: REFRESHING                             |
+| REFRESHING | end of the refresh phase, in PERSIST | RefreshCompleted: FOLLOWING                      |
+| REFRESHING | end of the search                    | RefreshCompleted, in PERSIST SearchEnded: IDLE   |
+| REFRESHING | error                                | SearchEnded: IDLE; collected entries are dropped |
+| FOLLOWING  | entry, id set of deleted entries     | EntriesChanged: FOLLOWING                        |
+| FOLLOWING  | cookie; entries marked as present    | no event: a cookie is stored                     |
+| FOLLOWING  | end of the search, error             | SearchEnded: IDLE                                |
+
+An error is a failed result code, a protocol error, a missing control or an exceeded limit of the query.
 PERSIST is one of the modes in ``replication_mode``. A cookie is used only after the refresh that brought it
 has completed, and only at the server that sent it, since cookies are opaque (RFC 4533, section 2.1.2).
 """
--- a/snowthread/tenants/table.py
+++ b/snowthread/tenants/table.py
@@ -1,9 +1,10 @@
 """Map a client to its tenant, by networks in prefix tries and by balancer number ranges.
 
-The longest matching prefix wins. If several tenants claim the same network or balancer number, the tenant
-with the least id owns it until it releases it. The result thus depends only on the set of tenants, not on the
-order of changes, so all nodes agree. A balancer number in a request counts only if the request comes from a
-network that the operator trusts; otherwise the client address alone decides.
+The longest matching prefix wins. If several tenants claim the same network or balancer number, the one with
+the least id owns it; a later claim by a tenant with a smaller id takes over at once. The result thus depends
+only on the set of tenants, not on the order of changes, so all nodes agree. A balancer number in a request
+counts only if the request comes from a network that the operator trusts; otherwise the client address alone
+decides.
 """
 
 from __future__ import annotations
@@ -166,7 +167,10 @@
             self._record_range_conflicts(tenant, changes)
 
     def _record_range_conflicts(self, tenant: Tenant, changes: TableChanges) -> None:
-        """Record the claimants at both ends of a tenant's changed ranges, to detect overlapping ranges."""
+        """Record the claimants at both ends of a tenant's changed ranges, to detect overlapping ranges.
+
+        A range of another tenant that lies strictly inside a changed range is not detected.
+        """
         for number in {end for ends in tenant.balancers for end in ends}:
             changes.conflicts += self._conflicts.record_claimants(
                 f"balancer {number}", self._ranges.claimants(number)
