--- a/snowthread/ldap/ber.py
+++ b/snowthread/ldap/ber.py
@@ -47,9 +47,9 @@
         return MIN_HEAD_BYTES + first
     octets = first & ~LONG_FORM
     if octets == 0:
-        raise MalformedMessageError("indefinite length")
+        raise MalformedMessageError("message length has the indefinite form, which LDAP does not allow")
     if octets > MAX_LENGTH_OCTETS:
-        raise MalformedMessageError(f"length of {octets} octets, which is too long")
+        raise MalformedMessageError(f"message length field of {octets} octets is too long")
     head_bytes = MIN_HEAD_BYTES + octets
     if size < head_bytes:
         return None
@@ -79,26 +79,26 @@
         while position == end:
             end = outer_ends.pop()
         if end - position < MIN_HEAD_BYTES:
-            raise MalformedMessageError("truncated element")
+            raise MalformedMessageError("BER element is truncated")
         tag = frame[position]
         length = frame[position + 1]
         position += MIN_HEAD_BYTES
         if tag & LONG_TAG == LONG_TAG:
-            raise MalformedMessageError("tag of several octets")
+            raise MalformedMessageError("BER tag has several octets, which LDAP does not use")
         if length >= LONG_FORM:
             octets = _length_octets(length, end - position)
             length = int.from_bytes(frame[position : position + octets])
             position += octets
         if length > end - position:
-            raise MalformedMessageError("element extends beyond its parent")
+            raise MalformedMessageError("BER element extends beyond its parent")
         elements += 1
         if elements > max_elements:
-            raise MalformedMessageError(f"more than {max_elements} elements")
+            raise MalformedMessageError(f"message has more than {max_elements} BER elements")
         if tag & CONSTRUCTED:
             outer_ends.append(end)
             end = position + length
             if len(outer_ends) > max_depth:
-                raise MalformedMessageError(f"elements nested deeper than {max_depth} levels")
+                raise MalformedMessageError(f"BER elements are nested deeper than {max_depth} levels")
         else:
             position += length
 
@@ -111,5 +111,5 @@
     """
     octets = first & ~LONG_FORM
     if not 1 <= octets <= MAX_LENGTH_OCTETS or available < octets:
-        raise MalformedMessageError("invalid length")
+        raise MalformedMessageError("BER element has an invalid length")
     return octets
--- a/snowthread/tenants/connection_settings.py
+++ b/snowthread/tenants/connection_settings.py
@@ -103,7 +103,9 @@
         raise bind.error("password_file", "set exactly one of password_file and password_env")
     password = _read_password_file(bind, file) if file is not None else os.environ.get(variable or "", "")
     if not password:  # a simple bind with an empty password is anonymous and succeeds (RFC 4513, 5.1.2)
-        raise bind.error("password_file" if file else "password_env", "no password found")
+        raise bind.error(
+            "password_file" if file else "password_env", "the file or environment variable holds no password"
+        )
     return password
 
 
--- a/snowthread/tenants/directory_session.py
+++ b/snowthread/tenants/directory_session.py
@@ -95,7 +95,9 @@
             is_silent = now - self._last_received_at >= settings.operation_timeout_ms
             is_slow = now - self._search_started_at >= settings.refresh_timeout_ms
             if is_silent or is_slow:
-                return ConnectionFailure(Progress.REPLY_BEGUN, "refresh timed out")
+                return ConnectionFailure(
+                    Progress.REPLY_BEGUN, "refresh timed out: the server was silent or too slow"
+                )
         elif now >= self._probe.deadline:
             return ConnectionFailure(Progress.REPLY_BEGUN, "probe timed out")
         return None
@@ -110,12 +112,12 @@
 
     def _send_due_search(self, now: float) -> None:
         """Start the next refresh or send a probe if one is due."""
-        since_received_ms = now - self._last_received_at
+        ms_since_received = now - self._last_received_at
         if now >= self._poll_at or self._full_refresh_due(now):
             if self._sync.state is ReplicationState.FOLLOWING:
                 self._connection.send(AbandonRequest(self._search_id))
             self._start_refresh(now)
-        elif not self._probe.in_flight and since_received_ms >= self._context.settings.probe_interval_ms:
+        elif not self._probe.in_flight and ms_since_received >= self._context.settings.probe_interval_ms:
             self._probe.send(now)
 
     def _start_refresh(self, now: float) -> None:
--- a/snowthread/tenants/entry.py
+++ b/snowthread/tenants/entry.py
@@ -51,7 +51,7 @@
     modified_at: str = "modifytimestamp"
 
     def all(self) -> tuple[str, ...]:
-        """Return all attribute names, as the list of attributes that a search requests."""
+        """Return the attribute names in the order of the fields; a search requests these attributes."""
         return astuple(self)
 
 
@@ -110,6 +110,11 @@
 
 
 def _single_value(attributes: Attributes, name: str) -> str | None:
+    """Return the value of an attribute, or None if it has none; of several values of ``cn`` the least one.
+
+    Raises:
+        ValueError: An attribute other than ``cn`` has several values.
+    """
     values = _values(attributes, name)
     if len(values) > 1:
         if name == NAME_ATTRIBUTE:  # names may have several spellings; all nodes use the least one
@@ -126,9 +131,9 @@
 def _read_name(attributes: Attributes, name: str) -> str:
     text = _single_value(attributes, name)
     if not text:
-        raise ValueError(f"{name}: the attribute is missing")
+        raise ValueError(f"{name}: the tenant name is missing or empty")
     if len(text) > MAX_NAME_LENGTH or not text.isprintable():
-        raise ValueError(f"{name}: too long or not printable")
+        raise ValueError(f"{name}: the tenant name is too long or has unprintable characters")
     return text
 
 
@@ -182,5 +187,5 @@
 def _read_classes(attributes: Attributes, name: str) -> frozenset[str]:
     texts = _values(attributes, name)
     if len(texts) > MAX_CLASSES or not all(texts):
-        raise ValueError(f"{name}: too many classes or an empty class name")
+        raise ValueError(f"{name}: too many request classes, or an empty class name")
     return frozenset(texts)
--- a/snowthread/tenants/refresh_collector.py
+++ b/snowthread/tenants/refresh_collector.py
@@ -56,9 +56,9 @@
         """Return which limit of the query is exceeded, or an empty string if none is."""
         id_count = max(len(self.upserts), len(self.present_ids), len(self.removed_ids))
         if id_count > query.max_tenants:
-            return f"more than {query.max_tenants} tenants"
+            return f"refresh has more than {query.max_tenants} tenants, the limit in limits.tenants"
         if self.network_count > query.max_networks:
-            return f"more than {query.max_networks} networks"
+            return f"refresh has more than {query.max_networks} networks, the limit in limits.networks"
         return ""
 
     def completed(self) -> RefreshCompleted:
