--- a/snowthread/core/events.py
+++ b/snowthread/core/events.py
@@ -37,7 +37,7 @@
     rank: float  # rank among the requests of its class, from 0 to 1
     idempotency_key: str | None = None
     partition_key: str = ""
-    tenant: str = ""  # name of the tenant; empty unless the node identifies tenants
+    tenant: str = ""  # id of the tenant; empty unless the node identifies tenants
 
 
 def with_tenant(request: RequestReceived, tenant: str) -> RequestReceived:
