--- a/snowthread/ldap/circuit_breaker.py
+++ b/snowthread/ldap/circuit_breaker.py
@@ -32,7 +32,7 @@
     consecutive_failures: int = 0  # failures since the last success or opening of the circuit
     consecutive_opens: int = 0  # openings of the circuit since the last success
     open_until_ms: float = -math.inf
-    probing: bool = False  # whether the one attempt that the half-open state allows is in progress
+    half_open_attempt_in_progress: bool = False  # the half-open state allows one attempt at a time
 
     def state(self, now: float) -> CircuitState:
         """Return the current state."""
@@ -43,17 +43,19 @@
     def allows(self, now: float) -> bool:
         """Return whether an attempt may start; the half-open state allows one at a time."""
         state = self.state(now)
-        return state is CircuitState.CLOSED or (state is CircuitState.HALF_OPEN and not self.probing)
+        return state is CircuitState.CLOSED or (
+            state is CircuitState.HALF_OPEN and not self.half_open_attempt_in_progress
+        )
 
     def start_attempt(self, now: float) -> None:
         """Record that an attempt starts."""
-        self.probing = self.state(now) is CircuitState.HALF_OPEN
+        self.half_open_attempt_in_progress = self.state(now) is CircuitState.HALF_OPEN
 
     def record_success(self) -> None:
         """Record that an attempt succeeded, and close the circuit."""
         self.consecutive_failures = 0
         self.consecutive_opens = 0
-        self.probing = False
+        self.half_open_attempt_in_progress = False
 
     def record_failure(self, now: float, open_at_once: bool = False) -> bool:
         """Record a failed attempt and return whether it opened the circuit.
@@ -61,11 +63,15 @@
         ``open_at_once`` opens it after this one failure, for failures that a retry can't resolve.
         """
         self.consecutive_failures += 1
-        if not (self.probing or open_at_once or self.consecutive_failures >= self.policy.failures_to_open):
+        if not (
+            self.half_open_attempt_in_progress
+            or open_at_once
+            or self.consecutive_failures >= self.policy.failures_to_open
+        ):
             return False
         self.consecutive_opens += 1
         open_ms = self.policy.open_ms * 2.0 ** min(self.consecutive_opens - 1, MAX_DOUBLINGS)
         self.open_until_ms = now + min(self.policy.max_open_ms, open_ms)
-        self.probing = False
+        self.half_open_attempt_in_progress = False
         self.consecutive_failures = 0
         return True
--- a/snowthread/ldap/client.py
+++ b/snowthread/ldap/client.py
@@ -56,7 +56,7 @@
     start_tls: bool = False  # request TLS by StartTLS on ldap URLs
     server_name: str = ""  # name that the server certificate must match; empty: the host of the URL
     connect_timeout_ms: float = 2_000.0
-    bind_timeout_ms: float = 3_000.0
+    bind_timeout_ms: float = 3_000.0  # for each of StartTLS, the TLS handshake and bind
     message_limits: MessageLimits = field(default_factory=MessageLimits)
 
 
--- a/snowthread/tenants/balancer_ranges.py
+++ b/snowthread/tenants/balancer_ranges.py
@@ -35,8 +35,8 @@
         self._ranges = [claim for claim in self._ranges if claim.tenant_id != tenant_id]
         self._max_span = max((claim.last - claim.first for claim in self._ranges), default=0)
 
-    def claimants(self, number: int) -> list[str]:
-        """Return the ids of the tenants whose ranges contain the number, in ascending order."""
-        end = bisect_right(self._ranges, (number, math.inf, ""))
-        start = bisect_right(self._ranges, (number - self._max_span, -1, ""))
-        return sorted({claim.tenant_id for claim in self._ranges[start:end] if number <= claim.last})
+    def claimants(self, balancer_number: int) -> list[str]:
+        """Return the ids of the tenants whose ranges contain this balancer number, in ascending order."""
+        end = bisect_right(self._ranges, (balancer_number, math.inf, ""))
+        start = bisect_right(self._ranges, (balancer_number - self._max_span, -1, ""))
+        return sorted({claim.tenant_id for claim in self._ranges[start:end] if balancer_number <= claim.last})
--- a/snowthread/tenants/counters.py
+++ b/snowthread/tenants/counters.py
@@ -21,4 +21,4 @@
     bad_entries: int = 0  # entries that could not be parsed into a tenant
     outdated_entries: int = 0  # entries ignored because a server sent an older version than the known one
     lookups_found: int = 0  # lookups of unknown clients that found a tenant
-    lookups_not_found: int = 0  # lookups of unknown clients that found none
+    lookups_not_found: int = 0  # answered lookups that found none; timed out ones are not counted
--- a/snowthread/tenants/directory_session.py
+++ b/snowthread/tenants/directory_session.py
@@ -152,7 +152,7 @@
         deadline = min(deadline, self._poll_at, probe_at)
         if confirmation_at is not None:
             deadline = min(deadline, confirmation_at)
-        if tenants.unknown_clients.waiting:
+        if tenants.unknown_clients.waiting_count:
             deadline = min(deadline, self._context.loop.clock.now() + LOOKUP_POLL_MS)
         return deadline
 
--- a/snowthread/tenants/entry.py
+++ b/snowthread/tenants/entry.py
@@ -51,7 +51,7 @@
     modified_at: str = "modifytimestamp"
 
     def all(self) -> tuple[str, ...]:
-        """Return the attribute names in the order of the fields; a search requests these attributes."""
+        """Return the names of all these attributes, in the order of the fields; a search requests them."""
         return astuple(self)
 
 
--- a/snowthread/tenants/identification.py
+++ b/snowthread/tenants/identification.py
@@ -73,7 +73,7 @@
             identity = self.tenants.identify(address, message.caller_id, now)
             if (
                 identity.identified_by is IdentifiedBy.UNKNOWN
-                and self.tenants.unknown_clients.request_lookup(address, now)
+                and self.tenants.unknown_clients.queue_lookup(address, now)
                 and self.replicator
             ):
                 self.replicator.wake()
--- a/snowthread/tenants/inspection.py
+++ b/snowthread/tenants/inspection.py
@@ -123,20 +123,20 @@
     return "  ".join(columns)
 
 
-def describe_owner(result: InspectionResult, address: str, balancer: int | None) -> OwnerDescription:
+def describe_owner(result: InspectionResult, address: str, balancer_number: int | None) -> OwnerDescription:
     """Describe which tenant owns a client, and by which rule.
 
-    ``balancer`` is the balancer number that the client sends, or None.
+    ``balancer_number`` is the balancer number that the client sends, or None.
     """
     table = result.tenants.table
-    identity = table.identify(address, balancer)
+    identity = table.identify(address, balancer_number)
     if identity.identified_by is IdentifiedBy.UNKNOWN:
         return OwnerDescription(False, f"{address}: owned by no tenant, the default tenant applies")
     tenant = table.tenants[identity.tenant_id]
     if identity.identified_by is IdentifiedBy.NETWORK:
         rule = f"network {identity.network}"
     else:
-        rule = f"balancer {balancer}"
+        rule = f"balancer {balancer_number}"
     return OwnerDescription(True, f"{address}: {tenant.name} ({tenant.status.value}, {tenant.id}), by {rule}")
 
 
--- a/snowthread/tenants/removal_guard.py
+++ b/snowthread/tenants/removal_guard.py
@@ -37,7 +37,7 @@
     """A removal that waits for confirmation; ``reason`` says why it was not applied at once."""
 
     tenant_ids: frozenset[str]
-    since_ms: float
+    delay_start_ms: float  # start of the delay before a full refresh may confirm the removal
     reason: str
 
     @property
@@ -115,8 +115,10 @@
             reason = ""
         if not reason and pending is None:
             return self._remove(tenant_ids, server, now)
-        since_ms = now if pending is None else pending.since_ms
-        self.pending = PendingRemoval(tenant_ids, since_ms, reason or "another removal is already pending")
+        delay_start_ms = now if pending is None else pending.delay_start_ms
+        self.pending = PendingRemoval(
+            tenant_ids, delay_start_ms, reason or "another removal is already pending"
+        )
         return RemovalDecision(
             frozenset(), self.pending, newly_pending=pending is None or pending.tenant_ids != tenant_ids
         )
@@ -126,13 +128,15 @@
         if self.pending is None or self.pending.tenant_ids.isdisjoint(tenant_ids):
             return
         rest = self.pending.tenant_ids - frozenset(tenant_ids)
-        self.pending = PendingRemoval(rest, self.pending.since_ms, self.pending.reason) if rest else None
+        self.pending = (
+            PendingRemoval(rest, self.pending.delay_start_ms, self.pending.reason) if rest else None
+        )
 
     def confirmation_due_at(self) -> float | None:
         """Return when a full refresh may confirm the pending removal, or None if it can't be confirmed so."""
         if self.pending is None or not self.rules.confirm_by_refresh:
             return None
-        return self.pending.since_ms + self.rules.confirm_after_ms
+        return self.pending.delay_start_ms + self.rules.confirm_after_ms
 
     def take_accepted(self, known_ids: Collection[str]) -> frozenset[str]:
         """Return the known tenants of the pending removal and clear it, if the operator has accepted it."""
@@ -147,11 +151,11 @@
     ) -> RemovalDecision:
         """Decide about a full refresh that again lacks tenants of the pending removal."""
         missing_again = pending.tenant_ids & missing
-        is_due = now - pending.since_ms >= self.rules.confirm_after_ms
+        is_due = now - pending.delay_start_ms >= self.rules.confirm_after_ms
         if not self.rules.confirm_by_refresh or not is_due:
             # Tenants that are missing for the first time restart the confirmation delay.
-            since_ms = pending.since_ms if missing <= pending.tenant_ids else now
-            self.pending = PendingRemoval(missing, since_ms, pending.reason)
+            delay_start_ms = pending.delay_start_ms if missing <= pending.tenant_ids else now
+            self.pending = PendingRemoval(missing, delay_start_ms, pending.reason)
             return RemovalDecision(frozenset(), self.pending, newly_pending=missing != pending.tenant_ids)
         decision = self._remove(missing_again, server, now)
         newly_missing = missing - missing_again
--- a/snowthread/tenants/replication_mode.py
+++ b/snowthread/tenants/replication_mode.py
@@ -40,8 +40,11 @@
         """Use the mode after ``mode`` for this server from now on."""
         self._fallbacks[server] = ReplicationMode(min(mode + 1, ReplicationMode.PAGED))
 
-    def reduce_page_size(self, server: str, mode: ReplicationMode) -> None:
-        """Use paged results for this server from now on; if ``mode`` is PAGED already, halve the page."""
+    def request_smaller_results(self, server: str, mode: ReplicationMode) -> None:
+        """Use paged results for a server; if ``mode`` is PAGED already, halve the page size of all servers.
+
+        ``mode`` is the mode of the search that exceeded a limit of the server.
+        """
         if mode is ReplicationMode.PAGED:
             self.page_size = max(MIN_PAGE_SIZE, self.page_size // 2)
         self._fallbacks[server] = ReplicationMode.PAGED
--- a/snowthread/tenants/sync.py
+++ b/snowthread/tenants/sync.py
@@ -239,7 +239,7 @@
         if reaction is Reaction.FULL_REFRESH:
             self.forget_cookie()
         elif reaction is Reaction.REDUCE_PAGE_SIZE:
-            self._modes.reduce_page_size(self._server, self.mode)
+            self._modes.request_smaller_results(self._server, self.mode)
         elif reaction is Reaction.FALL_BACK:
             if self.mode is ReplicationMode.PAGED:
                 reaction = Reaction.NEEDS_OPERATOR
--- a/snowthread/tenants/table_rebuild.py
+++ b/snowthread/tenants/table_rebuild.py
@@ -11,7 +11,9 @@
 from snowthread.tenants.model import Network, Tenant
 from snowthread.tenants.table import TableChanges, TenantTable
 
-MAX_ITEMS_PER_SLICE = 300  # tenants and networks; a slice takes one or two milliseconds
+# Tenants and networks after which a slice ends; the tenant that reaches this number is still in the slice.
+# A slice takes one or two milliseconds.
+ITEMS_PER_SLICE = 300
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +26,7 @@
 
 def fits_in_one_slice(upserts: Collection[Tenant], removed_ids: Collection[str]) -> bool:
     """Return whether these changes are few enough to be applied to the existing table without a pause."""
-    return sum(map(_item_count, upserts)) + len(removed_ids) <= MAX_ITEMS_PER_SLICE
+    return sum(map(_item_count, upserts)) + len(removed_ids) <= ITEMS_PER_SLICE
 
 
 def rebuild_in_slices(
@@ -44,7 +46,7 @@
     for tenant in tenants.values():
         conflicts += table.apply((tenant,)).conflicts
         item_count += _item_count(tenant)
-        if item_count >= MAX_ITEMS_PER_SLICE:
+        if item_count >= ITEMS_PER_SLICE:
             item_count = 0
             yield
     known_conflicts = set(old.conflicts)
--- a/snowthread/tenants/unknown_clients.py
+++ b/snowthread/tenants/unknown_clients.py
@@ -21,20 +21,26 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownClientRules:
-    """Whether unknown clients are looked up, the limits of lookups, and the prefix lengths to search for."""
-
-    enabled: bool = True
-    negative_ttl_ms: float = 60_000.0
-    max_negative_entries: int = 10_000
-    max_waiting: int = 256
-    max_in_flight: int = 8
-    lookups_per_s: float = 20.0
+    """Whether unknown clients are looked up, the limits of lookups, and the prefix lengths to search for.
+
+    The prefix lengths are those of the networks around a client that a lookup searches for.
+    """
+
+    enabled: bool = True  # whether unknown clients are looked up
+    negative_ttl_ms: float = 60_000.0  # time for which a client that was not found is not looked up again
+    max_negative_entries: int = 10_000  # clients in the negative cache; the oldest entry is dropped
+    max_waiting: int = 256  # clients that wait for a lookup; further ones are not queued
+    max_in_flight: int = 8  # lookups sent to the directory and not yet answered
+    lookups_per_s: float = 20.0  # rate of lookups; also the most that can start at once after a pause
     ipv4_prefix_lengths: tuple[int, ...] = (8, 12, 16, 20, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32)
     ipv6_prefix_lengths: tuple[int, ...] = (32, 40, 44, 48, 52, 56, 60, 64, 128)
 
 
 class UnknownClients:
-    """Clients that wait for a lookup, are being looked up, or are in the negative cache."""
+    """Clients that wait for a lookup, are being looked up, or are in the negative cache.
+
+    ``len`` counts the first two only; the negative cache is not included.
+    """
 
     def __init__(self, rules: UnknownClientRules) -> None:
         self.rules = rules
@@ -50,7 +56,7 @@
         return len(self._waiting) + len(self._in_flight)
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """The number of clients that wait for a lookup."""
         return len(self._waiting)
 
@@ -59,8 +65,12 @@
         """The number of clients that are cached as unknown to the directory."""
         return len(self._negative_cache)
 
-    def request_lookup(self, address: str, now: float) -> bool:
-        """Queue a lookup of the client; return whether one was queued."""
+    def queue_lookup(self, address: str, now: float) -> bool:
+        """Queue a lookup of the client; return whether one was queued.
+
+        None is queued if lookups are disabled, the client is waiting, in flight or in the negative cache, or
+        too many clients wait.
+        """
         if not self.rules.enabled or address in self._in_flight or address in self._waiting:
             return False
         expires_at = self._negative_cache.get(address)
--- a/tests/tenants/test_replication.py
+++ b/tests/tenants/test_replication.py
@@ -328,9 +328,9 @@
     directory.put("fresh", snowthreadNetwork=["13.1.0.0/16"], snowthreadQuota=1)
     now = harness.now
     assert harness.tenants.identify("13.1.2.3", None, now).tenant_id == "default"
-    assert harness.tenants.unknown_clients.request_lookup(
+    assert harness.tenants.unknown_clients.queue_lookup(
         "13.1.2.3", now
-    ) and harness.tenants.unknown_clients.request_lookup("14.0.0.1", now)
+    ) and harness.tenants.unknown_clients.queue_lookup("14.0.0.1", now)
     harness.replicator.wake()
     harness.run(400.0)
     assert (
@@ -339,7 +339,7 @@
     )
     assert (
         harness.tenants.counters.lookups_not_found == 1
-        and not harness.tenants.unknown_clients.request_lookup("14.0.0.1", harness.now)
+        and not harness.tenants.unknown_clients.queue_lookup("14.0.0.1", harness.now)
     )
 
 
@@ -348,10 +348,13 @@
     harness.wait_for_refresh()
     harness.directories[0].faults.stall = True
     for n in range(500):
-        harness.tenants.unknown_clients.request_lookup(f"13.0.{n >> 8}.{n & 255}", harness.now)
+        harness.tenants.unknown_clients.queue_lookup(f"13.0.{n >> 8}.{n & 255}", harness.now)
     harness.replicator.wake()
     harness.run(10_000.0)
-    assert harness.tenants.unknown_clients.waiting <= 256 and len(harness.tenants.unknown_clients) <= 256 + 8
+    assert (
+        harness.tenants.unknown_clients.waiting_count <= 256
+        and len(harness.tenants.unknown_clients) <= 256 + 8
+    )
 
 
 def test_new_server_settings_apply_in_the_middle_of_a_refresh(new_harness: NewHarness) -> None:
--- a/tests/tenants/test_tenant_state.py
+++ b/tests/tenants/test_tenant_state.py
@@ -14,7 +14,7 @@
 from snowthread.tenants.staleness import StalenessRules
 from snowthread.tenants.state import TenantState
 from snowthread.tenants.sync_events import EntriesChanged, RefreshCompleted
-from snowthread.tenants.table_rebuild import MAX_ITEMS_PER_SLICE
+from snowthread.tenants.table_rebuild import ITEMS_PER_SLICE
 
 SERVER = "a"
 SUSPENDED_ID = "t2"
@@ -72,7 +72,7 @@
 
 
 def test_a_lookup_never_removes_or_changes_a_tenant(tenants: TenantState) -> None:
-    tenants.unknown_clients.request_lookup("11.0.0.1", 0.0)
+    tenants.unknown_clients.queue_lookup("11.0.0.1", 0.0)
     assert tenants.unknown_clients.start_next_lookup(100.0) == "11.0.0.1"
     larger = replace(tenants.table.tenants["t1"], quota_per_s=1e6)
     changes = tenants.apply_lookup("11.0.0.1", [larger], (), 100.0)
@@ -81,7 +81,7 @@
 
 
 def test_a_large_refresh_is_applied_in_slices_and_changes_nothing_before_the_last() -> None:
-    count = 2 * MAX_ITEMS_PER_SLICE
+    count = 2 * ITEMS_PER_SLICE
     state = TenantState(RULES)
     slices = state.apply_refresh_in_slices(full_refresh(count), SERVER, 0.0)
     pauses = 0
--- a/tests/tenants/test_unknown_clients.py
+++ b/tests/tenants/test_unknown_clients.py
@@ -24,18 +24,18 @@
 
 
 def test_a_client_has_one_lookup_and_its_negative_result_expires(clients: UnknownClients) -> None:
-    assert clients.request_lookup(CLIENT, 0.0) and not clients.request_lookup(CLIENT, 0.0)
+    assert clients.queue_lookup(CLIENT, 0.0) and not clients.queue_lookup(CLIENT, 0.0)
     assert clients.start_next_lookup(10.0) == CLIENT and clients.start_next_lookup(10.0) is None
-    assert not clients.request_lookup(CLIENT, 11.0)
+    assert not clients.queue_lookup(CLIENT, 11.0)
     clients.finish_lookup(CLIENT, False, 20.0)
-    assert not clients.request_lookup(CLIENT, 1019.0) and clients.request_lookup(CLIENT, 1020.0)
+    assert not clients.queue_lookup(CLIENT, 1019.0) and clients.queue_lookup(CLIENT, 1020.0)
 
 
 def test_waiting_clients_lookups_in_flight_and_negative_results_are_bounded(clients: UnknownClients) -> None:
-    clients.request_lookup(CLIENT, 1020.0)
+    clients.queue_lookup(CLIENT, 1020.0)
     for number in range(50):
-        clients.request_lookup(f"10.1.0.{number}", 1020.0)
-    assert clients.waiting == 4 and clients.lookups_dropped == 47
+        clients.queue_lookup(f"10.1.0.{number}", 1020.0)
+    assert clients.waiting_count == 4 and clients.lookups_dropped == 47
     assert clients.start_next_lookup(1030.0) and clients.start_next_lookup(1030.0)
     assert clients.start_next_lookup(1030.0) is None  # two are in flight
     clients.abort_lookups()
@@ -50,7 +50,7 @@
     clients = UnknownClients(UnknownClientRules(max_in_flight=32, lookups_per_s=5.0, max_waiting=1000))
     sent = 0
     for now in range(0, 10_000, 10):
-        clients.request_lookup(f"10.{now // 2560}.{now // 10 % 256}.1", float(now))
+        clients.queue_lookup(f"10.{now // 2560}.{now // 10 % 256}.1", float(now))
         address = clients.start_next_lookup(float(now))
         if address:
             sent += 1
