--- a/snowthread/tenants/inspection.py
+++ b/snowthread/tenants/inspection.py
@@ -27,11 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class InspectionResult:
-    """The tenants that were read, the problems found while reading, and the source they were read from."""
+    """The tenants that were read, the problems found while reading, and what they were read from."""
 
     tenants: TenantState
     problems: list[str]
-    source: str
+    origin: str  # the snapshot file and its age, or the directory server
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
 def _read_from_snapshot(settings: TenantSettings, path: Path) -> InspectionResult:
     now = Clock().now()
     try:
-        snapshot = tenant_snapshot.read(path, settings.source)
+        snapshot = tenant_snapshot.read(path, settings.query_text)
     except tenant_snapshot.SnapshotError as error:
         raise config.ConfigError(f"{path}: {error}") from None
     tenants = TenantState(settings.rules)
@@ -92,14 +92,14 @@
         raise config.ConfigError(
             warnings[-1] if warnings else "the directory did not complete a refresh in time"
         )
-    source = replicator.sync.cookie.server or settings.servers[0].server
-    return InspectionResult(tenants, problems, source)
+    origin = replicator.sync.cookie.server or settings.servers[0].server
+    return InspectionResult(tenants, problems, origin)
 
 
 def format_tenants(result: InspectionResult) -> Iterator[str]:
     """Yield a summary line, then one line per tenant, sorted by name."""
     table = result.tenants.table
-    yield f"{len(table)} tenants, {table.network_count} networks, from {result.source}"
+    yield f"{len(table)} tenants, {table.network_count} networks, from {result.origin}"
     for tenant in sorted(table.tenants.values(), key=lambda tenant: (tenant.name.casefold(), tenant.id)):
         yield _format_tenant(tenant)
 
--- a/snowthread/tenants/settings.py
+++ b/snowthread/tenants/settings.py
@@ -43,7 +43,7 @@
     servers: tuple[url.LdapUrl, ...]
     connection: ConnectionSettings
     query: DirectoryQuery
-    source: str  # search base and filter; a snapshot with another source is not used
+    query_text: str  # search base and filter; a snapshot with another query text is not used
     retry_policy: RetryPolicy
     rules: TenantRules
     over_quota_weight: float  # factor on the priority weight of requests above a tenant's quota
@@ -82,7 +82,7 @@
             servers=servers,
             connection=connection,
             query=query,
-            source=f"{base}?{filter_text}",
+            query_text=f"{base}?{filter_text}",
             retry_policy=_read_retry_policy(block.block_or_empty("retry")),
             rules=rules,
             over_quota_weight=over_quota_weight,
--- a/snowthread/tenants/snapshot.py
+++ b/snowthread/tenants/snapshot.py
@@ -39,7 +39,7 @@
 
     tenants: tuple[Tenant, ...]
     confirmed_at: float  # when the directory last confirmed the tenants, in milliseconds
-    source: str  # search base and filter; a snapshot of another query is rejected
+    query_text: str  # search base and filter; a snapshot of another query is rejected
     source_server: str = ""  # the server that the tenants were read from
     cookie: bytes | None = None  # synchronisation cookie of that server
 
@@ -49,7 +49,7 @@
     body = orjson.dumps(
         {
             "agreed_at": snapshot.confirmed_at,
-            "source": snapshot.source,
+            "source": snapshot.query_text,
             "home": snapshot.source_server,
             "cookie": None if snapshot.cookie is None else snapshot.cookie.hex(),
             "tenants": [_encode_tenant(tenant) for tenant in snapshot.tenants],
@@ -119,11 +119,11 @@
     )
 
 
-def read(path: Path, source: str) -> Snapshot:
-    """Return the snapshot in a file if it was taken with this ``source`` (search base and filter).
+def read(path: Path, query_text: str) -> Snapshot:
+    """Return the snapshot in a file if it was taken with this ``query_text`` (search base and filter).
 
     Raises:
-        SnapshotError: The file can't be read, is damaged or was taken with another source.
+        SnapshotError: The file can't be read, is damaged or was taken with another query text.
     """
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
@@ -132,7 +132,7 @@
     except OSError as error:
         raise SnapshotError(error.strerror or str(error)) from None
     snapshot = decode(data)
-    if snapshot.source != source:
+    if snapshot.query_text != query_text:
         raise SnapshotError("taken with another search base or filter")
     return snapshot
 
--- a/snowthread/tenants/snapshot_schedule.py
+++ b/snowthread/tenants/snapshot_schedule.py
@@ -74,7 +74,7 @@
             )
             return
         try:
-            snapshot = tenant_snapshot.read(path, self._settings.source)
+            snapshot = tenant_snapshot.read(path, self._settings.query_text)
         except tenant_snapshot.SnapshotError as error:
             logger.bind(event="tenants.no_snapshot").warning(
                 "tenants: snapshot {} not used: {}; waiting for the directory", path, error
@@ -112,7 +112,7 @@
         writer.start(
             table.tenants.values(),
             self._tenants.staleness.confirmed_at_ms,
-            self._settings.source,
+            self._settings.query_text,
             guard.source_server,
             sync.cookie.value if may_resume else None,
         )
--- a/snowthread/tenants/snapshot_writer.py
+++ b/snowthread/tenants/snapshot_writer.py
@@ -44,7 +44,7 @@
         self,
         tenants: Iterable[Tenant],
         confirmed_at: float,
-        source: str,
+        query_text: str,
         source_server: str,
         cookie: bytes | None,
     ) -> None:
@@ -57,7 +57,9 @@
         try:
             # A child blocked on a hanging disk must not keep the node's sockets bound after the node exits.
             os.closerange(FIRST_CLOSED_DESCRIPTOR, CLOSED_DESCRIPTORS_END)
-            write(self.path, encode(Snapshot(tuple(tenants), confirmed_at, source, source_server, cookie)))
+            write(
+                self.path, encode(Snapshot(tuple(tenants), confirmed_at, query_text, source_server, cookie))
+            )
             exit_code = 0
         except OSError as error:
             exit_code = error.errno or FAILED_WITHOUT_ERRNO
--- a/tests/tenants/test_tenant_snapshot.py
+++ b/tests/tenants/test_tenant_snapshot.py
@@ -35,7 +35,7 @@
 def test_a_written_snapshot_is_read_back(tmp_path: Path) -> None:
     path = tmp_path / "tenants.snapshot"
     tenant_snapshot.write(path, tenant_snapshot.encode(SNAPSHOT))
-    assert tenant_snapshot.read(path, SNAPSHOT.source) == SNAPSHOT
+    assert tenant_snapshot.read(path, SNAPSHOT.query_text) == SNAPSHOT
     assert path.stat().st_mode & 0o777 == 0o600 and list(tmp_path.iterdir()) == [path]
 
 
@@ -108,11 +108,11 @@
 def test_a_child_process_writes_the_snapshot_and_reports_the_end(tmp_path: Path) -> None:
     writer = SnapshotWriter(tmp_path / "s")
     assert writer.poll() is None
-    writer.start(TENANTS, 1234.5, SNAPSHOT.source, SNAPSHOT.source_server, SNAPSHOT.cookie)
+    writer.start(TENANTS, 1234.5, SNAPSHOT.query_text, SNAPSHOT.source_server, SNAPSHOT.cookie)
     assert writer.busy
     assert wait_for_result(writer) == WriteResult()
     assert not writer.busy
-    assert tenant_snapshot.read(tmp_path / "s", SNAPSHOT.source) == SNAPSHOT
+    assert tenant_snapshot.read(tmp_path / "s", SNAPSHOT.query_text) == SNAPSHOT
 
 
 def test_a_child_process_that_fails_reports_the_error(tmp_path: Path) -> None:
