--- a/tests/tenants/test_replication.py
+++ b/tests/tenants/test_replication.py
@@ -248,7 +248,9 @@
 
 
 @pytest.mark.parametrize("kind", HOSTILE)
-def test_a_hostile_server_costs_bounded_memory_and_no_tenant(new_harness: NewHarness, kind: str) -> None:
+def test_a_hostile_server_causes_bounded_buffering_and_removes_no_tenant(
+    new_harness: NewHarness, kind: str
+) -> None:
     harness = new_harness().start(SHORT_TIMEOUTS + 'retry { open = "2s" }\n limits { message_bytes = 65536 }')
     harness.wait_for_refresh()
     directory = harness.directories[0]
--- a/tests/tenants/test_tenant_changes_in_reducer.py
+++ b/tests/tenants/test_tenant_changes_in_reducer.py
@@ -63,10 +63,10 @@
                 class_name,
                 b"body",
                 self.now,
-                5000.0,
-                3,
-                20.0,
-                0.5,
+                5000.0,  # timeout_ms
+                3,  # caller_id
+                20.0,  # memory_kb
+                0.5,  # rank
                 idempotency_key or f"k{number}",
                 tenant=tenant,
             )
@@ -85,7 +85,9 @@
 
 
 @pytest.mark.parametrize("change", [REMOVED, SUSPENDED, RENAMED, SMALLER_QUOTA, NO_DISPENSE])
-def test_a_change_in_every_phase_of_a_request(change: events.TenantsChanged) -> None:
+def test_a_tenant_change_in_every_phase_of_a_request_answers_each_request_at_most_once(
+    change: events.TenantsChanged,
+) -> None:
     node = Node()
     done = node.request(1, "k1")
     node.complete(done, b"first")
@@ -112,6 +114,7 @@
     node.complete(running, b"second")
     assert node.answers[2] == [effects.Served(b"second")] == node.answers[4]
     assert retry not in node.started
+    # Each completed run can start the next queued attempt; six rounds are more than the three attempts need.
     for _ in range(6):
         for attempt_id in [
             queued_id for queued_id in (queued, other_queued, f"{7:016x}") if queued_id in node.started
--- a/tests/tenants/test_tenant_state.py
+++ b/tests/tenants/test_tenant_state.py
@@ -47,7 +47,7 @@
     return state
 
 
-def test_old_knowledge_leads_to_the_default_tenant_if_so_configured_but_a_suspension_holds(
+def test_old_tenant_data_leads_to_the_default_tenant_if_so_configured_but_a_suspension_holds(
     tenants: TenantState,
 ) -> None:
     assert tenants.identify("10.0.1.1", None, 5000.0).tenant_id == "t1"
--- a/tests/tenants/test_tenants_program.py
+++ b/tests/tenants/test_tenants_program.py
@@ -78,6 +78,7 @@
         assert self.directory.stdout.readline() == f"done: {line}\n"
 
     def start_node(self, **options: Any) -> subprocess.Popen[str]:
+        # The file "site" marks that an earlier call has started the toy site of this configuration.
         if self.node_config.with_name("site").exists() is False:
             self.node_config.with_name("site").touch()
             self.stack.enter_context(site(self.node_config))
--- a/tests/tenants/test_unknown_clients.py
+++ b/tests/tenants/test_unknown_clients.py
@@ -58,7 +58,7 @@
     assert sent <= 5 * 10 + 5
 
 
-def test_a_lookup_asks_for_every_prefix_around_the_client() -> None:
+def test_a_lookup_searches_for_each_network_of_the_configured_prefix_lengths_and_the_address() -> None:
     search_filter = lookup_filter("10.1.2.3", "net", UnknownClientRules(ipv4_prefix_lengths=(8, 24, 32)))
     assert search_filter is not None
     values = [test.assertion_value for test in search_filter.filters if isinstance(test, Comparison)]
