--- a/benchmarks/tenant_costs.py
+++ b/benchmarks/tenant_costs.py
@@ -159,7 +159,7 @@
         settings = tenant_settings(Path(folder), "127.0.0.1:1")
     passed: list[events.Event] = []
     identification = TenantIdentification(EventLoop(Clock()), settings, 1, passed.append)
-    identification.tenants.table.apply(make_tenants(1_000, 10_000))
+    identification.tenant_state.table.apply(make_tenants(1_000, 10_000))
     addresses = [f"10.{rng.randrange(10)}.{rng.randrange(256)}.1" for _ in range(500)]
     identification._peer_address = lambda connection: addresses[connection]
     messages = [
--- a/snowthread/tenants/directory_session.py
+++ b/snowthread/tenants/directory_session.py
@@ -130,13 +130,13 @@
 
     def _full_refresh_due(self, now: float) -> bool:
         """Return whether the full refresh that can confirm a pending removal is due."""
-        due_at = self._context.tenants.removal_guard.confirmation_due_at()
+        due_at = self._context.tenant_state.removal_guard.confirmation_due_at()
         return due_at is not None and now >= due_at
 
     def _next_deadline(self) -> float:
         """Return the time of the next timeout or due request if nothing is received until then."""
         settings = self._context.settings
-        tenants = self._context.tenants
+        tenant_state = self._context.tenant_state
         deadline = self._lookups.next_deadline()
         if self._sync.state is ReplicationState.REFRESHING:
             return min(
@@ -148,11 +148,11 @@
             probe_at = self._probe.deadline
         else:
             probe_at = self._last_received_at + settings.probe_interval_ms
-        confirmation_at = tenants.removal_guard.confirmation_due_at()
+        confirmation_at = tenant_state.removal_guard.confirmation_due_at()
         deadline = min(deadline, self._poll_at, probe_at)
         if confirmation_at is not None:
             deadline = min(deadline, confirmation_at)
-        if tenants.unknown_clients.waiting_count:
+        if tenant_state.unknown_clients.waiting_count:
             deadline = min(deadline, self._context.loop.clock.now() + LOOKUP_POLL_MS)
         return deadline
 
@@ -179,7 +179,7 @@
         if reaction is not Reaction.DONE:
             return ConnectionFailure(Progress.REPLY_BEGUN, f"probe failed with result code {code}", reaction)
         if self._sync.state is ReplicationState.FOLLOWING:
-            self._context.tenants.staleness.confirm(now)
+            self._context.tenant_state.staleness.confirm(now)
         return None
 
     def _handle(self, event: SyncEvent, now: float) -> Generator[Wait, int, ConnectionFailure | None]:
@@ -187,7 +187,7 @@
             case RefreshCompleted():
                 yield from self._complete_refresh(event, now)
             case EntriesChanged():
-                self._context.publish(self._context.tenants.apply_change(event, self.server, now))
+                self._context.publish(self._context.tenant_state.apply_change(event, self.server, now))
             case NextPage():
                 self._search_id = self._connection.send(event.search)
             case SearchEnded():
--- a/snowthread/tenants/identification.py
+++ b/snowthread/tenants/identification.py
@@ -38,7 +38,7 @@
         self, loop: EventLoop, settings: TenantSettings, seed: int, post: Callable[[events.Event], None]
     ) -> None:
         self.settings = settings
-        self.tenants = TenantState(settings.rules)
+        self.tenant_state = TenantState(settings.rules)
         self.replicator: DirectoryReplicator | None = None
         self._loop = loop
         self._post = post
@@ -46,7 +46,7 @@
         # ``seed`` comes from the node's configuration and is the same at every start of a node. Nodes with
         # different seeds have different jitter, so that a fleet does not query the directory in step.
         self._rng = random.Random(seed ^ SEED_SALT)
-        self._snapshots = SnapshotSchedule(loop.clock, settings, self.tenants, self.publish)
+        self._snapshots = SnapshotSchedule(loop.clock, settings, self.tenant_state, self.publish)
 
     def start(self, peer_address: Callable[[int], str]) -> None:
         """Restore the snapshot, then start to replicate the directory.
@@ -56,11 +56,11 @@
         self._peer_address = peer_address
         self._post(
             events.TenantsChanged(
-                (self.tenants.default_quota(),), over_quota_weight=self.settings.over_quota_weight
+                (self.tenant_state.default_quota(),), over_quota_weight=self.settings.over_quota_weight
             )
         )
         self.replicator = DirectoryReplicator(
-            self._loop, self.settings, self.tenants, self._rng, self.publish
+            self._loop, self.settings, self.tenant_state, self._rng, self.publish
         )
         self._snapshots.start(self.replicator.sync)
         self._loop.spawn(self._run_housekeeping())
@@ -70,10 +70,10 @@
         if type(message) is events.RequestReceived:
             now = self._loop.clock.now()
             address = self._peer_address(message.response_address[0])
-            identity = self.tenants.identify(address, message.caller_id, now)
+            identity = self.tenant_state.identify(address, message.caller_id, now)
             if (
                 identity.identified_by is IdentifiedBy.UNKNOWN
-                and self.tenants.unknown_clients.queue_lookup(address, now)
+                and self.tenant_state.unknown_clients.queue_lookup(address, now)
                 and self.replicator
             ):
                 self.replicator.wake()
@@ -96,7 +96,7 @@
         """
         old = self.settings
         self.settings = settings
-        self.publish(self.tenants.apply_rules(settings.rules))
+        self.publish(self.tenant_state.apply_rules(settings.rules))
         self._post(events.TenantsChanged(over_quota_weight=settings.over_quota_weight))
         self._snapshots.apply_settings(settings)
         if self.replicator is not None and not _replication_settings_equal(old, settings):
@@ -108,38 +108,38 @@
         while True:
             yield Wait(until_ms=clock.now() + HOUSEKEEPING_INTERVAL_MS)
             now = clock.now()
-            self.publish(self.tenants.report_staleness(now))
+            self.publish(self.tenant_state.report_staleness(now))
             self._snapshots.write_if_due(now)
             if now >= report_at:
                 report_at = now + self.settings.report_interval_ms
                 self._log_state(now)
 
     def _log_state(self, now: float) -> None:
-        tenants = self.tenants
+        tenant_state = self.tenant_state
         replicator = self.replicator
-        stage = tenants.staleness.stage(now).value
-        age_s = tenants.staleness.age_ms(now) / MS_PER_S
-        removal = tenants.removal_guard.pending
+        stage = tenant_state.staleness.stage(now).value
+        age_s = tenant_state.staleness.age_ms(now) / MS_PER_S
+        removal = tenant_state.removal_guard.pending
         logger.bind(
             event="tenants.state",
             peer="directory",
             stage=stage,
-            tenants=len(tenants.table),
-            networks=tenants.table.network_count,
+            tenants=len(tenant_state.table),
+            networks=tenant_state.table.network_count,
             server=replicator.connected_server if replicator else "",
             fail_overs=replicator.server_selector.fail_overs if replicator else 0,
             connection_failures=replicator.connection_failures if replicator else 0,
             age_s=round(age_s, 1) if math.isfinite(age_s) else None,
-            lookups_pending=len(tenants.unknown_clients),
-            negative_cache=tenants.unknown_clients.negative_cache_size,
+            lookups_pending=len(tenant_state.unknown_clients),
+            negative_cache=tenant_state.unknown_clients.negative_cache_size,
             held=len(removal.tenant_ids) if removal else 0,  # ``held`` is the documented name of this field
-            **asdict(tenants.counters),
+            **asdict(tenant_state.counters),
         ).info(
             "tenants: {} known, data at stage {}, {} requests from known clients, {} from unknown clients",
-            len(tenants.table),
+            len(tenant_state.table),
             stage,
-            tenants.counters.known_requests,
-            tenants.counters.unknown_requests,
+            tenant_state.counters.known_requests,
+            tenant_state.counters.unknown_requests,
         )
 
 
--- a/snowthread/tenants/lookups.py
+++ b/snowthread/tenants/lookups.py
@@ -51,7 +51,7 @@
 
     def abandon_timed_out(self, now: float) -> None:
         """Abandon the lookups that have timed out, and treat their clients as not found."""
-        unknown_clients = self._context.tenants.unknown_clients
+        unknown_clients = self._context.tenant_state.unknown_clients
         for message_id, lookup in list(self._in_flight.items()):
             if now >= lookup.deadline:
                 del self._in_flight[message_id]
@@ -61,7 +61,7 @@
     def send_waiting(self, now: float) -> None:
         """Send as many of the waiting lookups as the limits allow."""
         settings = self._context.settings
-        unknown_clients = self._context.tenants.unknown_clients
+        unknown_clients = self._context.tenant_state.unknown_clients
         query = settings.query
         while (address := unknown_clients.start_next_lookup(now)) is not None:
             network_filter = lookup_filter(address, query.attribute_names.network, unknown_clients.rules)
@@ -81,7 +81,7 @@
             self._receive_entry(lookup, response)
         elif isinstance(response, SearchResultDone):
             del self._in_flight[message_id]
-            changes = self._context.tenants.apply_lookup(
+            changes = self._context.tenant_state.apply_lookup(
                 lookup.address, lookup.tenants, lookup.bad_entries, now
             )
             self._context.publish(changes)
--- a/snowthread/tenants/refresh_application.py
+++ b/snowthread/tenants/refresh_application.py
@@ -21,7 +21,7 @@
     If the task ends before the last slice, the cookie is discarded. Otherwise the next refresh would start
     after changes that were never applied.
     """
-    slices = context.tenants.apply_refresh_in_slices(refresh, server, now)
+    slices = context.tenant_state.apply_refresh_in_slices(refresh, server, now)
     changes: TenantChanges | None = None
     try:
         while changes is None:
@@ -41,7 +41,7 @@
     context: ReplicationContext, sync: DirectorySync, server: str, changes: TenantChanges, duration_ms: float
 ) -> None:
     """Log that a refresh was applied; ``duration_ms`` counts from the search request to the end."""
-    table = context.tenants.table
+    table = context.tenant_state.table
     logger.bind(
         event="tenants.refreshed",
         peer="directory",
--- a/snowthread/tenants/replication.py
+++ b/snowthread/tenants/replication.py
@@ -33,14 +33,14 @@
         self,
         loop: EventLoop,
         settings: TenantSettings,
-        tenants: TenantState,
+        tenant_state: TenantState,
         rng: random.Random,
         publish: Callable[[TenantChanges], None],
     ) -> None:
         self.sync = DirectorySync(settings.query)
         self.connection_failures = 0
         self._loop = loop
-        self._context = ReplicationContext(loop, settings, tenants, rng, publish)
+        self._context = ReplicationContext(loop, settings, tenant_state, rng, publish)
         self._session: DirectorySession | None = None
         self.server_selector = self._new_server_selector()
         self._task = loop.spawn(self._run(settings.start_jitter_ms))
@@ -65,7 +65,7 @@
         self._loop.end_task(self._task)
         self._context = replace(self._context, settings=settings)
         self.sync.set_query(settings.query)
-        self._context.tenants.unknown_clients.abort_lookups()
+        self._context.tenant_state.unknown_clients.abort_lookups()
         self.server_selector = self._new_server_selector()
         self._task = self._loop.spawn(self._run(start_jitter_ms=0.0))
 
@@ -104,7 +104,7 @@
             finally:
                 self._session = None
                 self.sync.reset()
-                self._context.tenants.unknown_clients.abort_lookups()
+                self._context.tenant_state.unknown_clients.abort_lookups()
 
     def _record_failure(self, server_index: int, failure: ConnectionFailure) -> None:
         self.connection_failures += 1
--- a/snowthread/tenants/replication_context.py
+++ b/snowthread/tenants/replication_context.py
@@ -18,6 +18,6 @@
 
     loop: EventLoop
     settings: TenantSettings
-    tenants: TenantState
+    tenant_state: TenantState
     rng: random.Random
     publish: Callable[[TenantChanges], None]
--- a/snowthread/tenants/snapshot_schedule.py
+++ b/snowthread/tenants/snapshot_schedule.py
@@ -27,12 +27,12 @@
         self,
         clock: Clock,
         settings: TenantSettings,
-        tenants: TenantState,
+        tenant_state: TenantState,
         publish: Callable[[TenantChanges], None],
     ) -> None:
         self._clock = clock
         self._settings = settings
-        self._tenants = tenants
+        self._tenant_state = tenant_state
         self._publish = publish
         self._sync: DirectorySync | None = None
         self._writer: SnapshotWriter | None = None
@@ -82,7 +82,7 @@
             return
         now = self._clock.now()
         self._publish(
-            self._tenants.restore_snapshot(
+            self._tenant_state.restore_snapshot(
                 snapshot.tenants, snapshot.confirmed_at, snapshot.source_server, now
             )
         )
@@ -90,11 +90,11 @@
         logger.bind(event="tenants.restored", tenants=len(snapshot.tenants)).info(
             "tenants: restored {} tenants from the snapshot, {:.0f} s old",
             len(snapshot.tenants),
-            self._tenants.staleness.age_ms(now) / MS_PER_S,
+            self._tenant_state.staleness.age_ms(now) / MS_PER_S,
         )
 
     def _is_due(self, now: float) -> bool:
-        version = self._tenants.table.version
+        version = self._tenant_state.table.version
         if not version:
             return False
         elapsed_ms = now - self._last_write_started_ms
@@ -103,15 +103,15 @@
         return elapsed_ms >= due_after_ms or (changed and elapsed_ms >= MIN_SNAPSHOT_INTERVAL_MS)
 
     def _start_write(self, writer: SnapshotWriter, sync: DirectorySync, now: float) -> None:
-        table = self._tenants.table
-        guard = self._tenants.removal_guard
+        table = self._tenant_state.table
+        guard = self._tenant_state.removal_guard
         self._last_write_started_ms = now
         self._last_written_version = table.version
         # The file has no pending removal, and a refresh from the cookie would not report the removal again.
         may_resume = guard.pending is None and sync.cookie.server == guard.source_server
         writer.start(
             table.tenants.values(),
-            self._tenants.staleness.confirmed_at_ms,
+            self._tenant_state.staleness.confirmed_at_ms,
             self._settings.query_text,
             guard.source_server,
             sync.cookie.value if may_resume else None,
--- a/tests/tenants/test_tenant_identification.py
+++ b/tests/tenants/test_tenant_identification.py
@@ -47,8 +47,8 @@
         loop, replace(settings(UNREACHABLE), report_interval_ms=1000.0), 1, posted.append
     )
     identification.start(lambda _connection: "10.0.0.1")
-    identification.tenants.apply_lookup("10.0.0.1", [], (), START)
-    identification.tenants.counters.removals_held = 2
+    identification.tenant_state.apply_lookup("10.0.0.1", [], (), START)
+    identification.tenant_state.counters.removals_held = 2
     for _ in range(20):
         loop.run_once(0.0)
         clock.now_ms += 100.0
