--- a/snowthread/tenants/inspection.py
+++ b/snowthread/tenants/inspection.py
@@ -29,7 +29,7 @@
 class InspectionResult:
     """The tenants that were read, the problems found while reading, and what they were read from."""
 
-    tenants: TenantState
+    tenant_state: TenantState
     problems: list[str]
     origin: str  # the snapshot file and its age, or the directory server
 
@@ -58,11 +58,13 @@
         snapshot = tenant_snapshot.read(path, settings.query_text)
     except tenant_snapshot.SnapshotError as error:
         raise config.ConfigError(f"{path}: {error}") from None
-    tenants = TenantState(settings.rules)
-    changes = tenants.restore_snapshot(snapshot.tenants, snapshot.confirmed_at, snapshot.source_server, now)
+    tenant_state = TenantState(settings.rules)
+    changes = tenant_state.restore_snapshot(
+        snapshot.tenants, snapshot.confirmed_at, snapshot.source_server, now
+    )
     problems = [line.text for line in changes.log_lines if line.event == "tenants.conflict"]
     age_s = max(0.0, now - snapshot.confirmed_at) / MS_PER_S
-    return InspectionResult(tenants, problems, f"{path}, {age_s:.0f} s old")
+    return InspectionResult(tenant_state, problems, f"{path}, {age_s:.0f} s old")
 
 
 def _read_from_directory(settings: TenantSettings) -> InspectionResult:
@@ -70,35 +72,35 @@
     warnings: list[str] = []
     logger.add(lambda message: warnings.append(message.record["message"]), level="WARNING")
     loop = EventLoop(Clock())
-    tenants = TenantState(settings.rules)
+    tenant_state = TenantState(settings.rules)
     problems: list[str] = []
 
     def collect_problems(changes: TenantChanges) -> None:
         events = ("tenants.conflict", "tenants.bad_entry")
         problems.extend(line.text for line in changes.log_lines if line.event in events)
 
-    replicator = DirectoryReplicator(loop, settings, tenants, random.Random(), collect_problems)
+    replicator = DirectoryReplicator(loop, settings, tenant_state, random.Random(), collect_problems)
     connection = settings.connection
     timeout_ms = connection.connect_timeout_ms + connection.bind_timeout_ms + settings.refresh_timeout_ms
     deadline = loop.clock.now() + timeout_ms
     max_attempts = len(settings.servers) * settings.retry_policy.failures_to_open
     while (
-        not tenants.counters.refreshes
+        not tenant_state.counters.refreshes
         and loop.clock.now() < deadline
         and replicator.connection_failures < max_attempts
     ):
         loop.run_once(LOOP_STEP_S)
-    if not tenants.counters.refreshes:
+    if not tenant_state.counters.refreshes:
         raise config.ConfigError(
             warnings[-1] if warnings else "the directory did not complete a refresh in time"
         )
     origin = replicator.sync.cookie.server or settings.servers[0].server
-    return InspectionResult(tenants, problems, origin)
+    return InspectionResult(tenant_state, problems, origin)
 
 
 def format_tenants(result: InspectionResult) -> Iterator[str]:
     """Yield a summary line, then one line per tenant, sorted by name."""
-    table = result.tenants.table
+    table = result.tenant_state.table
     yield f"{len(table)} tenants, {table.network_count} networks, from {result.origin}"
     for tenant in sorted(table.tenants.values(), key=lambda tenant: (tenant.name.casefold(), tenant.id)):
         yield _format_tenant(tenant)
@@ -128,7 +130,7 @@
 
     ``balancer_number`` is the balancer number that the client sends, or None.
     """
-    table = result.tenants.table
+    table = result.tenant_state.table
     identity = table.identify(address, balancer_number)
     if identity.identified_by is IdentifiedBy.UNKNOWN:
         return OwnerDescription(False, f"{address}: owned by no tenant, the default tenant applies")
@@ -145,7 +147,7 @@
     problems = list(dict.fromkeys(result.problems))
     problems += [
         f"{json.dumps(tenant.name)} has neither networks nor balancer numbers, so it identifies no clients"
-        for tenant in result.tenants.table.tenants.values()
+        for tenant in result.tenant_state.table.tenants.values()
         if not tenant.networks and not tenant.balancers
     ]
     return problems
