--- a/snowthread/tenants/snapshot_writer.py
+++ b/snowthread/tenants/snapshot_writer.py
@@ -19,7 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """The result of a write; ``error`` is empty if the write succeeded."""
+    """The result of a write.
+
+    ``error`` is empty if the write succeeded, and also if its result is unknown because other code reaped the
+    child process.
+    """
 
     error: str = ""
 
@@ -40,7 +44,7 @@
         self,
         tenants: Iterable[Tenant],
         confirmed_at: float,
-        source: str,
+        query_text: str,
         source_server: str,
         cookie: bytes | None,
     ) -> None:
@@ -53,7 +57,9 @@
         try:
             # A child blocked on a hanging disk must not keep the node's sockets bound after the node exits.
             os.closerange(FIRST_CLOSED_DESCRIPTOR, CLOSED_DESCRIPTORS_END)
-            write(self.path, encode(Snapshot(tuple(tenants), confirmed_at, source, source_server, cookie)))
+            write(
+                self.path, encode(Snapshot(tuple(tenants), confirmed_at, query_text, source_server, cookie))
+            )
             exit_code = 0
         except OSError as error:
             exit_code = error.errno or FAILED_WITHOUT_ERRNO
@@ -66,7 +72,7 @@
             return None
         try:
             pid, status = os.waitpid(self._child_pid, os.WNOHANG)
-        except ChildProcessError:  # reaped elsewhere, so its exit status is lost
+        except ChildProcessError:  # reaped by other code: the result is unknown
             self._child_pid = NO_CHILD
             return WriteResult()
         if not pid:
