--- a/emulators/directory/faults.py
+++ b/emulators/directory/faults.py
@@ -12,15 +12,15 @@
     """Faults, which may be changed while the directory runs; ``Directory.wake_connections`` applies them."""
 
     stall: bool = False  # nothing is sent or read any more
-    stall_at: int | None = None  # bytes sent on a connection after which nothing more is sent
-    reset_at: int | None = None  # bytes sent after which the connection is reset
-    cut_at: int | None = None  # messages sent after which the connection is closed
-    drip_ms: float = 0.0  # one byte at a time, with this delay between them
-    refuse: bool = False  # connections are closed as they are accepted
+    stall_after_bytes: int | None = None  # bytes sent on a connection after which nothing more is sent
+    reset_after_bytes: int | None = None  # bytes sent after which the connection is reset
+    close_after_messages: int | None = None  # messages sent after which the connection is closed
+    byte_delay_ms: float = 0.0  # one byte at a time, with this delay between them
+    refuse_connections: bool = False  # connections are closed as they are accepted
     bind_code: int = 0  # the result of each bind
     search_code: int = 0  # the result of each search
     size_limit: int = 0  # entries that one search may return
-    mangle: Callable[[int, bytes], bytes | None] | None = (
+    rewrite_message: Callable[[int, bytes], bytes | None] | None = (
         None  # the n-th message of a connection; None: close
     )
 
--- a/emulators/directory/link.py
+++ b/emulators/directory/link.py
@@ -51,10 +51,10 @@
         if faults.stall:
             return
         size = len(self._unsent)
-        for limit in (faults.stall_at, faults.reset_at):
+        for limit in (faults.stall_after_bytes, faults.reset_after_bytes):
             if limit is not None:
                 size = min(size, max(0, limit - self._sent_bytes))
-        if faults.drip_ms:
+        if faults.byte_delay_ms:
             size = min(size, 1)
         if size:
             try:
@@ -63,7 +63,7 @@
                 return
             del self._unsent[:sent]
             self._sent_bytes += sent
-        if faults.reset_at is not None and self._sent_bytes >= faults.reset_at:
+        if faults.reset_after_bytes is not None and self._sent_bytes >= faults.reset_after_bytes:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             raise ConnectionResetError("by script")
 
@@ -74,10 +74,10 @@
     def next_wait(self) -> Wait:
         """Return what to wait for, as the faults have it."""
         faults = self._directory.faults
-        stalled = faults.stall_at is not None and self._sent_bytes >= faults.stall_at
-        wants_to_send = bool(self._unsent) and not faults.stall and not stalled and not faults.drip_ms
+        stalled = faults.stall_after_bytes is not None and self._sent_bytes >= faults.stall_after_bytes
+        wants_to_send = bool(self._unsent) and not faults.stall and not stalled and not faults.byte_delay_ms
         mask = (0 if faults.stall else READABLE) | (WRITABLE if wants_to_send else 0)
-        delay_ms = faults.drip_ms if faults.drip_ms and self._unsent else NEVER_MS
+        delay_ms = faults.byte_delay_ms if faults.byte_delay_ms and self._unsent else NEVER_MS
         return Wait(self._sock.fileno(), mask, self._clock.now() + delay_ms)
 
     def handshake(self) -> Generator[Wait, int, None]:
--- a/emulators/directory/requests.py
+++ b/emulators/directory/requests.py
@@ -57,7 +57,7 @@
         return value[0].value.decode() == protocol.START_TLS and self._directory.capabilities.tls is not None
 
     def _bind(self, message_id: int, value: list[Node]) -> None:
-        self._directory.binds += 1
+        self._directory.bind_count += 1
         passwords = self._directory.capabilities.passwords
         name = value[1].value.decode()
         _, method, credentials = value[2]
--- a/emulators/directory/responses.py
+++ b/emulators/directory/responses.py
@@ -28,9 +28,9 @@
         faults = self._directory.faults
         data: bytes | None = protocol.message(message_id, operation, controls)
         self._message_count += 1
-        if faults.mangle is not None and data is not None:
-            data = faults.mangle(self._message_count, data)
-        is_cut = faults.cut_at is not None and self._message_count > faults.cut_at
+        if faults.rewrite_message is not None and data is not None:
+            data = faults.rewrite_message(self._message_count, data)
+        is_cut = faults.close_after_messages is not None and self._message_count > faults.close_after_messages
         self._transmit(None if is_cut else data)
 
     def send_entry_state(
--- a/emulators/directory/searches.py
+++ b/emulators/directory/searches.py
@@ -38,7 +38,7 @@
     def search(self, message_id: int, value: list[Node], controls: dict[str, bytes]) -> None:
         """Answer a search request, given its fields and the values of its controls by OID."""
         directory = self._directory
-        directory.searches += 1
+        directory.search_count += 1
         if directory.faults.search_code:
             self._end_search(message_id, directory.faults.search_code)
             return
--- a/emulators/directory/server.py
+++ b/emulators/directory/server.py
@@ -30,7 +30,7 @@
         super().__init__(base, capabilities or Capabilities())
         self.loop = loop
         self.connections: list[Connection] = []  # that are open
-        self.accepted_at: list[float] = []
+        self.accepted_at_ms: list[float] = []
         self._listener = address.open(socket.SOCK_STREAM)
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._listener.bind(address)
@@ -73,10 +73,10 @@
         while True:
             yield Wait(self._listener.fileno(), READABLE)
             sock, _ = self._listener.accept()
-            if self.faults.refuse:
+            if self.faults.refuse_connections:
                 sock.close()
                 continue
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.accepted_at.append(self.loop.clock.now())
+            self.accepted_at_ms.append(self.loop.clock.now())
             self.connections.append(Connection(self, self.loop, sock, self.connections.remove))
--- a/emulators/directory/state.py
+++ b/emulators/directory/state.py
@@ -13,5 +13,5 @@
         super().__init__(base)
         self.capabilities = capabilities
         self.faults = Faults()
-        self.searches = 0  # requests received
-        self.binds = 0
+        self.search_count = 0  # requests received
+        self.bind_count = 0
--- a/tests/ldap/test_ldap_tls.py
+++ b/tests/ldap/test_ldap_tls.py
@@ -96,7 +96,7 @@
         )
     harness.run(15_000.0)
     logger.remove(sink)
-    assert not harness.tenant_names and harness.directories[0].binds == 0
+    assert not harness.tenant_names and harness.directories[0].bind_count == 0
     words = ["certificate"] if kind.startswith("wrong") else ["closed", "reset"] if ldaps else ["code 2"]
     assert any(word in line for line in logged for word in words), logged
     assert harness.replicator.connection_failures <= 8 and not any(PASSWORD in line for line in logged)
@@ -118,7 +118,7 @@
     context = server_context(authority, "127.0.0.1", clients)
     harness = start(context, True, bind='method = "external"', tls=f'cert_file = "{pem}"')
     harness.wait_for_refresh()
-    assert harness.directories[0].binds == 1
+    assert harness.directories[0].bind_count == 1
 
 
 @pytest.mark.parametrize("at", [1, 200, 1500])
@@ -126,9 +126,9 @@
     harness = start(
         server_context(authority, "127.0.0.1"), True, extra='bind_within = "1s"\n retry { open = "1s" }'
     )
-    harness.directories[0].faults.stall_at = at
+    harness.directories[0].faults.stall_after_bytes = at
     harness.run(10_000.0)
     assert not harness.tenant_names and harness.replicator.connection_failures >= 2
-    harness.directories[0].faults.stall_at = None
+    harness.directories[0].faults.stall_after_bytes = None
     harness.directories[0].wake_connections()
     harness.wait_for_refresh()
--- a/tests/tenants/test_replication.py
+++ b/tests/tenants/test_replication.py
@@ -51,7 +51,7 @@
     assert harness.tenant_names == ALL_TENANTS - {"t2", "t3"} | {"t3b"}
     assert harness.tenants.identify("11.2.3.4", None, harness.now).tenant_id != "default"
     assert harness.tenants.identify("10.1.0.1", None, harness.now).tenant_id == "default"
-    assert directory.searches == 1 and harness.tenants.counters.refreshes == 1
+    assert directory.search_count == 1 and harness.tenants.counters.refreshes == 1
 
 
 @pytest.mark.parametrize(
@@ -89,11 +89,11 @@
         SHORT_TIMEOUTS
         + 'bind {\n dn = "cn=node"\n password_env = "DIRECTORY_PASSWORD"\n }\n retry { open = "1s" }'
     )
-    harness.directories[0].faults.stall_at = at
+    harness.directories[0].faults.stall_after_bytes = at
     harness.run(30_000.0)
     assert not harness.tenant_names and harness.replicator.connection_failures >= 3
     assert harness.tenants.staleness.stage(harness.now) is StalenessStage.NONE
-    harness.directories[0].faults.stall_at = None
+    harness.directories[0].faults.stall_after_bytes = None
     harness.directories[0].wake_connections()
     assert harness.wait_until(lambda: harness.tenant_names == ALL_TENANTS) <= 30_000.0
 
@@ -134,14 +134,14 @@
     directory.drop_connections()
     # The second refresh has ten messages: nine entries and the search result done.
     directory.faults.stall = False
-    directory.faults.cut_at = cut
+    directory.faults.close_after_messages = cut
     harness.run(5_000.0)
     assert (
         harness.tenant_names == ALL_TENANTS
         and harness.replicator.connection_failures >= 2
         and harness.tenants.counters.refreshes == 1
     )
-    directory.faults.cut_at = None
+    directory.faults.close_after_messages = None
     harness.wait_until(lambda: harness.tenant_names == ALL_TENANTS - {"t0", "t1"} | {"late"})
 
 
@@ -153,7 +153,7 @@
     harness.start(SHORT_TIMEOUTS + 'removal { confirm_after = "1h" }')
     harness.wait_for_refresh()
     cookie = harness.replicator.sync.cookie.value
-    first.faults.refuse = True
+    first.faults.refuse_connections = True
     first.disconnect_all()
     harness.wait_until(lambda: harness.replicator.sync.cookie.server == f"ldap://{second.address}")
     assert "newest" in harness.tenant_names and harness.replicator.server_selector.fail_overs == 1
@@ -161,8 +161,8 @@
     quota = {t.name: t.quota_per_s for t in harness.tenants.table.tenants.values()}
     assert quota["t1"] == 99.0  # the older entry of the second server was ignored
     assert harness.log_texts("tenants.removal_held") and harness.tenants.removal_guard.pending is not None
-    first.faults.refuse = False
-    second.faults.refuse = True
+    first.faults.refuse_connections = False
+    second.faults.refuse_connections = True
     second.disconnect_all()
     harness.wait_until(
         lambda: (
@@ -175,7 +175,7 @@
 
 def test_fail_over_in_the_middle_of_a_refresh(new_harness: NewHarness) -> None:
     harness = new_harness(2).start(SHORT_TIMEOUTS)
-    harness.directories[0].faults.stall_at = 900
+    harness.directories[0].faults.stall_after_bytes = 900
     harness.wait_until(lambda: harness.tenant_names == ALL_TENANTS, timeout_ms=10_000.0)
     assert harness.replicator.connected_server == f"ldap://{harness.directories[1].address}"
     assert harness.replicator.sync.cookie.server == harness.replicator.connected_server
@@ -216,10 +216,10 @@
     harness.wait_for_refresh()
     directory = harness.directories[0]
     directory.faults.search_code = code
-    searches = directory.searches
+    searches = directory.search_count
     directory.disconnect_all()
     harness.run(60_000.0)
-    assert harness.tenant_names == ALL_TENANTS and 2 <= directory.searches - searches <= 30
+    assert harness.tenant_names == ALL_TENANTS and 2 <= directory.search_count - searches <= 30
     directory.faults.search_code = 0
     harness.wait_until(lambda: harness.tenants.counters.refreshes == 2)
 
@@ -252,7 +252,7 @@
     harness = new_harness().start(SHORT_TIMEOUTS + 'retry { open = "2s" }\n limits { message_bytes = 65536 }')
     harness.wait_for_refresh()
     directory = harness.directories[0]
-    directory.faults.mangle = HOSTILE[kind]
+    directory.faults.rewrite_message = HOSTILE[kind]
     directory.drop_connections()
     buffered_bytes = 0
     for _ in range(60):
@@ -263,7 +263,7 @@
             buffered_bytes = max(buffered_bytes, session._connection._session.buffered_bytes)
     assert buffered_bytes <= MESSAGE_BYTES
     assert harness.tenant_names == ALL_TENANTS and harness.replicator.connection_failures >= 2
-    directory.faults.mangle = None
+    directory.faults.rewrite_message = None
     harness.wait_until(
         lambda: harness.tenants.counters.refreshes >= 2 and harness.replicator.connected_server != ""
     )
@@ -274,7 +274,7 @@
 ) -> None:
     harness = new_harness(2).start('operation = "15s"\n refresh = "20s"')
     # An entry takes about seven seconds, so the server is never silent for the operation timeout.
-    harness.directories[0].faults.drip_ms = 20.0
+    harness.directories[0].faults.byte_delay_ms = 20.0
     harness.wait_until(lambda: harness.tenant_names == ALL_TENANTS, timeout_ms=30_000.0)
     assert harness.replicator.connected_server == f"ldap://{harness.directories[1].address}"
 
@@ -296,7 +296,7 @@
             lambda _changes: None,
         )
     harness.run(2_500.0, 10.0)
-    times = sorted(harness.directories[0].accepted_at)
+    times = sorted(harness.directories[0].accepted_at_ms)
     assert len(times) == 30 and times[-1] - times[0] > 1_200.0
     assert max_in_window(times, 100.0) <= 8
 
@@ -314,10 +314,10 @@
         )
     harness.run(500.0, 10.0)
     directory = harness.directories[0]
-    directory.accepted_at.clear()
+    directory.accepted_at_ms.clear()
     directory.disconnect_all()
     harness.run(2_000.0, 10.0)
-    times = sorted(directory.accepted_at)
+    times = sorted(directory.accepted_at_ms)
     assert len(times) == 30 and max_in_window(times, 20.0) <= 9
 
 
@@ -357,7 +357,7 @@
 def test_new_server_settings_apply_in_the_middle_of_a_refresh(new_harness: NewHarness) -> None:
     harness = new_harness(2).start(SHORT_TIMEOUTS, servers=None)
     first, second = harness.directories
-    first.faults.stall_at = 900
+    first.faults.stall_after_bytes = 900
     harness.run(500.0)
     harness.replicator.apply_settings(settings([f"ldap://{second.address}"], SHORT_TIMEOUTS))
     harness.wait_until(lambda: harness.tenant_names == ALL_TENANTS, timeout_ms=2_000.0)
@@ -376,7 +376,7 @@
     harness.start(SHORT_TIMEOUTS + 'bind {\n dn = "cn=node"\n password_env = "DIRECTORY_PASSWORD"\n }')
     harness.run(20_000.0)
     logger.remove(sink)
-    assert 1 <= harness.directories[0].binds <= 4 and any("code 49" in line for line in logged)
+    assert 1 <= harness.directories[0].bind_count <= 4 and any("code 49" in line for line in logged)
     assert harness.replicator.server_selector.breakers[0].state(harness.now - 1e6) is CircuitState.OPEN
     assert not any("hunter2" in line for line in logged) and "hunter2" not in repr(
         harness.replicator.settings
