--- a/benchmarks/timeline.py
+++ b/benchmarks/timeline.py
@@ -25,12 +25,12 @@
 
 from benchmarks.command import run_benchmark
 from emulators.recorded_incidents import (
-    BEGIN_S,
+    DAY_BEGIN_S,
     Fault,
     FaultKind,
     RecordedDay,
     draw_faults,
-    record_day,
+    generate_day,
 )
 from snowthread.incident.clock_fit import ClockOffset, ClockSegment
 from snowthread.incident.clocks import Clocks
@@ -72,7 +72,7 @@
     @property
     def error_ms(self) -> float:
         """How far off the start of the episode is."""
-        return abs(self.episode.start_ms - (BEGIN_S + self.fault.start_s) * 1000.0)
+        return abs(self.episode.start_ms - (DAY_BEGIN_S + self.fault.start_s) * 1000.0)
 
 
 @dataclass(slots=True)
@@ -133,14 +133,14 @@
     total = Score()
     for seed in seeds:
         faults = draw_faults(seed)
-        day = record_day(seed, seconds=240, faults=faults)
+        day = generate_day(seed, seconds=240, faults=faults)
         total.add(faults, reconstruct(day, fit_clocks).incidents)
     return total.summary()
 
 
 def count_invented(seeds: range) -> int:
     """Return on how many days without a fault an incident is found."""
-    return sum(bool(reconstruct(record_day(seed, nodes=3, seconds=120)).incidents) for seed in seeds)
+    return sum(bool(reconstruct(generate_day(seed, nodes=3, seconds=120)).incidents) for seed in seeds)
 
 
 def measure_offsets(seeds: range) -> dict[str, float]:
@@ -148,7 +148,7 @@
     errors_ms: list[float] = []
     within_bounds: list[bool] = []
     for seed in seeds:
-        day = record_day(seed, nodes=5, seconds=300)
+        day = generate_day(seed, nodes=5, seconds=300)
         offsets = reconstruct(day).clocks.offsets
         for (segment, offset), (other_segment, other) in combinations(offsets.items(), 2):
             truth_ms = true_difference_ms(day, segment, other_segment, offset)
@@ -170,7 +170,7 @@
     clock = day.clocks[segment.node]
     other_clock = day.clocks[other.node]
     drift_ppm = clock.drift_ppm - other_clock.drift_ppm
-    return clock.offset_ms - other_clock.offset_ms + drift_ppm * 1e-3 * (offset.at / 1000.0 - BEGIN_S)
+    return clock.offset_ms - other_clock.offset_ms + drift_ppm * 1e-3 * (offset.at / 1000.0 - DAY_BEGIN_S)
 
 
 def measure_report(nodes: int, seconds: int) -> dict[str, float]:
@@ -178,7 +178,7 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         slow_database = Fault(FaultKind.SLOW_DATABASE, seconds / 2, 20.0, 5.0)
-        day = record_day(1, nodes=nodes, seconds=seconds, faults=(slow_database,))
+        day = generate_day(1, nodes=nodes, seconds=seconds, faults=(slow_database,))
         day.write(folder)
         count = sum(map(len, day.records.values()))
         del day
--- a/emulators/balancers.py
+++ b/emulators/balancers.py
@@ -66,8 +66,8 @@
     def _create_loads(self, balancer_number: int) -> dict[str, LoadGenerator]:
         loads = {}
         for name, address in self._plan.nodes.items():
-            load = LoadGenerator(address, self._sources, loop=self._loop, caller=balancer_number)
-            load.keyed_bodies = True
+            load = LoadGenerator(address, self._sources, loop=self._loop, balancer_number=balancer_number)
+            load.puts_key_in_body = True
             load.on_answer = partial(self._take_answer, name)
             loads[name] = load
         return loads
--- a/emulators/load_generator.py
+++ b/emulators/load_generator.py
@@ -72,15 +72,15 @@
         sources: Sequence[str],
         wait_ms: float = DEFAULT_WAIT_MS,
         loop: EventLoop | None = None,
-        caller: int = 0,
+        balancer_number: int = 0,
     ) -> None:
-        """Connect to nothing yet; ``caller`` is the balancer's number, ``wait_ms`` the requests' deadline."""
+        """Open no connection yet; each request names ``balancer_number`` and a deadline of ``wait_ms``."""
         self.loop = loop or EventLoop(Clock())
         self.wait_ms = wait_ms
-        self.caller = caller
-        self.paused = False  # scheduled requests go to one of ``others`` meanwhile
-        self.others: list[LoadGenerator] = []
-        self.keyed_bodies = False  # bodies of keyed requests name their key, so that runs can be counted
+        self.balancer_number = balancer_number
+        self.paused = False  # scheduled requests go to one of ``alternatives`` meanwhile
+        self.alternatives: list[LoadGenerator] = []
+        self.puts_key_in_body = False  # bodies of keyed requests name their key, so that runs can be counted
         self.on_answer: AnswerListener | None = None
         self.sent_requests: list[SentRequest] = []
         host, _, port = address.rpartition(":")
@@ -88,10 +88,10 @@
         self._connections = {source: _Connection(self, source) for source in sources}
 
     def send(
-        self, source: str, class_name: str = "match", once: str = "", wait_ms: float = 0.0
+        self, source: str, class_name: str = "match", idempotency_key: str = "", wait_ms: float = 0.0
     ) -> SentRequest:
         """Send one request now; OSError where no connection can be opened, so that nothing was sent."""
-        request = SentRequest(self.loop.clock.now(), source, idempotency_key=once)
+        request = SentRequest(self.loop.clock.now(), source, idempotency_key=idempotency_key)
         self.sent_requests.append(request)
         self._connections[source].send(request, class_name, wait_ms or self.wait_ms)
         return request
@@ -131,7 +131,7 @@
 
     def _send_or_divert(self, source: str, class_name: str, key: str) -> None:
         """Send a request to this node, or to one of the others while this one is paused."""
-        available = [load for load in (self, *self.others) if not load.paused]
+        available = [load for load in (self, *self.alternatives) if not load.paused]
         if not available:
             return
         chosen = available[len(self.sent_requests) % len(available)] if self.paused else self
@@ -170,10 +170,10 @@
             self._number,
             class_name,
             request.attempt_id,
-            self._load.caller,
+            self._load.balancer_number,
             wait_ms,
             key,
-            body=keyed_body(key) if key and self._load.keyed_bodies else PLAIN_BODY,
+            body=keyed_body(key) if key and self._load.puts_key_in_body else PLAIN_BODY,
         )
         self._requests[self._number] = request
         sock.sendall(message.encode())
--- a/emulators/node_under_faults.py
+++ b/emulators/node_under_faults.py
@@ -118,9 +118,9 @@
         self._config_path = folder / "node.json"
         self._config_path.write_text(json.dumps(self._fields(registry)))
         self.load = LoadGenerator(
-            format_address(self.listen_address), SOURCES, scenario.wait_ms, loop=self.loop, caller=1
+            format_address(self.listen_address), SOURCES, scenario.wait_ms, loop=self.loop, balancer_number=1
         )
-        self.load.keyed_bodies = True
+        self.load.puts_key_in_body = True
 
     def _fields(self, registry: Address) -> dict[str, Any]:
         example: dict[str, Any] = json.loads(EXAMPLE.read_bytes())
--- a/emulators/recorded_incidents.py
+++ b/emulators/recorded_incidents.py
@@ -18,7 +18,7 @@
 from snowthread.records.frame import encode_record
 from snowthread.records.model import Record, RecordFields, RecordKind
 
-BEGIN_S = 1_800_000_000.0  # Unix time at which each day begins
+DAY_BEGIN_S = 1_800_000_000.0  # Unix time at which each day begins
 REQUESTS_PER_S = 40.0  # of one node
 BALANCERS = 4
 BALANCER_OFFSET_MAX_MS = 50.0
@@ -134,12 +134,14 @@
         """Write a record with the time of the node's clock."""
         self._last_number += 1
         at = (
-            (BEGIN_S + second) * 1000.0 + self.clock.offset_ms + self.clock.drift_ppm * 1e-6 * second * 1000.0
+            (DAY_BEGIN_S + second) * 1000.0
+            + self.clock.offset_ms
+            + self.clock.drift_ppm * 1e-6 * second * 1000.0
         )
         self.records.append(Record(self.name, self.boot, self._last_number, at, kind, fields))
 
 
-def record_day(
+def generate_day(
     seed: int,
     nodes: int = 4,
     seconds: int = 180,
@@ -260,11 +262,11 @@
         }
 
 
-def draw_faults(seed: int, nodes: int = 4, seconds: int = 240, most: int = 3) -> list[Fault]:
-    """Return up to ``most`` faults of different kinds, away from both ends; they may overlap."""
+def draw_faults(seed: int, nodes: int = 4, seconds: int = 240, max_faults: int = 3) -> list[Fault]:
+    """Return up to ``max_faults`` faults of different kinds, away from both ends; they may overlap."""
     rng = random.Random(seed * SEED_FACTOR + 1)
     faults = []
-    for kind in rng.sample(tuple(FaultKind), rng.randint(1, most)):
+    for kind in rng.sample(tuple(FaultKind), rng.randint(1, max_faults)):
         start_s = float(rng.randint(MARGIN_BEFORE_S, seconds - MARGIN_AFTER_S))
         faults.append(_draw_fault(kind, start_s, nodes, rng))
     return sorted(faults, key=lambda fault: fault.start_s)
--- a/snowthread/lab/demo_fleet.py
+++ b/snowthread/lab/demo_fleet.py
@@ -59,11 +59,13 @@
             for node in self.nodes
         ]
         self.loads = [
-            LoadGenerator(format_address(node.listen), BALANCER_HOSTS, loop=loop, caller=BALANCER_NUMBER)
+            LoadGenerator(
+                format_address(node.listen), BALANCER_HOSTS, loop=loop, balancer_number=BALANCER_NUMBER
+            )
             for node in self.nodes
         ]
         for load in self.loads:
-            load.others = [other for other in self.loads if other is not load]
+            load.alternatives = [other for other in self.loads if other is not load]
 
     def _config_file(self, number: int) -> Path:
         return self.folder / f"node{number + 1}.json"
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -9,7 +9,7 @@
 import pytest
 from support.record_files import START_MS, note
 
-from emulators.recorded_incidents import Fault, FaultKind, record_day
+from emulators.recorded_incidents import Fault, FaultKind, generate_day
 from snowthread.console.live import apply_key
 from snowthread.console.model import MAX_EVENT_LINES, Fleet
 from snowthread.console.replay import Replay
@@ -136,7 +136,7 @@
 
 def test_piped_output_is_plain_text_printed_once(tmp_path: Path) -> None:
     crash = Fault(FaultKind.CRASH, 40.0, 30.0, 1.0, (1,))
-    record_day(1, seconds=60, faults=(crash,), offset_ms=0.0).write(tmp_path)
+    generate_day(1, seconds=60, faults=(crash,), offset_ms=0.0).write(tmp_path)
     done = subprocess.run(
         [sys.executable, "-m", "snowthread", "console", "--sort", "state", str(tmp_path)],
         cwd=ROOT,
--- a/tests/incident/test_incident_report.py
+++ b/tests/incident/test_incident_report.py
@@ -12,7 +12,7 @@
 from support.incident_days import CONSECUTIVE_FAULTS, ONE_CRASH
 from support.record_files import write_records
 
-from emulators.recorded_incidents import draw_faults, record_day
+from emulators.recorded_incidents import draw_faults, generate_day
 from snowthread.incident.episodes import INCIDENT_KINDS
 from snowthread.incident.report import Report
 from snowthread.records.files import RECORD_FILE_SUFFIX
@@ -22,7 +22,7 @@
 
 
 def test_an_empty_file_and_a_truncated_file_do_not_change_the_incidents(tmp_path: Path) -> None:
-    record_day(4, faults=CONSECUTIVE_FAULTS).write(tmp_path)
+    generate_day(4, faults=CONSECUTIVE_FAULTS).write(tmp_path)
     (tmp_path / f"n9-1-aa-000001{RECORD_FILE_SUFFIX}").write_bytes(b"")
     path = next(tmp_path.glob("n1-*"))
     path.write_bytes(path.read_bytes()[:-9])
@@ -38,7 +38,7 @@
 
 def test_markup_in_names_and_texts_is_escaped(tmp_path: Path) -> None:
     markup = "<script>alert(1)</script>"
-    day = record_day(1, nodes=2, seconds=120, faults=ONE_CRASH)
+    day = generate_day(1, nodes=2, seconds=120, faults=ONE_CRASH)
     renamed = [
         replace(record, node=markup, fields=record.fields | {"text": markup}) for record in day.records["n0"]
     ]
@@ -50,7 +50,7 @@
 
 
 def test_the_page_is_self_contained_and_has_the_sentences_of_the_json(tmp_path: Path) -> None:
-    record_day(4, faults=CONSECUTIVE_FAULTS).write(tmp_path)
+    generate_day(4, faults=CONSECUTIVE_FAULTS).write(tmp_path)
     output = tmp_path / "report.html"
     done = subprocess.run(
         [sys.executable, "-m", "snowthread", "report", str(tmp_path), "-o", str(output)],
@@ -71,6 +71,6 @@
 
 
 def test_reading_the_same_records_twice_changes_nothing(tmp_path: Path) -> None:
-    record_day(7, faults=draw_faults(7)).write(tmp_path)
+    generate_day(7, faults=draw_faults(7)).write(tmp_path)
     assert Report([tmp_path]).to_dict() == Report([tmp_path, tmp_path]).to_dict()
     assert len(list(merge_records([tmp_path], Findings()))) > 0
--- a/tests/incident/test_incident_timeline.py
+++ b/tests/incident/test_incident_timeline.py
@@ -8,18 +8,18 @@
 import pytest
 from support.incident_days import CONSECUTIVE_FAULTS, reconstruct
 
-from emulators.recorded_incidents import BEGIN_S, Fault, FaultKind, draw_faults, record_day
+from emulators.recorded_incidents import DAY_BEGIN_S, Fault, FaultKind, draw_faults, generate_day
 from snowthread.incident.episodes import Episode, EpisodeKind
 from snowthread.incident.timeline import began_before, possible_causes
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_known_faults_are_named_in_order_with_clocks_3_s_apart(seed: int) -> None:
-    day = record_day(seed, faults=CONSECUTIVE_FAULTS, offset_ms=3000.0, drift_ppm=200.0)
+    day = generate_day(seed, faults=CONSECUTIVE_FAULTS, offset_ms=3000.0, drift_ppm=200.0)
     incidents = reconstruct(day).incidents
     assert [episode.kind for episode in incidents] == ["slow database", "rolling deploy", "crash"]
     for episode, fault in zip(incidents, CONSECUTIVE_FAULTS, strict=True):
-        error_ms = episode.start_ms - (BEGIN_S + fault.start_s) * 1000.0
+        error_ms = episode.start_ms - (DAY_BEGIN_S + fault.start_s) * 1000.0
         assert abs(error_ms) <= 2500.0, (episode, error_ms)
     slow_database, deploy, crash = incidents
     assert began_before(slow_database, deploy) is True
@@ -27,7 +27,7 @@
 
 
 def test_every_sentence_is_supported_by_records_that_exist() -> None:
-    day = record_day(3, faults=CONSECUTIVE_FAULTS)
+    day = generate_day(3, faults=CONSECUTIVE_FAULTS)
     sentences = reconstruct(day).timeline.sentences
     by_key = {record.key: record for records in day.records.values() for record in records}
     assert sentences
@@ -42,7 +42,7 @@
 def test_quiet_days_have_no_episodes() -> None:
     false_positives = {}
     for seed in range(100):
-        timeline = reconstruct(record_day(seed, nodes=3, seconds=120)).timeline
+        timeline = reconstruct(generate_day(seed, nodes=3, seconds=120)).timeline
         if timeline.sentences or not timeline.quiet:
             false_positives[seed] = [sentence.text for sentence in timeline.sentences]
     assert not false_positives
@@ -53,7 +53,7 @@
     found = false_positives = missed = 0
     for seed in seeds:
         faults = draw_faults(seed)
-        day = record_day(seed, seconds=240, faults=faults)
+        day = generate_day(seed, seconds=240, faults=faults)
         kinds = [episode.kind.value for episode in reconstruct(day).incidents]
         for fault in faults:
             if fault.kind.value in kinds:
@@ -84,7 +84,7 @@
 
 def not_served_text(faults: Sequence[Fault]) -> str:
     """Return the first sentence on requests that were not served on a day with these faults."""
-    sentences = reconstruct(record_day(5, faults=faults)).timeline.sentences
+    sentences = reconstruct(generate_day(5, faults=faults)).timeline.sentences
     return next(sentence.text for sentence in sentences if sentence.kind == EpisodeKind.NOT_SERVED)
 
 
