--- a/emulators/machine.py
+++ b/emulators/machine.py
@@ -96,16 +96,16 @@
             self.overloads += 1
             samples.clear()
 
-    def _start(self, attempt_id: str, class_name: str, body: bytes) -> None:
+    def _start_run(self, attempt_id: str, class_name: str, body: bytes) -> None:
         self._active.add(attempt_id)
         self.runs[body] += 1
         self._runs[attempt_id] = _Run(body, self._draw_calls(class_name))
         if class_name in self._model.over_ms:
             deadline = self.loop.clock.now() + self._model.over_ms[class_name]
-            self.loop.call_at(deadline, partial(self._end_waiting, attempt_id))
+            self.loop.call_at(deadline, partial(self._end_run_at_call, attempt_id))
         duration_ms = self.script.run_ms.get(class_name, self.script.default_run_ms)
         duration_ms *= self._generator.uniform(1.0 - RUN_TIME_SPREAD, 1.0 + RUN_TIME_SPREAD)
-        self._work(attempt_id, duration_ms / self.speed, partial(self._continue, attempt_id))
+        self._occupy_core(attempt_id, duration_ms / self.speed, partial(self._continue, attempt_id))
 
     def _draw_calls(self, class_name: str) -> int:
         """Draw how many calls a run makes, with the right mean."""
@@ -114,23 +114,23 @@
             mean = self._model.warm_calls + (1.0 - self.warmth) * self._model.cold_calls
         return int(mean) + (self._generator.random() < mean % 1.0)
 
-    def _give_reply(self, attempt_id: str, _reply: bytes) -> None:
+    def _resume_with_reply(self, attempt_id: str, _reply: bytes) -> None:
         if run := self._runs.get(attempt_id):
             self._replies += 1
             run.waiting_for_reply = False
             self._continue(attempt_id)
 
-    def _omit_reply(self, attempt_id: str) -> None:
+    def _resume_without_reply(self, attempt_id: str) -> None:
         if run := self._runs.get(attempt_id):
             run.omitted_call = True
             run.waiting_for_reply = False
             self._continue(attempt_id)
 
-    def _end_waiting(self, attempt_id: str) -> None:
+    def _end_run_at_call(self, attempt_id: str) -> None:
         """End a run at its request's deadline, where it waits for a call."""
         run = self._runs.get(attempt_id)
         if run is not None and run.waiting_for_reply:
-            self._end(attempt_id, "aborted", b"")
+            self._end_run(attempt_id, "aborted", b"")
 
     def _continue(self, attempt_id: str) -> None:
         """Make the next call of a run, or end it after the last."""
@@ -141,8 +141,8 @@
             self._call_database(attempt_id, run.body)
         else:
             suffix = OMITTED_SUFFIX if run.omitted_call else COMPLETE_SUFFIX
-            self._end(attempt_id, "done", run.body + suffix)
+            self._end_run(attempt_id, "done", run.body + suffix)
 
-    def _end(self, attempt_id: str, code: str, result: bytes) -> None:
+    def _end_run(self, attempt_id: str, code: str, result: bytes) -> None:
         self._runs.pop(attempt_id, None)
-        super()._end(attempt_id, code, result)
+        super()._end_run(attempt_id, code, result)
--- a/emulators/metered_database.py
+++ b/emulators/metered_database.py
@@ -33,8 +33,8 @@
         """Listen at the address."""
         self.answer_ms = answer_ms
         self.calls = 0  # that came
-        self.peak_mean = 0.0  # of the calls in hand, over the window
-        self._in_hand = 0
+        self.peak_mean_calls = 0.0  # of the calls in hand, over the window
+        self._active_calls = 0
         self._loop = loop
         self._samples: deque[_Sample] = deque()
         loop.spawn(accept_connections(loop, listen(address), self._serve))
@@ -43,11 +43,11 @@
     def _measure(self) -> None:
         now = self._loop.clock.now()
         self._loop.call_at(now + METER_INTERVAL_MS, self._measure)
-        self._samples.append(_Sample(now, self._in_hand))
+        self._samples.append(_Sample(now, self._active_calls))
         while self._samples[0].at_ms < now - WINDOW_MS:
             self._samples.popleft()
         mean = sum(sample.calls for sample in self._samples) * METER_INTERVAL_MS / WINDOW_MS
-        self.peak_mean = max(self.peak_mean, mean)
+        self.peak_mean_calls = max(self.peak_mean_calls, mean)
 
     def _serve(self, connection: socket.socket) -> Coroutine:
         try:
@@ -64,12 +64,12 @@
 
     def _answer(self, connection: socket.socket) -> Coroutine:
         """Answer one call, or drop it a while after its client has gone."""
-        self._in_hand += 1
+        self._active_calls += 1
         try:
             due_ms = self._loop.clock.now() + self.answer_ms
             ready = yield Wait(connection.fileno(), READABLE | HANGUP, due_ms)
             if ready:
                 yield Wait(until_ms=min(due_ms, self._loop.clock.now() + LINGER_MS))
         finally:
-            self._in_hand -= 1
+            self._active_calls -= 1
         connection.send(DATABASE_ANSWER)
--- a/emulators/node_under_faults.py
+++ b/emulators/node_under_faults.py
@@ -33,7 +33,7 @@
 from snowthread.net.loop import EventLoop
 
 ROOT = Path(__file__).parents[1]
-EXAMPLE = ROOT / "examples" / "node.json"
+EXAMPLE_CONFIGURATION = ROOT / "examples" / "node.json"
 START_TIMEOUT_MS = 30_000.0
 LOOP_STEP_S = 0.02
 HOST = "127.0.0.1"
@@ -58,7 +58,7 @@
     """What is played: the node's settings, its machine, and the load in shares of its capacity."""
 
     model: MachineModel
-    load: float
+    load_ratio: float  # Offered core time as a ratio to the core time of the machine.
     class_shares: Mapping[str, float]
     keyed_classes: frozenset[str] = frozenset({"dispense"})
     preemption: str = "drop"
@@ -70,7 +70,7 @@
 
     def settings(self) -> dict[str, Any]:
         """Return the example's settings with the changes of this scenario."""
-        settings: dict[str, Any] = deepcopy(json.loads(EXAMPLE.read_bytes())["settings"])
+        settings: dict[str, Any] = deepcopy(json.loads(EXAMPLE_CONFIGURATION.read_bytes())["settings"])
         settings["domain"] |= {"cores": self.model.cores, "preemption": self.preemption} | dict(self.domain)
         settings["rules"] |= {
             "fall_multiple": self.model.fall_multiple,
@@ -91,7 +91,7 @@
 
     def requests_per_s(self) -> float:
         """Return the rate of arrivals."""
-        return self.load * self.model.cores / self.model.mean_run_ms * MS_PER_S
+        return self.load_ratio * self.model.cores / self.model.mean_run_ms * MS_PER_S
 
 
 class NodeUnderFaults:
@@ -113,21 +113,21 @@
         self.runtime = StrictRuntime(self.loop, runtime, scenario.model, self.generator)
         self.database = MeteredDatabase(self.loop, database, scenario.database_ms)
         RegistryEmulator(self.loop, registry, SiteScript())
-        self.runtime_link = Relay(self.loop, addresses.reserve(), runtime, self.generator)
-        self.database_link = Relay(self.loop, addresses.reserve(), database, self.generator)
+        self.runtime_relay = Relay(self.loop, addresses.reserve(), runtime, self.generator)
+        self.database_relay = Relay(self.loop, addresses.reserve(), database, self.generator)
         self._config_path = folder / "node.json"
-        self._config_path.write_text(json.dumps(self._fields(registry)))
-        self.load = LoadGenerator(
+        self._config_path.write_text(json.dumps(self._configuration(registry)))
+        self.load_generator = LoadGenerator(
             format_address(self.listen_address), SOURCES, scenario.wait_ms, loop=self.loop, balancer_number=1
         )
-        self.load.puts_key_in_body = True
+        self.load_generator.puts_key_in_body = True
 
-    def _fields(self, registry: Address) -> dict[str, Any]:
-        example: dict[str, Any] = json.loads(EXAMPLE.read_bytes())
+    def _configuration(self, registry: Address) -> dict[str, Any]:
+        example: dict[str, Any] = json.loads(EXAMPLE_CONFIGURATION.read_bytes())
         return example | {
             "listen": format_address(self.listen_address),
-            "runtime": format_address(self.runtime_link.address),
-            "index": format_address(self.database_link.address),
+            "runtime": format_address(self.runtime_relay.address),
+            "index": format_address(self.database_relay.address),
             "roster": format_address(registry),
             "stop_ms": self.scenario.stop_ms,
             "settings": self.scenario.settings(),
@@ -149,7 +149,7 @@
         Raises:
             NodeStartError: It ended before, or took too long.
         """
-        self.runtime.forget_node()
+        self.runtime.reset_for_new_node()
         environment = os.environ | {"NODE_CONFIG": str(self._config_path), "PYTHONPATH": str(ROOT)}
         log = self._resources.enter_context(self.log_path.open("ab"))
         command = f"trap '' HUP; exec {shlex.quote(sys.executable)} -m snowthread"  # as in service
@@ -174,12 +174,12 @@
 
     def run_for(self, duration_ms: float) -> None:
         """Let the emulators run for so long."""
-        self.load.run_until(self.loop.clock.now() + duration_ms)
+        self.load_generator.run_until(self.loop.clock.now() + duration_ms)
 
-    def send_load(self, seconds: float) -> None:
+    def schedule_load(self, seconds: float) -> None:
         """Schedule the scenario's arrivals from now on."""
         scenario = self.scenario
-        self.load.schedule_arrivals(
+        self.load_generator.schedule_arrivals(
             self.generator, scenario.requests_per_s(), seconds, scenario.class_shares, scenario.keyed_classes
         )
 
--- a/emulators/persistent_clients.py
+++ b/emulators/persistent_clients.py
@@ -2,7 +2,7 @@
 
 Each request is sent at its time whether or not earlier ones were answered, on a connection that is open
 already where there is one. Some connections are reset by their client and some requests are cancelled: their
-answers are not owed. A request that crosses the end of its connection, within :data:`CROSSING_MS` of it, is
+answers are not owed. A request that crosses the end of its connection, within :data:`CLOSE_RACE_MS` of it, is
 sent once more on a new one, as the platform's balancers do.
 """
 
@@ -26,7 +26,7 @@
 from snowthread.address import Address
 from snowthread.net.loop import HANGUP, READABLE, Coroutine, EventLoop, Wait
 
-CROSSING_MS = 50.0
+CLOSE_RACE_MS = 50.0
 READ_BYTES = 65536
 REQUESTS_OPEN_MAX = 32  # on one connection
 CONNECT_TIMEOUT_S = 1.0
@@ -46,7 +46,7 @@
     answers: list[str] = field(default_factory=list)
     answered_ms: float = 0.0
     attempts: int = 0
-    is_owed: bool = True  # False: cancelled, reset by its client, or never accepted
+    answer_expected: bool = True  # False: cancelled, reset by its client, or never accepted
     lost_reason: str = ""
 
     @property
@@ -89,7 +89,7 @@
                 del self.open[number]
                 self.sock.sendall(encode_cancellation(number))
 
-    def steps(self) -> Coroutine:
+    def read_answers(self) -> Coroutine:
         """Read answers until the connection ends."""
         try:
             while True:
@@ -100,7 +100,7 @@
                 self._unpacker.feed(data)
                 for message in self._unpacker:
                     if message[0] == ANSWER_MESSAGE:
-                        self._take_answer(message)
+                        self._handle_answer(message)
         except OSError:
             pass
         finally:
@@ -108,7 +108,7 @@
             self._clients.loop.close(self.sock)
             self._clients.connection_ended(self)
 
-    def _take_answer(self, message: list[object]) -> None:
+    def _handle_answer(self, message: list[object]) -> None:
         request = self.open.get(int(str(message[1])))
         if request is not None:
             error = message[2]
@@ -123,7 +123,7 @@
         """Connect to nothing yet; ``connections`` are used in turn."""
         self.loop = loop
         self.requests: list[ClientRequest] = []
-        self.node_is_gone = False  # killed: what was open then is not owed
+        self.node_killed = False  # killed: what was open then is not owed
         self._address = address
         self._generator = generator
         self._connections: list[ClientConnection | None] = [None] * connections
@@ -143,7 +143,7 @@
         try:
             self._connection(index).send(request)
         except OSError:
-            request.is_owed = False  # refused, or broken as it was sent: not a byte of it counts
+            request.answer_expected = False  # refused, or broken as it was sent: not a byte of it counts
 
     def _connection(self, index: int) -> ClientConnection:
         found = self._connections[index]
@@ -153,28 +153,28 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             found = ClientConnection(self, sock)
             self._connections[index] = found
-            self.loop.spawn(found.steps())
+            self.loop.spawn(found.read_answers())
         return found
 
     def cancel(self, request: ClientRequest) -> None:
         """Cancel a request that has no answer yet."""
         if not request.answers:
-            request.is_owed = False
+            request.answer_expected = False
             for connection in self._connections:
                 if connection is not None:
                     connection.cancel(request)
 
-    def reset_one(self) -> None:
+    def reset_random_connection(self) -> None:
         """Reset a random connection; what is open there is not owed any more."""
         connection = self._generator.choice(self._connections)
         if connection is not None and not connection.is_closed:
             for request in connection.open.values():
-                request.is_owed = request.is_owed and bool(request.answers)
+                request.answer_expected = request.answer_expected and bool(request.answers)
             connection.open.clear()
             connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             connection.sock.shutdown(socket.SHUT_RDWR)
 
-    def open_crowd(self, count: int) -> None:
+    def open_idle_connections(self, count: int) -> None:
         """Open connections that send nothing."""
         for _ in range(count):
             try:
@@ -182,7 +182,7 @@
             except OSError:
                 return
 
-    def close_crowd(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the connections that sent nothing."""
         for sock in self._idle:
             sock.close()
@@ -192,11 +192,11 @@
         """Judge what was open on a connection that the node or the kernel closed."""
         now = self.loop.clock.now()
         for request in connection.open.values():
-            if request.answers or not request.is_owed:
+            if request.answers or not request.answer_expected:
                 continue
-            if self.node_is_gone:
-                request.is_owed = False
-            elif now - request.sent_ms <= CROSSING_MS and request.attempts == 1:
+            if self.node_killed:
+                request.answer_expected = False
+            elif now - request.sent_ms <= CLOSE_RACE_MS and request.attempts == 1:
                 index = self._generator.randrange(len(self._connections))
                 self._connections[index] = None  # on a new connection; the earlier one is still read
                 self._send(request, index)
--- a/emulators/runtime_link.py
+++ b/emulators/runtime_link.py
@@ -30,20 +30,20 @@
     """
 
     def __init__(self, max_notices: int | None = None) -> None:
-        self._node: socket.socket | None = None
+        self._connection: socket.socket | None = None
         self._notices: deque[Message] = deque(maxlen=max_notices)
         self._notice_count = 0
 
-    def is_of(self, connection: socket.socket) -> bool:
+    def is_current(self, connection: socket.socket) -> bool:
         """Return whether this is the connection of the node."""
-        return self._node is connection
+        return self._connection is connection
 
     def connect(self, connection: socket.socket, code: str, age_ms: float, position: int) -> None:
         """Take a connection as the node's.
 
         It is sent the machine's state (``code``) and age, and all stored notices after a position.
         """
-        self._node = connection
+        self._connection = connection
         self.send({"action": "ready", "code": code, "wall_ms": age_ms})
         dropped = self._notice_count - len(self._notices)
         for notice in list(islice(self._notices, max(0, position - dropped), None)):
@@ -51,29 +51,29 @@
 
     def disconnect(self) -> None:
         """Break the link; the node may connect again."""
-        if self._node is not None:
+        if self._connection is not None:
             with contextlib.suppress(OSError):  # its node may have been killed a moment ago
-                self._node.shutdown(socket.SHUT_RDWR)
-            self._node = None
+                self._connection.shutdown(socket.SHUT_RDWR)
+            self._connection = None
 
     def connection_ended(self, connection: socket.socket) -> None:
         """Note that a connection has ended."""
-        if self._node is connection:
-            self._node = None
+        if self._connection is connection:
+            self._connection = None
 
-    def forget_notices(self) -> None:
+    def clear_notices(self) -> None:
         """Begin the numbering of notices again."""
         self._notices.clear()
         self._notice_count = 0
 
     def send(self, message: Message) -> None:
         """Send a message; it is lost where there is no link."""
-        if self._node is None or self._node.fileno() < 0:
+        if self._connection is None or self._connection.fileno() < 0:
             return
         try:
-            self._node.send(json.dumps(message).encode() + b"\n")
+            self._connection.send(json.dumps(message).encode() + b"\n")
         except OSError:
-            self._node = None  # a notice is sent again on the next link
+            self._connection = None  # a notice is sent again on the next link
 
     def send_load(self, echo: str, utilization: float, runs: int) -> None:
         """Answer a request for the load of the cores."""
--- a/emulators/shared_database.py
+++ b/emulators/shared_database.py
@@ -50,13 +50,13 @@
                 yield Wait(connection.fileno(), READABLE)
                 if not connection.recv(READ_BYTES):
                     return
-                self._take_call(connection)
+                self._receive_call(connection)
         except OSError:
             pass
         finally:
             self._loop.close(connection)
 
-    def _take_call(self, connection: socket.socket) -> None:
+    def _receive_call(self, connection: socket.socket) -> None:
         second = self._second()
         self.received_by_second[second] += 1
         if len(self._waiting) >= WAITING_MAX:
--- a/emulators/site.py
+++ b/emulators/site.py
@@ -59,25 +59,25 @@
         self._link = RuntimeLink()
         self._cores = CoreQueue(loop, script.cores)
         self._active: set[str] = set()  # attempt ids of the runs that go on
-        self._power_on_ms = 0.0  # when the machine's power came back; 0: long ago
+        self._restarted_at_ms = 0.0  # when the machine's power came back; 0: long ago
         loop.spawn(accept_connections(loop, listen(address), self._serve))
 
     def restart(self) -> None:
         """Switch the machine off and on: all runs and notices are lost."""
-        self._power_on_ms = self.loop.clock.now()
+        self._restarted_at_ms = self.loop.clock.now()
         self._link.disconnect()
-        self._link.forget_notices()
+        self._link.clear_notices()
         self._active.clear()
         self._cores.abandon()
         self._cores = CoreQueue(self.loop, self.script.cores)
 
     def _serve(self, connection: socket.socket) -> Coroutine:
         try:
-            yield from read_json_lines(connection, partial(self._take, connection))
+            yield from read_json_lines(connection, partial(self._handle_command, connection))
         finally:
             self.loop.close(connection)
 
-    def _take(self, connection: socket.socket, command: dict[str, Any]) -> None:
+    def _handle_command(self, connection: socket.socket, command: dict[str, Any]) -> None:
         """Carry out one command of the node."""
         attempt_id = command.get("uid", "")
         match command["action"]:
@@ -88,24 +88,24 @@
                 self._link.send_load(command["echo"], utilization, len(self._cores))
             case "start":
                 if attempt_id not in self._active:
-                    self._start(attempt_id, command["lane"], base64.b64decode(command["content"]))
+                    self._start_run(attempt_id, command["lane"], base64.b64decode(command["content"]))
             case "give":
-                self._give_reply(attempt_id, base64.b64decode(command["content"]))
+                self._resume_with_reply(attempt_id, base64.b64decode(command["content"]))
             case "omit":
-                self._omit_reply(attempt_id)
+                self._resume_without_reply(attempt_id)
             case "stop":
                 if attempt_id in self._active:
-                    self._end(attempt_id, "aborted", b"")
+                    self._end_run(attempt_id, "aborted", b"")
 
     def _synchronize(self, connection: socket.socket, position: int) -> None:
         """Take a connection as the node's, and send all notices after a position again."""
-        if self._power_on_ms:
-            age_ms = self.loop.clock.now() - self._power_on_ms
+        if self._restarted_at_ms:
+            age_ms = self.loop.clock.now() - self._restarted_at_ms
             self._link.connect(connection, "fresh", age_ms, position)
         else:
             self._link.connect(connection, "seasoned", 0.0, position)
 
-    def _start(self, attempt_id: str, class_name: str, body: bytes) -> None:
+    def _start_run(self, attempt_id: str, class_name: str, body: bytes) -> None:
         """Begin a run."""
         self.script.log(f"runtime: {class_name} {attempt_id} starts")
         self._active.add(attempt_id)
@@ -114,18 +114,20 @@
         if class_name in self.script.calling_classes:
             on_done = partial(self._call_database, attempt_id, body)
         else:
-            on_done = partial(self._end, attempt_id, "done", body.upper())
-        self._work(attempt_id, duration_ms, on_done)
+            on_done = partial(self._end_run, attempt_id, "done", body.upper())
+        self._occupy_core(attempt_id, duration_ms, on_done)
 
-    def _give_reply(self, attempt_id: str, reply: bytes) -> None:
+    def _resume_with_reply(self, attempt_id: str, reply: bytes) -> None:
         """Give a run what the database answered."""
-        self._work(attempt_id, 0.0, partial(self._end, attempt_id, "done", b"dispensed " + reply))
+        self._occupy_core(attempt_id, 0.0, partial(self._end_run, attempt_id, "done", b"dispensed " + reply))
 
-    def _omit_reply(self, attempt_id: str) -> None:
+    def _resume_without_reply(self, attempt_id: str) -> None:
         """Have a run go on without its call."""
-        self._work(attempt_id, 0.0, partial(self._end, attempt_id, "done", b"dispensed without a look"))
+        self._occupy_core(
+            attempt_id, 0.0, partial(self._end_run, attempt_id, "done", b"dispensed without a look")
+        )
 
-    def _work(self, attempt_id: str, duration_ms: float, on_done: Callable[[], None]) -> None:
+    def _occupy_core(self, attempt_id: str, duration_ms: float, on_done: Callable[[], None]) -> None:
         """Use a core for a run; ``on_done`` is not called where the run ended meanwhile."""
 
         def finish() -> None:
@@ -137,7 +139,7 @@
     def _call_database(self, attempt_id: str, body: bytes) -> None:
         self._link.notify_call(attempt_id, body)
 
-    def _end(self, attempt_id: str, code: str, result: bytes) -> None:
+    def _end_run(self, attempt_id: str, code: str, result: bytes) -> None:
         """End a run with its result."""
         self._active.discard(attempt_id)
         self._link.notify_end(attempt_id, code, result)
--- a/emulators/soak.py
+++ b/emulators/soak.py
@@ -20,7 +20,7 @@
 from emulators.node_under_faults import NodeUnderFaults
 from emulators.persistent_clients import ClientRequest, PersistentClients
 from emulators.soak_plan import FaultKind, PlannedFault, SoakPlan, draw_plan
-from emulators.soak_rules import SoakObservation, SoakResult, judge
+from emulators.soak_rules import SoakObservation, SoakResult, evaluate
 
 AFTER_KILL_MS = 300.0
 TERMINATION_GAP_MS = 150.0
@@ -42,7 +42,7 @@
         )
         self._paused_ms = 0.0
         self._killed_at_ms = 0.0
-        self._apply: dict[FaultKind, Callable[[PlannedFault], None]] = {
+        self._fault_handlers: dict[FaultKind, Callable[[PlannedFault], None]] = {
             FaultKind.RUNTIME_RESET: self._reset_runtime,
             FaultKind.RUNTIME_DOWN: self._take_runtime_down,
             FaultKind.RUNTIME_DELAY: self._delay_runtime,
@@ -50,26 +50,26 @@
             FaultKind.DATABASE_RESET: self._reset_database,
             FaultKind.DATABASE_DOWN: self._take_database_down,
             FaultKind.DATABASE_SLOW: self._slow_database,
-            FaultKind.CLIENT_RESET: lambda _: self._clients.reset_one(),
-            FaultKind.CROWD: self._open_crowd,
+            FaultKind.CLIENT_RESET: lambda _: self._clients.reset_random_connection(),
+            FaultKind.IDLE_CONNECTIONS: self._open_idle_connections,
             FaultKind.RELOAD: lambda _: self.node.signal(signal.SIGHUP),
             FaultKind.PAUSE: self._pause,
         }
 
     def run(self) -> SoakResult:
-        """Play the plan and judge it."""
+        """Play the plan and evaluate it."""
         loop = self.node.loop
         plan = self.plan
         with ExitStack() as stack:
             stack.enter_context(self.node)
-            stack.callback(self._clients.close_crowd)
+            stack.callback(self._clients.close_idle_connections)
             begin_ms = loop.clock.now()
             self._schedule_traffic(begin_ms)
             for fault in plan.faults:
-                loop.call_at(begin_ms + fault.at_ms, partial(self._apply[fault.kind], fault))
+                loop.call_at(begin_ms + fault.at_ms, partial(self._fault_handlers[fault.kind], fault))
             self.node.run_for(plan.traffic_ms)
-            self._terminate()
-            return judge(self._observe())
+            self._terminate_and_kill()
+            return evaluate(self._observe())
 
     # Traffic.
 
@@ -104,57 +104,57 @@
 
     # Faults.
 
-    def _later(self, delay_ms: float, call: Callable[[], None]) -> None:
+    def _call_later(self, delay_ms: float, call: Callable[[], None]) -> None:
         self.node.loop.call_at(self.node.loop.clock.now() + delay_ms, call)
 
     def _reset_runtime(self, _fault: PlannedFault) -> None:
-        self.node.runtime_link.faults.cut_count += 1
+        self.node.runtime_relay.faults.cut_count += 1
 
     def _take_runtime_down(self, fault: PlannedFault) -> None:
         self._reset_runtime(fault)
         self._silence_runtime(fault)
 
     def _silence_runtime(self, fault: PlannedFault) -> None:
-        faults = self.node.runtime_link.faults
+        faults = self.node.runtime_relay.faults
         faults.partitioned = True
-        self._later(fault.duration_ms, faults.clear)
+        self._call_later(fault.duration_ms, faults.clear)
 
     def _delay_runtime(self, fault: PlannedFault) -> None:
-        faults = self.node.runtime_link.faults
+        faults = self.node.runtime_relay.faults
         faults.delay_ms = fault.value
-        self._later(fault.duration_ms, faults.clear)
+        self._call_later(fault.duration_ms, faults.clear)
 
     def _reset_database(self, _fault: PlannedFault) -> None:
-        self.node.database_link.faults.cut_count += 1
+        self.node.database_relay.faults.cut_count += 1
 
     def _take_database_down(self, fault: PlannedFault) -> None:
         self._reset_database(fault)
-        self.node.database_link.close()
-        self._later(fault.duration_ms, self.node.database_link.open)
+        self.node.database_relay.close()
+        self._call_later(fault.duration_ms, self.node.database_relay.open)
 
     def _slow_database(self, fault: PlannedFault) -> None:
         self.node.database.answer_ms = fault.value
-        self._later(fault.duration_ms, self._heal_database)
+        self._call_later(fault.duration_ms, self._restore_database)
 
-    def _heal_database(self) -> None:
+    def _restore_database(self) -> None:
         self.node.database.answer_ms = self.plan.scenario.database_ms
 
-    def _open_crowd(self, fault: PlannedFault) -> None:
-        self._clients.open_crowd(int(fault.value))
-        self._later(fault.duration_ms, self._clients.close_crowd)
+    def _open_idle_connections(self, fault: PlannedFault) -> None:
+        self._clients.open_idle_connections(int(fault.value))
+        self._call_later(fault.duration_ms, self._clients.close_idle_connections)
 
     def _pause(self, fault: PlannedFault) -> None:
         self._paused_ms += fault.duration_ms
         self.node.signal(signal.SIGSTOP)
-        self._later(fault.duration_ms, partial(self.node.signal, signal.SIGCONT))
+        self._call_later(fault.duration_ms, partial(self.node.signal, signal.SIGCONT))
 
-    def _terminate(self) -> None:
+    def _terminate_and_kill(self) -> None:
         """Send SIGTERM, in a series where the plan says so, and kill at the earliest time allowed."""
         for number in range(self.plan.terminations):
-            self._later(number * TERMINATION_GAP_MS, partial(self.node.signal, signal.SIGTERM))
+            self._call_later(number * TERMINATION_GAP_MS, partial(self.node.signal, signal.SIGTERM))
         self.node.run_for(self.plan.scenario.stop_ms)
         self._killed_at_ms = self.node.loop.clock.now()
-        self._clients.node_is_gone = True
+        self._clients.node_killed = True
         self.node.signal(signal.SIGKILL)
         self.node.run_for(AFTER_KILL_MS)
 
@@ -163,11 +163,11 @@
         return SoakObservation(
             plan=self.plan,
             requests=self._clients.requests,
-            bodies_begun=node.runtime.bodies_begun,
-            runs_begun=node.runtime.runs_begun,
+            runs_by_body=node.runtime.runs_by_body,
+            runs_by_attempt=node.runtime.runs_by_attempt,
             peak=node.runtime.peak,
             links=node.runtime.links,
-            calls_in_hand=node.database.peak_mean,
+            calls_in_hand=node.database.peak_mean_calls,
             killed_at_ms=self._killed_at_ms,
             paused_ms=self._paused_ms,
             log=node.log(),
@@ -175,7 +175,7 @@
         )
 
 
-def play(seed: int) -> SoakResult:
+def run_soak(seed: int) -> SoakResult:
     """Play one seed in a folder of its own; where a rule was broken, the node's log is copied out of it."""
     with tempfile.TemporaryDirectory() as folder:
         soak = Soak(Path(folder), draw_plan(seed))
@@ -190,7 +190,7 @@
     """Play the seeds given; return the exit status."""
     status = 0
     for argument in arguments:
-        result: dict[str, Any] = asdict(play(int(argument)))
+        result: dict[str, Any] = asdict(run_soak(int(argument)))
         status = max(status, int(bool(result["broken"])))
         print(json.dumps(result), flush=True)
     return status
--- a/emulators/soak_plan.py
+++ b/emulators/soak_plan.py
@@ -27,7 +27,7 @@
     DATABASE_DOWN = "database down"
     DATABASE_SLOW = "database slow"
     CLIENT_RESET = "client reset"
-    CROWD = "crowd of connections"
+    IDLE_CONNECTIONS = "idle connections"
     RELOAD = "SIGHUP"
     PAUSE = "SIGSTOP"
 
@@ -83,13 +83,13 @@
         cores=generator.choice((1, 2, 4, 6)),
         mean_run_ms=generator.choice((80.0, 200.0, 500.0)),
         call_share={"match": call_share, "dispense": call_share},
-        can_stop_runs=preemption != "none",
+        supports_stop=preemption != "none",
         cold_share=0.23 if is_cold else 1.0,
         warmup_ms=17_000.0 if is_cold else 0.0,
     )
     return NodeScenario(
         model=model,
-        load=generator.choice((0.6, 1.2, 2.0, 3.5)),
+        load_ratio=generator.choice((0.6, 1.2, 2.0, 3.5)),
         class_shares=dict(zip(CLASS_NAMES, shares, strict=True)),
         keyed_classes=frozenset(keyed),
         preemption=preemption,
@@ -141,7 +141,7 @@
             return PlannedFault(at_ms, kind, duration_ms, generator.uniform(20.0, 200.0))
         case FaultKind.DATABASE_SLOW:
             return PlannedFault(at_ms, kind, duration_ms * 2.0, generator.uniform(200.0, 1500.0))
-        case FaultKind.CROWD:
+        case FaultKind.IDLE_CONNECTIONS:
             return PlannedFault(at_ms, kind, duration_ms, generator.choice((50, 300)))
         case FaultKind.PAUSE:
             return PlannedFault(at_ms, kind, generator.uniform(20.0, 150.0))
--- a/emulators/strict_runtime.py
+++ b/emulators/strict_runtime.py
@@ -22,7 +22,7 @@
 from snowthread.net.loop import Coroutine, EventLoop
 
 MAX_NOTICES = 4000  # that are sent again on a new link
-LOAD_CHECK_MS = 20.0
+LOAD_SAMPLE_MS = 20.0
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
     cores: int = 4
     mean_run_ms: float = 300.0  # of core time, exponentially distributed
     call_share: Mapping[str, float] = field(default_factory=dict)  # of a class's runs, that call the database
-    can_stop_runs: bool = True
+    supports_stop: bool = True
     fall_multiple: float = 5.0  # runs a core that a warm machine survives
     overload_window_ms: float = 2000.0
     cold_share: float = 1.0  # of the warm speed, at the start
@@ -40,11 +40,11 @@
 
 
 @dataclass(slots=True)
-class Peak:
+class LoadPeak:
     """The highest mean load of the cores so far."""
 
     runs_per_core: float = 0.0
-    share_of_survived: float = 0.0  # above 1: the machine is overloaded and fails
+    limit_ratio: float = 0.0  # above 1: the machine is overloaded and fails
     at_ms: float = 0.0  # since the machine's start
 
 
@@ -67,92 +67,92 @@
         self.loop = loop
         self.model = model
         self.cores = SharedCores(loop, model.cores)
-        self.peak = Peak()
-        self.runs_begun: dict[str, int] = {}  # by attempt id
-        self.bodies_begun: dict[bytes, int] = {}
+        self.peak = LoadPeak()
+        self.runs_by_attempt: dict[str, int] = {}  # by attempt id
+        self.runs_by_body: dict[bytes, int] = {}
         self.links = 0
         self._generator = generator
         self._runs: dict[str, _Run] = {}
         self._link = RuntimeLink(MAX_NOTICES)
         self._started_ms = loop.clock.now()
         loop.spawn(accept_connections(loop, listen(address), self._serve))
-        self._check_load()
+        self._sample_load()
 
     @property
     def is_running(self) -> bool:
         """Whether any run goes on, on the cores or at a call."""
         return bool(self._runs)
 
-    def forget_node(self) -> None:
+    def reset_for_new_node(self) -> None:
         """Begin the numbering of notices again, as for a node that starts anew; runs end."""
-        self._link.forget_notices()
+        self._link.clear_notices()
         self._runs.clear()
         self.cores.clear()
 
-    def survived_runs_per_core(self) -> float:
+    def max_runs_per_core(self) -> float:
         """Return the runs a core that the machine survives at its present speed."""
         return 1.0 + (self.model.fall_multiple - 1.0) * self.cores.speed
 
-    def _check_load(self) -> None:
+    def _sample_load(self) -> None:
         now = self.loop.clock.now()
         model = self.model
-        self.loop.call_at(now + LOAD_CHECK_MS, self._check_load)
+        self.loop.call_at(now + LOAD_SAMPLE_MS, self._sample_load)
         if model.warmup_ms:
             warmth = min(1.0, (now - self._started_ms) / model.warmup_ms)
             self.cores.speed = model.cold_share + (1.0 - model.cold_share) * warmth
         per_core = self.cores.mean_runs(model.overload_window_ms) / model.cores
-        share = per_core / self.survived_runs_per_core()
-        if share > self.peak.share_of_survived:
-            self.peak = Peak(per_core, share, now - self._started_ms)
+        share = per_core / self.max_runs_per_core()
+        if share > self.peak.limit_ratio:
+            self.peak = LoadPeak(per_core, share, now - self._started_ms)
 
     # The link.
 
     def _serve(self, connection: socket.socket) -> Coroutine:
         try:
-            yield from read_json_lines(connection, partial(self._take, connection))
+            yield from read_json_lines(connection, partial(self._handle_message, connection))
         except OSError:
             pass  # reset: what was not read is lost
         finally:
             self._link.connection_ended(connection)
             self.loop.close(connection)
 
-    def _take(self, connection: socket.socket, command: dict[str, Any]) -> None:
+    def _handle_message(self, connection: socket.socket, command: dict[str, Any]) -> None:
         """Carry out one command; those of a link that was replaced are ignored."""
         if command["action"] == "sync":
             self._synchronize(connection, command["pos"])
-        elif self._link.is_of(connection):
-            self._carry_out(command, command.get("uid", ""))
+        elif self._link.is_current(connection):
+            self._handle_command(command, command.get("uid", ""))
 
     def _synchronize(self, connection: socket.socket, position: int) -> None:
         self.links += 1
         code = "fresh" if self.model.warmup_ms else "seasoned"
         self._link.connect(connection, code, self.loop.clock.now() - self._started_ms, position)
 
-    def _carry_out(self, command: dict[str, Any], attempt_id: str) -> None:
+    def _handle_command(self, command: dict[str, Any], attempt_id: str) -> None:
         match command["action"]:
             case "gauges":
                 self._link.send_load(command["echo"], self.cores.utilization(), len(self.cores))
             case "start":
                 if attempt_id not in self._runs:
-                    self._start(attempt_id, command["lane"], base64.b64decode(command["content"]))
+                    self._start_run(attempt_id, command["lane"], base64.b64decode(command["content"]))
             case "stop":
-                self._stop(attempt_id)
+                self._stop_run(attempt_id)
             case "give":
-                self._leave_call(attempt_id)
+                self._resume_after_call(attempt_id)
             case "omit":
                 if attempt_id in self._runs and self._runs[attempt_id].call_notice == command["pos"]:
-                    self._leave_call(attempt_id)
+                    self._resume_after_call(attempt_id)
 
     # Runs.
 
-    def _start(self, attempt_id: str, class_name: str, body: bytes) -> None:
+    def _start_run(self, attempt_id: str, class_name: str, body: bytes) -> None:
         calls = self._generator.random() < self.model.call_share.get(class_name, 0.0)
-        self.runs_begun[attempt_id] = self.runs_begun.get(attempt_id, 0) + 1
-        self.bodies_begun[body] = self.bodies_begun.get(body, 0) + 1
+        self.runs_by_attempt[attempt_id] = self.runs_by_attempt.get(attempt_id, 0) + 1
+        self.runs_by_body[body] = self.runs_by_body.get(body, 0) + 1
         self._runs[attempt_id] = _Run(body, calls_left=int(calls))
-        self._work(attempt_id)
+        self._add_work(attempt_id)
 
-    def _work(self, attempt_id: str) -> None:
+    def _add_work(self, attempt_id: str) -> None:
         work_ms = self._generator.expovariate(1.0 / self.model.mean_run_ms)
         self.cores.add(attempt_id, work_ms, partial(self._continue, attempt_id))
 
@@ -160,24 +160,24 @@
         """Call the database, or end."""
         run = self._runs[attempt_id]
         if not run.calls_left:
-            self._end(attempt_id, "done", run.body.upper())
+            self._end_run(attempt_id, "done", run.body.upper())
             return
         run.calls_left -= 1
         run.call_notice = self._link.notify_call(attempt_id, run.body)
 
-    def _leave_call(self, attempt_id: str) -> None:
+    def _resume_after_call(self, attempt_id: str) -> None:
         run = self._runs.get(attempt_id)
         if run is not None and run.call_notice:
             run.call_notice = 0
-            self._work(attempt_id)
+            self._add_work(attempt_id)
 
-    def _stop(self, attempt_id: str) -> None:
-        if not self.model.can_stop_runs:
+    def _stop_run(self, attempt_id: str) -> None:
+        if not self.model.supports_stop:
             self._link.send({"action": "nack", "code": "stop", "uid": attempt_id})
         elif attempt_id in self._runs:
-            self._end(attempt_id, "aborted", b"")
+            self._end_run(attempt_id, "aborted", b"")
 
-    def _end(self, attempt_id: str, code: str, result: bytes) -> None:
+    def _end_run(self, attempt_id: str, code: str, result: bytes) -> None:
         self.cores.remove(attempt_id)
         del self._runs[attempt_id]
         self._link.notify_end(attempt_id, code, result)
--- a/tests/emulators/test_strict_runtime.py
+++ b/tests/emulators/test_strict_runtime.py
@@ -62,9 +62,9 @@
     return EventLoop(Clock())
 
 
-def make_runtime(loop: EventLoop, can_stop_runs: bool = True) -> Address:
+def make_runtime(loop: EventLoop, supports_stop: bool = True) -> Address:
     address = reserve_address()
-    model = MachineModel(mean_run_ms=FOREVER_MS, can_stop_runs=can_stop_runs)
+    model = MachineModel(mean_run_ms=FOREVER_MS, supports_stop=supports_stop)
     StrictRuntime(loop, address, model, random.Random(1))
     return address
 
@@ -97,7 +97,7 @@
 
 
 def test_run_that_cannot_be_stopped_goes_on(loop: EventLoop) -> None:
-    link = Link(loop, make_runtime(loop, can_stop_runs=False))
+    link = Link(loop, make_runtime(loop, supports_stop=False))
     link.start("a")
     link.send(action="stop", uid="a")
     assert link.read() == {"action": "nack", "code": "stop", "uid": "a"}
--- a/tests/incidents/test_runtime_overload.py
+++ b/tests/incidents/test_runtime_overload.py
@@ -49,7 +49,7 @@
 
 def break_link_periodically(node: NodeUnderFaults, breaks: LinkBreaks) -> None:
     """Reset the runtime's link, and again and again from then on."""
-    faults = node.runtime_link.faults
+    faults = node.runtime_relay.faults
     loop = node.loop
     faults.cut_count += 1
     if breaks.down_ms:
@@ -60,7 +60,7 @@
 
 def break_link_at_random(node: NodeUnderFaults, breaks: LinkBreaks) -> None:
     """Reset the runtime's link once, and at random times from then on."""
-    node.runtime_link.faults.cut_count += 1
+    node.runtime_relay.faults.cut_count += 1
     gap_ms = node.generator.expovariate(1.0 / breaks.mean_gap_ms)
     node.loop.call_at(node.loop.clock.now() + gap_ms, partial(break_link_at_random, node, breaks))
 
@@ -73,20 +73,20 @@
 
 
 KEYED_STARTS = NodeScenario(
-    MachineModel(cores=4, mean_run_ms=600.0), load=3.0, class_shares={"dispense": 1.0}, wait_ms=3000.0
+    MachineModel(cores=4, mean_run_ms=600.0), load_ratio=3.0, class_shares={"dispense": 1.0}, wait_ms=3000.0
 )
 COLD_MACHINE = NodeScenario(
     MachineModel(
         cores=4, mean_run_ms=1200.0, call_share={"dispense": 0.3}, cold_share=0.23, warmup_ms=17_000.0
     ),
-    load=3.0,
+    load_ratio=3.0,
     class_shares={"dispense": 1.0},
     database_ms=300.0,
     wait_ms=1000.0,
 )
 RUNS_THAT_CANNOT_BE_STOPPED = NodeScenario(
-    MachineModel(cores=4, mean_run_ms=1000.0, can_stop_runs=False),
-    load=4.0,
+    MachineModel(cores=4, mean_run_ms=1000.0, supports_stop=False),
+    load_ratio=4.0,
     class_shares={"match": 0.25, "recalc": 0.25, "dispense": 0.5},
     preemption="none",
     wait_ms=600.0,
@@ -106,7 +106,7 @@
 ) -> None:
     with NodeUnderFaults(tmp_path, scenario, seed=2) as node:
         node.start_node()
-        node.send_load((BEFORE_FAULTS_MS + FAULTS_MS) / 1000.0)
+        node.schedule_load((BEFORE_FAULTS_MS + FAULTS_MS) / 1000.0)
         node.run_for(BEFORE_FAULTS_MS)
         break_link_periodically(node, breaks)
         if breaks.mean_gap_ms:
@@ -117,4 +117,4 @@
         uncounted = uncounted_runs_per_core(node)
         print(f"{peak}, {uncounted:.2f} uncounted runs a core")
         assert uncounted < UNCOUNTED_MAX
-        assert peak.share_of_survived < CEILING_RATIO
+        assert peak.limit_ratio < CEILING_RATIO
--- a/tests/lab/test_address_reservation.py
+++ b/tests/lab/test_address_reservation.py
@@ -111,13 +111,13 @@
 
 @pytest.mark.usefixtures("lowest_ports")
 def test_node_under_faults_gives_every_address_once(tmp_path: Path) -> None:
-    scenario = NodeScenario(MachineModel(), load=0.5, class_shares={"match": 1.0})
+    scenario = NodeScenario(MachineModel(), load_ratio=0.5, class_shares={"match": 1.0})
     with NodeUnderFaults(tmp_path, scenario, seed=1) as node:
-        node.database_link.close()  # A closed relay keeps its address reserved.
+        node.database_relay.close()  # A closed relay keeps its address reserved.
         taken = socket.create_server((HOST, 0))
-        assert taken.getsockname()[1] != node.database_link.address.port
+        assert taken.getsockname()[1] != node.database_relay.address.port
         taken.close()
-        node.database_link.open()
+        node.database_relay.open()
         assert_node_addresses_differ([tmp_path / "node.json"])
 
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from emulators.soak import play
+from emulators.soak import run_soak
 from emulators.soak_plan import FAULTS_BEGIN_MS, KILL_AFTER_DEADLINE_MS, FaultKind, draw_plan
 
 SEEDS = (14, 30, 40, 44, 45)
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_rule_is_broken(seed: int) -> None:
-    result = play(seed)
+    result = run_soak(seed)
     assert result.broken == []
     assert result.outcomes.get("served", 0) > 0 and result.requests > 50
 
--- a/tests/soak/test_soak_rules.py
+++ b/tests/soak/test_soak_rules.py
@@ -6,20 +6,20 @@
 
 import pytest
 
-from emulators.persistent_clients import CROSSING_MS, ClientRequest
+from emulators.persistent_clients import CLOSE_RACE_MS, ClientRequest
 from emulators.request_protocol import KEYED_BODY_PREFIX, REJECTED, SERVED
 from emulators.soak_plan import draw_plan
 from emulators.soak_rules import (
     ANSWER_SLACK_MS,
-    MACHINE_SLACK_MS,
+    TEST_HOST_SLACK_MS,
     SoakObservation,
     check_answers,
     check_load,
     check_process,
     check_runs,
-    judge,
+    evaluate,
 )
-from emulators.strict_runtime import Peak
+from emulators.strict_runtime import LoadPeak
 
 KILLED_AT_MS = 100_000.0
 WAIT_MS = 1000.0
@@ -43,7 +43,7 @@
 def test_one_answer_in_time_breaks_no_rule() -> None:
     soak = soak_of(answered(SERVED))
     assert check_answers(soak) == [] and check_runs(soak) == [] and check_load(soak) == []
-    assert judge(soak).broken == []
+    assert evaluate(soak).broken == []
 
 
 def test_missing_answer_is_reported() -> None:
@@ -52,7 +52,7 @@
 
 def test_answer_that_is_not_owed_may_be_missing() -> None:
     request = answered()
-    request.is_owed = False
+    request.answer_expected = False
     assert check_answers(soak_of(request)) == []
 
 
@@ -61,28 +61,28 @@
 
 
 def test_late_answer_is_reported() -> None:
-    late_ms = WAIT_MS + ANSWER_SLACK_MS + MACHINE_SLACK_MS + 1.0
+    late_ms = WAIT_MS + ANSWER_SLACK_MS + TEST_HOST_SLACK_MS + 1.0
     assert "after its due time" in check_answers(soak_of(answered(SERVED, after_ms=late_ms)))[0]
 
 
 def test_request_whose_connection_ended_is_reported() -> None:
     request = answered()
-    request.lost_reason = f"connection ended {CROSSING_MS + 1.0} ms after it was sent"
+    request.lost_reason = f"connection ended {CLOSE_RACE_MS + 1.0} ms after it was sent"
     assert "lost" in check_answers(soak_of(request))[0]
 
 
 def test_key_that_ran_twice_is_reported() -> None:
-    soak = replace(soak_of(answered(SERVED)), bodies_begun={KEYED_BODY_PREFIX + b"k1": 2})
+    soak = replace(soak_of(answered(SERVED)), runs_by_body={KEYED_BODY_PREFIX + b"k1": 2})
     assert "ran 2 times" in check_runs(soak)[0]
 
 
 def test_rejection_of_what_ran_is_reported() -> None:
-    soak = replace(soak_of(answered(REJECTED)), runs_begun={"a1": 1})
+    soak = replace(soak_of(answered(REJECTED)), runs_by_attempt={"a1": 1})
     assert "was rejected and ran" in check_runs(soak)[0]
 
 
 def test_machine_and_database_with_more_than_they_survive_are_reported() -> None:
-    broken = " ".join(check_load(replace(QUIET, peak=Peak(5.0, 1.0, 1.0), calls_in_hand=100.0)))
+    broken = " ".join(check_load(replace(QUIET, peak=LoadPeak(5.0, 1.0, 1.0), calls_in_hand=100.0)))
     assert "machine fell" in broken and "calls in hand" in broken
 
 
@@ -94,4 +94,4 @@
     ],
 )
 def test_error_in_the_log_and_exit_with_an_error_are_reported(soak: SoakObservation, broken: str) -> None:
-    assert judge(soak).broken == check_process(soak) == [broken]
+    assert evaluate(soak).broken == check_process(soak) == [broken]
