--- a/emulators/directory/__init__.py
+++ b/emulators/directory/__init__.py
@@ -1,14 +1,14 @@
 """Emulate a directory of tenants on loopback, with scripted faults.
 
-It implements LDAP from its own reading of RFC 4511, RFC 2696 and RFC 4533, over another BER library than the
-client's, so that a mistake made on one side shows on the other. It serves tests only.
+It implements LDAP independently from RFC 4511, RFC 2696 and RFC 4533, and uses another BER library than the
+client, so that an error on one side is detected by the other. It is used by tests only.
 
-- ``ber``: encode and decode BER as generic nodes; ``protocol``: the LDAP messages made of them.
-- ``entries``: the entries and the filters that select them; ``content``: all entries, with their history.
-- ``faults``: what goes wrong, and what the server is capable of; ``state``: these and the content.
-- ``responses``: encode responses; ``searches``: answer searches; ``requests``: answer all requests.
-- ``link``: the bytes and TLS of one connection; ``connection``: the requests in them.
-- ``server``: the listener; ``__main__``: the command line.
+- ``ber`` encodes and decodes BER as generic nodes; ``protocol`` builds LDAP messages from them.
+- ``entries`` has the entries and the filters that select them; ``content`` has all entries and their history.
+- ``faults`` has the scripted faults and the server's capabilities; ``state`` combines them with the content.
+- ``responses`` encodes responses; ``searches`` answers searches; ``requests`` answers all kinds of requests.
+- ``link`` transfers the bytes of one connection, with TLS; ``connection`` reads the requests from them.
+- ``server`` accepts connections; ``__main__`` is the command line.
 """
 
 from emulators.directory.entries import Entry, matches
--- a/emulators/directory/__main__.py
+++ b/emulators/directory/__main__.py
@@ -1,8 +1,9 @@
-"""Run a directory to try things out with.
+"""Run an emulated directory of tenants, for tests and for manual experiments.
 
     python -m emulators.directory [ADDRESS [TENANTS NETWORKS_EACH]]
 
-It has five tenants unless a number is given. Each line typed is a command; any other word lists them.
+It has five tenants unless a number is given. Each line of standard input is a command; an unknown command
+prints the list of commands.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Serve until the program is interrupted."""
+    """Serve clients until the program is interrupted."""
     loop = EventLoop(Clock())
     directory = Directory(loop, Address.parse(arguments[0] if arguments else DEFAULT_ADDRESS))
     tenant_count, networks_each = (int(word) for word in [*arguments[1:], "0", "0"][:2])
@@ -36,7 +37,7 @@
     try:
         loop.spawn(read_commands(directory))
         loop.run()
-    except (KeyboardInterrupt, PermissionError):  # a file as standard input can't be waited for
+    except (KeyboardInterrupt, PermissionError):  # epoll refuses a regular file as standard input.
         pass
 
 
@@ -47,7 +48,7 @@
 
 
 def add_many(directory: Directory, tenant_count: int, networks_each: int) -> None:
-    """Add so many tenants, each with so many networks below 10.0.0.0/8."""
+    """Add ``tenant_count`` tenants, each with ``networks_each`` networks of 64 addresses in 10.0.0.0/8."""
     for index in range(tenant_count):
         first = index * networks_each
         networks = [
@@ -57,7 +58,7 @@
 
 
 def read_commands(directory: Directory) -> Coroutine:
-    """Run each line typed as a command, until standard input ends."""
+    """Run each line of standard input as a command and print its result, until the input ends."""
     while True:
         yield Wait(sys.stdin.fileno(), READABLE)
         line = sys.stdin.readline()
@@ -67,7 +68,7 @@
 
 
 def run_command(directory: Directory, words: list[str]) -> str:
-    """Run one command and return what to print."""
+    """Run one command and return its result, or the list of commands if it is unknown."""
     match words:
         case ["stall"]:
             directory.faults.stall = True
@@ -86,7 +87,7 @@
 
 
 def suspend(directory: Directory, name: str) -> None:
-    """Set a tenant's status to suspended; its other attributes stay."""
+    """Set a tenant's status to suspended and keep its other attributes."""
     old = directory.entries[directory.dn(name)].attributes
     unchanged: dict[str, Any] = {key: values for key, values in old.items() if key.startswith("snowthread")}
     directory.put(name, **unchanged | {"snowthreadStatus": "suspended"})
--- a/emulators/directory/ber.py
+++ b/emulators/directory/ber.py
@@ -1,4 +1,4 @@
-"""Encode and decode BER as generic nodes."""
+"""Encode and decode BER (ITU-T X.690) as generic nodes."""
 
 from __future__ import annotations
 
@@ -10,18 +10,21 @@
 APPLICATION = asn1.Classes.Application
 CONTEXT = asn1.Classes.Context
 
-BOOLEAN = 1  # universal tag numbers
+# Universal tag numbers.
+BOOLEAN = 1
 INTEGER = 2
 OCTET_STRING = 4
 ENUMERATED = 10
 SEQUENCE = 16
 SET = 17
-SEQUENCE_OCTET = 0x30  # the identifier octet of a constructed SEQUENCE
-LONG_FORM = 0x80  # of a length: the low bits count the octets that follow
+SEQUENCE_OCTET = 0x30  # Identifier octet of a constructed SEQUENCE.
+LONG_FORM = (
+    0x80  # Bit that marks the long form of a length; the other bits count the length octets that follow.
+)
 
 
 class Node(NamedTuple):
-    """One element: its tag, and its value or the list of the elements inside."""
+    """One element: its tag, and its value or the list of the elements that it contains."""
 
     tag_class: int
     number: int
@@ -29,32 +32,32 @@
 
 
 def boolean(value: bool) -> Node:
-    """Return a BOOLEAN."""
+    """Return a BOOLEAN element."""
     return Node(UNIVERSAL, BOOLEAN, value)
 
 
 def integer(value: int) -> Node:
-    """Return an INTEGER."""
+    """Return an INTEGER element."""
     return Node(UNIVERSAL, INTEGER, value)
 
 
 def enumerated(value: int) -> Node:
-    """Return an ENUMERATED."""
+    """Return an ENUMERATED element."""
     return Node(UNIVERSAL, ENUMERATED, int(value))
 
 
 def octets(value: str | bytes) -> Node:
-    """Return an OCTET STRING."""
+    """Return an OCTET STRING element."""
     return Node(UNIVERSAL, OCTET_STRING, value.encode() if isinstance(value, str) else value)
 
 
 def sequence(*nodes: Node) -> Node:
-    """Return a SEQUENCE."""
+    """Return a SEQUENCE of elements."""
     return Node(UNIVERSAL, SEQUENCE, list(nodes))
 
 
 def set_of(*nodes: Node) -> Node:
-    """Return a SET."""
+    """Return a SET of elements."""
     return Node(UNIVERSAL, SET, list(nodes))
 
 
@@ -90,7 +93,7 @@
 
 
 def wrap_sequence(content: bytes) -> bytes:
-    """Return a SEQUENCE of elements that are encoded already."""
+    """Return the bytes of a SEQUENCE whose elements are already encoded in ``content``."""
     if len(content) < LONG_FORM:
         return bytes((SEQUENCE_OCTET, len(content))) + content
     length = len(content).to_bytes((len(content).bit_length() + 7) // 8)
@@ -98,7 +101,7 @@
 
 
 def frame_length(data: bytes | bytearray) -> int | None:
-    """Return the length of the first element, or None while its head is not complete."""
+    """Return the length in bytes of the first element and its header, None while the header is incomplete."""
     if len(data) < 2:
         return None
     if data[1] < LONG_FORM:
@@ -110,7 +113,7 @@
 
 
 def _read_level(decoder: asn1.Decoder) -> list[Node]:
-    """Return all elements at the decoder's present level."""
+    """Return all remaining elements at the decoder's current level, with the elements inside them."""
     nodes: list[Node] = []
     while (tag := decoder.peek()) is not None:
         if tag.typ == asn1.Types.Constructed:
--- a/emulators/directory/connection.py
+++ b/emulators/directory/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: the requests in its bytes, and when it ends."""
+"""A client's connection: reads its requests and has them answered, until the connection ends."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from snowthread.net.loop import HANGUP, READABLE, Coroutine, EventLoop, Task, Wait
 
 MAX_REQUEST_BYTES = 64 * 1024
-UNSOLICITED = 0  # the message id of notifications
+UNSOLICITED = 0  # Message id of unsolicited notifications (RFC 4511, section 4.4).
 
 
 class Connection:
@@ -36,7 +36,7 @@
         self._loop = loop
         self._sock = sock
         self._on_end = on_end
-        self._closing = False  # after what is still to be sent
+        self._closing = False  # Whether the connection closes once all queued bytes are sent.
         self._received = bytearray()
         self._link = Link(directory, loop.clock, sock)
         self._responses = ResponseWriter(directory, self._transmit)
@@ -45,11 +45,11 @@
         self.task: Task = loop.spawn(self._run())
 
     def notify_change(self, entry: Entry, state: EntryState) -> None:
-        """Report a change of the content to the searches that persist."""
+        """Report a changed entry to the connection's persistent searches."""
         self._searches.notify_change(entry, state)
 
     def close_with(self, notice: Node) -> None:
-        """Send an unsolicited notification and close."""
+        """Send an unsolicited notification, then close the connection."""
         self._responses.send(UNSOLICITED, notice)
         self._closing = True
 
@@ -64,7 +64,7 @@
         try:
             if self._directory.capabilities.ldaps:
                 yield from self._link.handshake()
-                yield from self._receive(b"")  # what came along with the end of the handshake
+                yield from self._receive(b"")  # Requests that arrived with the last bytes of the handshake.
             while not (self._closing and self._link.all_sent):
                 self._link.flush()
                 ready = yield self._link.next_wait()
@@ -80,6 +80,11 @@
             self._loop.close(self._sock)
 
     def _receive(self, data: bytes) -> Generator[Wait, int, None]:
+        """Handle all complete requests in the bytes received so far.
+
+        Raises:
+            ValueError: An incomplete request is longer than ``MAX_REQUEST_BYTES``.
+        """
         self._received += self._link.decrypt(data)
         while (length := ber.frame_length(self._received)) is not None and len(self._received) >= length:
             frame = bytes(self._received[:length])
@@ -89,8 +94,8 @@
                 self._closing = True
             elif next_step is NextStep.START_TLS:
                 yield from self._link.handshake()
-                self._received.clear()  # clear text after the StartTLS request is no part of the session
+                self._received.clear()  # Clear text received after a StartTLS request must not be processed.
                 yield from self._receive(b"")
                 return
         if len(self._received) > MAX_REQUEST_BYTES:
-            raise ValueError("a request without end")
+            raise ValueError("the client's request is longer than MAX_REQUEST_BYTES")
--- a/emulators/directory/content.py
+++ b/emulators/directory/content.py
@@ -1,4 +1,7 @@
-"""All entries of a directory. Each change has a number; a cookie is the number of the last one it covers."""
+"""All entries of a directory.
+
+Changes are numbered. A synchronisation cookie is the number of the last change that the client has received.
+"""
 
 from __future__ import annotations
 
@@ -15,30 +18,36 @@
 
 
 class Content:
-    """The entries below one base."""
+    """The entries below one base DN, and the history of their changes."""
 
     def __init__(self, base: str) -> None:
         self.base = base
-        self.entries: dict[str, Entry] = {}  # by distinguished name
+        self.entries: dict[str, Entry] = {}  # Entries by distinguished name.
         self.change_number = 0
-        self.oldest_cookie = 0  # older ones are expired
-        self.removed: dict[bytes, int] = {}  # uuid -> change number of its removal
+        self.oldest_cookie = 0  # Change number of the oldest valid cookie; cookies below it have expired.
+        self.removed: dict[bytes, int] = {}  # Change number of the removal of each removed entry, by UUID.
 
     def dn(self, name: str) -> str:
         """Return the distinguished name of ``cn=name``."""
         return f"cn={name},{self.base}"
 
     def cookie(self) -> bytes:
-        """Return the cookie of the present content."""
+        """Return the cookie for the current content."""
         return COOKIE_PREFIX + str(self.change_number).encode()
 
     @staticmethod
     def read_cookie(cookie: bytes | None) -> int:
-        """Return the change number of a cookie; 0 without one."""
+        """Return the change number that a cookie holds; 0 without a cookie."""
         return int((cookie or b"").removeprefix(COOKIE_PREFIX) or b"0")
 
     def put(self, name: str, uuid: bytes | None = None, **attributes: Any) -> Entry:
-        """Add or replace ``cn=name``; values are strings or lists of them."""
+        """Add or replace the entry ``cn=name``.
+
+        Args:
+            name: Value of the entry's ``cn``.
+            uuid: UUID of the entry; by default, that of the entry replaced, or else one derived from its DN.
+            attributes: Values of each attribute: one value, or a list or tuple of them.
+        """
         self.change_number += 1
         dn = self.dn(name)
         old = self.entries.get(dn)
@@ -60,7 +69,7 @@
         return entry
 
     def rename(self, name: str, new_name: str) -> None:
-        """Give an entry another name; its UUID stays."""
+        """Rename an entry; its UUID stays the same."""
         old = self.entries.pop(self.dn(name))
         given = {
             attribute: values
@@ -70,19 +79,19 @@
         self.put(new_name, old.uuid, **given)
 
     def remove(self, name: str) -> None:
-        """Remove ``cn=name``."""
+        """Remove the entry ``cn=name``."""
         self.change_number += 1
         entry = self.entries.pop(self.dn(name))
         self.removed[entry.uuid] = self.change_number
         self._changed(entry, EntryState.DELETE)
 
     def expire_cookies(self) -> None:
-        """Make all cookies given so far invalid."""
+        """Invalidate all cookies issued so far."""
         self.change_number += 1
         self.oldest_cookie = self.change_number
 
     def copy_to(self, other: Content) -> None:
-        """Make another directory a replica of the present content."""
+        """Replace the content of another directory with a copy of the current content."""
         other.entries = {
             dn: Entry(entry.dn, entry.uuid, dict(entry.attributes), entry.change_number)
             for dn, entry in self.entries.items()
@@ -91,4 +100,4 @@
         other.removed = dict(self.removed)
 
     def _changed(self, entry: Entry, state: EntryState) -> None:
-        """React to a change; a subclass reports it to its clients."""
+        """Handle the change of an entry; subclasses override this to report it to their clients."""
--- a/emulators/directory/entries.py
+++ b/emulators/directory/entries.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One entry and the number of its last change."""
+    """An entry of the directory, and the number of its last change."""
 
     dn: str
     uuid: bytes
@@ -22,7 +22,7 @@
     encoded: bytes = b""
 
     def node(self) -> Node:
-        """Return the entry as a search result."""
+        """Return the entry as a search result with all attributes."""
         attributes = [
             ber.sequence(ber.octets(name), ber.set_of(*(ber.octets(value) for value in values)))
             for name, values in self.attributes.items()
@@ -34,13 +34,13 @@
         return ber.application(Operation.SEARCH_RESULT_ENTRY, ber.octets(self.dn), ber.sequence())
 
     def encode(self) -> bytes:
-        """Return the search result's bytes, encoded once: a large tree is asked for more than once."""
+        """Return the bytes of the search result, cached because clients read large trees repeatedly."""
         self.encoded = self.encoded or ber.encode(self.node())
         return self.encoded
 
 
 class FilterKind(IntEnum):
-    """Context tags of the filters that the emulator knows."""
+    """Context tags of the kinds of filters that the emulator supports (RFC 4511, section 4.5.1)."""
 
     AND = 0
     OR = 1
@@ -51,16 +51,16 @@
 
 
 class SubstringKind(IntEnum):
-    """Context tags of the parts of a substring filter."""
+    """Context tags of the parts of a substring filter (RFC 4511, section 4.5.1)."""
 
     INITIAL = 0
     ANY = 1
     FINAL = 2
 
 
-def matches(test: Node, entry: Entry) -> bool:
-    """Return whether a filter matches an entry; one of an unknown kind does not."""
-    _, kind, value = test
+def matches(filter_node: Node, entry: Entry) -> bool:
+    """Return whether a filter matches an entry; a filter of an unsupported kind matches none."""
+    _, kind, value = filter_node
     match kind:
         case FilterKind.AND | FilterKind.OR:
             quantifier = all if kind == FilterKind.AND else any
@@ -80,7 +80,7 @@
 
 
 def _values(entry: Entry, name: Node) -> list[str]:
-    """Return the lower-cased values of an attribute."""
+    """Return the values of the named attribute in lower case; attribute names are case-insensitive."""
     wanted = name.value.decode().lower()
     return [
         value.lower() for key, values in entry.attributes.items() if key.lower() == wanted for value in values
@@ -88,6 +88,7 @@
 
 
 def _has_substrings(text: str, parts: Iterable[tuple[int, str]]) -> bool:
+    """Return whether a text contains the parts of a substring filter, in order and without overlap."""
     position = 0
     for kind, part in parts:
         if kind == SubstringKind.INITIAL and not text.startswith(part):
--- a/emulators/directory/link.py
+++ b/emulators/directory/link.py
@@ -1,4 +1,4 @@
-"""The bytes of one client's connection: sending, TLS, and the faults of the link."""
+"""The socket of one client's connection: sends and receives bytes, with TLS and the scripted faults."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 READ_BYTES = 65536
 NEVER_MS = 1e12
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, with no time
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # Value of SO_LINGER: on, with a timeout of 0 s.
 
 
 class Link:
-    """The socket of one connection, what is not sent yet, and TLS once there was a handshake."""
+    """The socket of one connection, its unsent bytes, and its TLS session after a handshake."""
 
     def __init__(self, directory: DirectoryState, clock: Clock, sock: socket.socket) -> None:
         self._directory = directory
@@ -31,21 +31,21 @@
 
     @property
     def all_sent(self) -> bool:
-        """Whether nothing is left to be sent."""
+        """Whether all queued bytes have been sent."""
         return not self._unsent
 
     def queue(self, data: bytes) -> None:
-        """Add bytes to those to be sent, encrypted if there was a handshake."""
+        """Queue bytes to be sent; they are encrypted if there was a TLS handshake."""
         if self._tls is not None:
             self._tls.write(data)
             data = self._tls_out.read()
         self._unsent += data
 
     def flush(self) -> None:
-        """Send what the faults and the socket allow.
+        """Send as many queued bytes as the faults and the socket allow.
 
         Raises:
-            ConnectionResetError: A fault resets the connection.
+            ConnectionResetError: The fault ``reset_after_bytes`` resets the connection.
         """
         faults = self._directory.faults
         if faults.stall:
@@ -65,14 +65,14 @@
             self._sent_bytes += sent
         if faults.reset_after_bytes is not None and self._sent_bytes >= faults.reset_after_bytes:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-            raise ConnectionResetError("by script")
+            raise ConnectionResetError("connection reset by the scripted fault reset_after_bytes")
 
     def receive(self) -> bytes:
-        """Return the bytes that wait at the socket; none at the end of the stream."""
+        """Return the bytes available at the socket; empty at the end of the stream."""
         return self._sock.recv(READ_BYTES)
 
     def next_wait(self) -> Wait:
-        """Return what to wait for, as the faults have it."""
+        """Return the socket events and time to wait for, which depend on the faults and the unsent bytes."""
         faults = self._directory.faults
         stalled = faults.stall_after_bytes is not None and self._sent_bytes >= faults.stall_after_bytes
         wants_to_send = bool(self._unsent) and not faults.stall and not stalled and not faults.byte_delay_ms
@@ -81,15 +81,15 @@
         return Wait(self._sock.fileno(), mask, self._clock.now() + delay_ms)
 
     def handshake(self) -> Generator[Wait, int, None]:
-        """Shake hands for TLS.
+        """Perform the TLS handshake as the server.
 
         Raises:
-            ValueError: The directory has no certificate.
-            ConnectionResetError: The client left.
+            ValueError: The directory's capabilities have no TLS context.
+            ConnectionResetError: The client closed the connection during the handshake.
         """
         context = self._directory.capabilities.tls
         if context is None:
-            raise ValueError("no context")
+            raise ValueError("TLS handshake requested, but the directory has no TLS context")
         tls = context.wrap_bio(self._tls_in, self._tls_out, server_side=True)
         while True:
             try:
@@ -107,11 +107,11 @@
             if ready:
                 data = self.receive()
                 if not data:
-                    raise ConnectionResetError("the client left")
+                    raise ConnectionResetError("the client closed the connection during the TLS handshake")
                 self._tls_in.write(data)
 
     def decrypt(self, data: bytes) -> bytes:
-        """Return the clear text of received bytes: themselves before a handshake."""
+        """Return the clear text of received bytes; before a TLS handshake, they are returned as they are."""
         if self._tls is None:
             return data
         self._tls_in.write(data)
--- a/emulators/directory/protocol.py
+++ b/emulators/directory/protocol.py
@@ -16,11 +16,11 @@
 START_TLS = "1.3.6.1.4.1.1466.20037"
 NOTICE_OF_DISCONNECTION = "1.3.6.1.4.1.1466.20036"
 
-REFRESH_AND_PERSIST = 3  # mode of a synchronisation
+REFRESH_AND_PERSIST = 3  # Mode of a synchronisation that stays open for later changes (RFC 4533).
 
 
 class Operation(IntEnum):
-    """Application tags of the operations."""
+    """Application tags of the LDAP operations (RFC 4511)."""
 
     BIND_REQUEST = 0
     BIND_RESPONSE = 1
@@ -35,7 +35,7 @@
 
 
 class ResultCode(IntEnum):
-    """The result codes that the emulator sends of itself."""
+    """The result codes that the emulator sends when no fault sets another one."""
 
     SUCCESS = 0
     PROTOCOL_ERROR = 2
@@ -49,7 +49,7 @@
 
 
 class EntryState(IntEnum):
-    """States of a synchronised entry."""
+    """The states of an entry in a synchronisation (RFC 4533)."""
 
     PRESENT = 0
     ADD = 1
@@ -58,7 +58,7 @@
 
 
 def message(message_id: int, operation: bytes, controls: Iterable[Node] = ()) -> bytes:
-    """Return the bytes of a message around an encoded operation."""
+    """Return the bytes of a message with an operation that is already encoded."""
     parts = ber.encode(ber.integer(message_id)) + operation
     nodes = list(controls)
     if nodes:
@@ -66,24 +66,31 @@
     return ber.wrap_sequence(parts)
 
 
-def result(operation: int, code: int, text: str = "", more: Iterable[Node] = ()) -> Node:
-    """Return a response that ends an operation."""
-    return ber.application(operation, ber.enumerated(code), ber.octets(""), ber.octets(text), *more)
+def result(operation: int, code: int, text: str = "", additional: Iterable[Node] = ()) -> Node:
+    """Return the response that ends an operation.
+
+    Args:
+        operation: Application tag of the response.
+        code: Result code.
+        text: Diagnostic message.
+        additional: Elements after those that all results have.
+    """
+    return ber.application(operation, ber.enumerated(code), ber.octets(""), ber.octets(text), *additional)
 
 
 def search_done(code: int, text: str = "") -> Node:
-    """Return the end of a search."""
+    """Return the response that ends a search."""
     return result(Operation.SEARCH_RESULT_DONE, code, text)
 
 
 def extended_response(code: int, text: str = "", oid: str | None = None) -> Node:
-    """Return the response to an extended request, or a notification."""
+    """Return the response to an extended request, or an unsolicited notification with this OID."""
     name = [] if oid is None else [ber.context_octets(10, oid)]
     return result(Operation.EXTENDED_RESPONSE, code, text, name)
 
 
 def sync_info(value: Node) -> Node:
-    """Return an intermediate message of a synchronisation."""
+    """Return a sync info message, which is an intermediate response of a synchronisation (RFC 4533)."""
     return ber.application(
         Operation.INTERMEDIATE_RESPONSE,
         ber.context_octets(0, SYNC_INFO),
--- a/emulators/directory/requests.py
+++ b/emulators/directory/requests.py
@@ -11,12 +11,13 @@
 from emulators.directory.searches import SearchHandler
 from emulators.directory.state import DirectoryState
 
-SIMPLE = 0  # context tags of the authentication choice
+# Context tags of the authentication choice in a bind request (RFC 4511, section 4.2).
+SIMPLE = 0
 SASL = 3
 
 
 class NextStep(Enum):
-    """What the connection does after a request."""
+    """The next action of a connection after a request."""
 
     READ = 0
     START_TLS = 1
@@ -24,7 +25,7 @@
 
 
 class RequestHandler:
-    """Answers the requests of one connection: binds and StartTLS itself, searches by their handler."""
+    """Answers the requests of one connection; searches are passed on to the search handler."""
 
     def __init__(self, directory: DirectoryState, responses: ResponseWriter, searches: SearchHandler) -> None:
         self._directory = directory
@@ -32,7 +33,11 @@
         self._searches = searches
 
     def handle(self, parts: list[Node]) -> NextStep:
-        """Answer a message, given its parts: id, operation, and controls if there are any."""
+        """Answer a message and return the connection's next action.
+
+        Args:
+            parts: Elements of the message: its id, its operation, and its controls if there are any.
+        """
         message_id = parts[0].value
         _, operation, value = parts[1]
         match operation:
@@ -72,7 +77,7 @@
 
 
 def _read_controls(parts: list[Node]) -> dict[str, bytes]:
-    """Return the values of a message's controls by OID."""
+    """Return the value of each control of a message, by its OID."""
     if len(parts) < 3:
         return {}
     return {control.value[0].value.decode(): control.value[-1].value for control in parts[2].value}
--- a/emulators/directory/responses.py
+++ b/emulators/directory/responses.py
@@ -1,4 +1,4 @@
-"""Encode the responses of one connection, as far as the faults let them through."""
+"""Encode the responses of one connection, and apply the faults that change or drop messages."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ResponseWriter:
-    """Encodes responses; ``transmit`` takes the bytes of each, or None where a fault ends the connection."""
+    """Encodes responses and passes them to ``transmit``, or None if a fault closes the connection."""
 
     def __init__(self, directory: DirectoryState, transmit: Callable[[bytes | None], None]) -> None:
         self._directory = directory
@@ -20,11 +20,11 @@
         self._message_count = 0
 
     def send(self, message_id: int, operation: Node, controls: Iterable[Node] = ()) -> None:
-        """Send one message, unless a fault changes or prevents it."""
+        """Encode and send one message; a fault may change it or close the connection instead."""
         self.send_encoded(message_id, ber.encode(operation), controls)
 
     def send_encoded(self, message_id: int, operation: bytes, controls: Iterable[Node] = ()) -> None:
-        """Send one message whose operation is encoded already."""
+        """Send one message with an encoded operation; a fault may change it or close the connection."""
         faults = self._directory.faults
         data: bytes | None = protocol.message(message_id, operation, controls)
         self._message_count += 1
@@ -36,7 +36,7 @@
     def send_entry_state(
         self, message_id: int, entry: Entry, state: EntryState, cookie: bytes | None = None
     ) -> None:
-        """Send an entry with its synchronisation state; only its name if it is deleted or unchanged."""
+        """Send an entry with its synchronisation state; without attributes if it is deleted or unchanged."""
         fields = [ber.enumerated(state), ber.octets(entry.uuid)]
         if cookie is not None:
             fields.append(ber.octets(cookie))
--- a/emulators/directory/searches.py
+++ b/emulators/directory/searches.py
@@ -1,4 +1,4 @@
-"""Answer the searches of one connection: plain ones, pages (RFC 2696) and synchronisation (RFC 4533)."""
+"""Answer the searches of one connection: plain, paged (RFC 2696) and synchronising ones (RFC 4533)."""
 
 from __future__ import annotations
 
@@ -13,30 +13,37 @@
 from emulators.directory.state import DirectoryState
 
 SCOPE_BASE = 0
-REFRESH_DELETE = 1  # context tags of a sync info message
+# Context tags of the kinds of a sync info message (RFC 4533).
+REFRESH_DELETE = 1
 REFRESH_PRESENT = 2
 SYNC_ID_SET = 3
 
 
 class _Search(NamedTuple):
-    """A search request: its id, the entries that it matches, the filter, and its controls by OID."""
+    """A search request: its id, the entries that match, its filter, and the values of its controls by OID."""
 
     message_id: int
-    found: list[Entry]
-    test: Node
+    matching: list[Entry]
+    filter_node: Node
     controls: dict[str, bytes]
 
 
 class SearchHandler:
-    """Answers the searches of one connection, and reports changes to those that persist."""
+    """Answers the searches of one connection, and reports changes to its persistent searches."""
 
     def __init__(self, directory: DirectoryState, responses: ResponseWriter) -> None:
         self._directory = directory
         self._responses = responses
-        self._persistent_searches: dict[int, Node] = {}  # message id -> filter
+        self._persistent_searches: dict[int, Node] = {}  # Filters of the persistent searches, by message id.
 
     def search(self, message_id: int, value: list[Node], controls: dict[str, bytes]) -> None:
-        """Answer a search request, given its fields and the values of its controls by OID."""
+        """Answer a search request.
+
+        Args:
+            message_id: Id of the request.
+            value: Fields of the request.
+            controls: Values of its controls by OID.
+        """
         directory = self._directory
         directory.search_count += 1
         if directory.faults.search_code:
@@ -44,12 +51,12 @@
             return
         base = value[0].value.decode()
         scope = value[1].value
-        test = value[6]
+        filter_node = value[6]
         if scope == SCOPE_BASE:
             self._read_entry(message_id, base)
             return
-        found = [entry for entry in directory.entries.values() if matches(test, entry)]
-        search = _Search(message_id, found, test, controls)
+        matching = [entry for entry in directory.entries.values() if matches(filter_node, entry)]
+        search = _Search(message_id, matching, filter_node, controls)
         if protocol.SYNC_REQUEST in controls:
             if directory.capabilities.sync:
                 self._synchronise(search)
@@ -64,13 +71,13 @@
             self._send_all(search)
 
     def abandon(self, message_id: int) -> None:
-        """Report no more changes to a search."""
+        """End a persistent search: no more changes are reported to it."""
         self._persistent_searches.pop(message_id, None)
 
     def notify_change(self, entry: Entry, state: EntryState) -> None:
-        """Report a change to the searches that persist and match it."""
-        for message_id, test in self._persistent_searches.items():
-            if state is EntryState.DELETE or matches(test, entry):
+        """Report a deleted entry to all persistent searches, and a changed one to those that match it."""
+        for message_id, filter_node in self._persistent_searches.items():
+            if state is EntryState.DELETE or matches(filter_node, entry):
                 self._responses.send_entry_state(message_id, entry, state, self._directory.cookie())
 
     def _end_search(self, message_id: int, code: int, text: str = "") -> None:
@@ -85,9 +92,9 @@
 
     def _send_all(self, search: _Search) -> None:
         limit = self._directory.faults.size_limit
-        for entry in search.found[: limit or None]:
+        for entry in search.matching[: limit or None]:
             self._responses.send_encoded(search.message_id, entry.encode())
-        exceeded = limit and len(search.found) > limit
+        exceeded = limit and len(search.matching) > limit
         code = ResultCode.SIZE_LIMIT_EXCEEDED if exceeded else ResultCode.SUCCESS
         self._end_search(search.message_id, code)
 
@@ -95,10 +102,10 @@
         size_node, cookie_node = ber.decode(search.controls[protocol.PAGED_RESULTS]).value
         start = int(cookie_node.value or b"0")
         end = start + size_node.value
-        for entry in search.found[start:end]:
+        for entry in search.matching[start:end]:
             self._responses.send_encoded(search.message_id, entry.encode())
-        next_cookie = str(end) if end < len(search.found) else ""
-        page = ber.sequence(ber.integer(len(search.found)), ber.octets(next_cookie))
+        next_cookie = str(end) if end < len(search.matching) else ""
+        page = ber.sequence(ber.integer(len(search.matching)), ber.octets(next_cookie))
         self._responses.send(
             search.message_id,
             protocol.search_done(ResultCode.SUCCESS),
@@ -110,39 +117,41 @@
         limit = directory.faults.size_limit
         mode_node, *options = ber.decode(search.controls[protocol.SYNC_REQUEST]).value
         cookie = next((node.value for node in options if node.number == ber.OCTET_STRING), None)
-        known = Content.read_cookie(cookie)
-        if cookie is not None and known < directory.oldest_cookie:
+        known_change = Content.read_cookie(cookie)
+        if cookie is not None and known_change < directory.oldest_cookie:
             self._end_search(search.message_id, ResultCode.SYNC_REFRESH_REQUIRED)
             return
-        if limit and len(search.found) > limit:
-            for entry in search.found[:limit]:
+        if limit and len(search.matching) > limit:
+            for entry in search.matching[:limit]:
                 self._responses.send_entry_state(search.message_id, entry, EntryState.ADD)
             self._end_search(search.message_id, ResultCode.SIZE_LIMIT_EXCEEDED)
             return
-        for entry in search.found:
-            if entry.change_number > known:
+        for entry in search.matching:
+            if entry.change_number > known_change:
                 self._responses.send_entry_state(search.message_id, entry, EntryState.ADD)
-        names_deleted = cookie is not None
-        if names_deleted:
-            self._send_deleted(search.message_id, known)
-        self._end_refresh(search, mode_node.value, names_deleted)
-
-    def _send_deleted(self, message_id: int, known: int) -> None:
-        deleted = [uuid for uuid, number in self._directory.removed.items() if number > known]
+        sends_deletions = cookie is not None
+        if sends_deletions:
+            self._send_deleted(search.message_id, known_change)
+        self._end_refresh(search, mode_node.value, sends_deletions)
+
+    def _send_deleted(self, message_id: int, known_change: int) -> None:
+        """Send the UUIDs of the entries that were removed after a change."""
+        deleted = [uuid for uuid, number in self._directory.removed.items() if number > known_change]
         if deleted:
             uuids = ber.set_of(*(ber.octets(uuid) for uuid in deleted))
             id_set = ber.context(SYNC_ID_SET, ber.boolean(True), uuids)
             self._responses.send(message_id, protocol.sync_info(id_set))
 
-    def _end_refresh(self, search: _Search, mode: int, names_deleted: bool) -> None:
+    def _end_refresh(self, search: _Search, mode: int, sends_deletions: bool) -> None:
+        """End the refresh stage; the search persists if its mode asks for that and the server supports it."""
         cookie = ber.octets(self._directory.cookie())
         if mode != protocol.REFRESH_AND_PERSIST:
-            flags = [ber.boolean(True)] if names_deleted else []
+            flags = [ber.boolean(True)] if sends_deletions else []
             done = protocol.control(protocol.SYNC_DONE, ber.sequence(cookie, *flags))
             self._responses.send(search.message_id, protocol.search_done(ResultCode.SUCCESS), [done])
         elif self._directory.capabilities.persist:
-            phase = ber.context(REFRESH_DELETE if names_deleted else REFRESH_PRESENT, cookie)
+            phase = ber.context(REFRESH_DELETE if sends_deletions else REFRESH_PRESENT, cookie)
             self._responses.send(search.message_id, protocol.sync_info(phase))
-            self._persistent_searches[search.message_id] = search.test
+            self._persistent_searches[search.message_id] = search.filter_node
         else:
             self._end_search(search.message_id, ResultCode.UNWILLING_TO_PERFORM, "no persistence here")
--- a/emulators/directory/server.py
+++ b/emulators/directory/server.py
@@ -1,4 +1,4 @@
-"""The directory server: its listener and the open connections."""
+"""The directory server: accepts connections and keeps track of the open ones."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     ) -> None:
         super().__init__(base, capabilities or Capabilities())
         self.loop = loop
-        self.connections: list[Connection] = []  # that are open
+        self.connections: list[Connection] = []  # The open connections.
         self.accepted_at_ms: list[float] = []
         self._listener = address.open(socket.SOCK_STREAM)
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -39,28 +39,28 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as host:port."""
+        """The address that the server listens on, as host:port."""
         host, port = self._listener.getsockname()[:2]
         return f"{host}:{port}"
 
     def close(self) -> None:
-        """Stop listening and drop all connections."""
+        """Stop listening and close all connections."""
         self.loop.end_task(self._task)
         self._listener.close()
         self.drop_connections()
 
     def drop_connections(self) -> None:
-        """Close all connections at once."""
+        """Close all connections at once, without a notice of disconnection."""
         for connection in list(self.connections):
             self.loop.end_task(connection.task)
 
     def wake_connections(self) -> None:
-        """Let the connections act on changed faults."""
+        """Make the open connections apply changed faults at once."""
         for connection in self.connections:
             self.loop.wake(connection.task)
 
     def disconnect_all(self, code: int = ResultCode.UNAVAILABLE) -> None:
-        """Send each client a notice of disconnection (RFC 4511, section 4.4.1), and close."""
+        """Send each client a notice of disconnection (RFC 4511, section 4.4.1), then close its connection."""
         notice = protocol.extended_response(code, "going down", protocol.NOTICE_OF_DISCONNECTION)
         for connection in list(self.connections):
             connection.close_with(notice)
--- a/emulators/directory/state.py
+++ b/emulators/directory/state.py
@@ -1,4 +1,4 @@
-"""A directory without its sockets: its content, what it supports, its faults and its counts."""
+"""The state of a directory without its sockets: content, capabilities, faults and counters."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class DirectoryState(Content):
-    """What the connections of one directory share."""
+    """The state that all connections of a directory share."""
 
     def __init__(self, base: str, capabilities: Capabilities) -> None:
         super().__init__(base)
         self.capabilities = capabilities
         self.faults = Faults()
-        self.search_count = 0  # requests received
+        self.search_count = 0
         self.bind_count = 0
