--- a/emulators/__init__.py
+++ b/emulators/__init__.py
@@ -1,5 +1,6 @@
-"""Emulators of what a node talks to, written from the public descriptions and driven by scripts.
+"""Emulators of the systems that a node communicates with, such as its runtime, database and balancers.
 
-They share the node's event loop and addresses, never its codecs, so that a mistake in one does not hide the
-same mistake in the other.
+They are written from the public protocol descriptions and controlled by scripts. They use the node's event
+loop and address type but none of its codecs, so that an error in a codec is not hidden by the same error on
+the other side of the connection.
 """
--- a/emulators/directory/ber.py
+++ b/emulators/directory/ber.py
@@ -18,9 +18,8 @@
 SEQUENCE = 16
 SET = 17
 SEQUENCE_OCTET = 0x30  # Identifier octet of a constructed SEQUENCE.
-LONG_FORM = (
-    0x80  # Bit that marks the long form of a length; the other bits count the length octets that follow.
-)
+# Bit that marks the long form of a length; the other bits count the length octets that follow.
+LONG_FORM = 0x80
 
 
 class Node(NamedTuple):
--- a/emulators/fleet_services.py
+++ b/emulators/fleet_services.py
@@ -1,17 +1,17 @@
-"""Emulate the surroundings of all nodes of a fleet as one process of the lab.
+"""Emulate the peers of all nodes of a fleet as one process of the lab.
 
-It runs a machine a node, the formula database that they share, and the registry.
+It runs one machine per node, the formula database that the nodes share, and the registry.
 
 ``python -m emulators.fleet_services PLAN_JSON`` reads a file with ``runtimes`` (addresses), ``database``,
 ``roster``, ``cores``, ``run_ms`` (by class), ``call_ms``, ``slots``, ``seed``, ``calls`` (classes that call
 the database) and ``warmth`` (see :class:`emulators.machine.WarmupModel`). It prints ``fleet: ready`` and then
-takes commands on standard input:
+executes commands from standard input:
 
-    slow F          the database takes F times as long from now on (1 heals it)
-    cold N          the machine with this number is switched off and on
-    generation G    the registry announces this generation of the fleet from now on
-    report          prints one JSON line: runs by key, load of the database, overloads of the machines
-    (end)           the process ends
+    slow F          multiplies the time of the database's calls by F from now on (1 restores it)
+    cold N          power-cycles the machine with this number
+    generation G    sets the generation of the fleet that the registry announces from now on
+    report          prints runs by key, load of the database and overloads of the machines as one line of JSON
+    (end)           the end of the input ends the process
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
     """The machines, the database and the registry of a fleet, and the commands that change them."""
 
     def __init__(self, loop: EventLoop, plan: dict[str, Any]) -> None:
-        """Listen at all addresses of the plan."""
+        """Listen on all addresses of the plan."""
         self._loop = loop
         generator = random.Random(plan["seed"])
         script = SiteScript(
@@ -56,7 +56,7 @@
             loop, Address.parse(plan["database"]), float(plan["call_ms"]), int(plan["slots"])
         )
         self._registry = FleetRegistry(loop, Address.parse(plan["roster"]))
-        self._warmth_by_second: dict[int, float] = {}  # in the mean over the machines
+        self._warmth_by_second: dict[int, float] = {}  # Mean warmth of the machines, from 0 to 1, by second.
         self._sample_warmth()
 
     def _sample_warmth(self) -> None:
@@ -66,7 +66,7 @@
         self._warmth_by_second[int(now // MS_PER_S)] = round(warmth, 3)
 
     def handle(self, command: str, argument: str) -> None:
-        """Carry out a command of standard input."""
+        """Execute a command from standard input."""
         match command:
             case "slow":
                 self._database.slowdown = max(SLOWDOWN_MIN, float(argument))
@@ -78,7 +78,7 @@
                 print(json.dumps(self._report()), flush=True)
 
     def _report(self) -> dict[str, Any]:
-        """Return what happened so far; the keys are read by :mod:`snowthread.lab.summary`."""
+        """Return the figures of all services so far; :mod:`snowthread.lab.summary` reads the keys."""
         return {
             "keyed": count_keyed_runs(self._machines),
             "calls": dict(self._database.received_by_second),
@@ -93,9 +93,9 @@
 
 
 def count_keyed_runs(machines: list[Machine]) -> dict[str, int]:
-    """Return how often each machine began a run of each idempotency key, by ``machine/key``.
+    """Return how many runs of each idempotency key each machine started, by ``machine/key``.
 
-    The bodies of keyed requests in the lab name their key.
+    In the lab, the body of a request with an idempotency key names the key.
     """
     return {
         f"{number}/{body.removeprefix(KEYED_BODY_PREFIX).decode(errors='replace')}": count
--- a/emulators/machine.py
+++ b/emulators/machine.py
@@ -1,10 +1,10 @@
 """Emulate a node's machine in the fleet lab: a runtime that warms up with the database's replies.
 
-A cold machine works at ``cold_share`` of its speed, and its runs make ``cold_calls`` more calls than the
-``warm_calls`` of a warm one. Each reply makes it warmer, as lookups fill a cache, until ``warm_replies`` of
-them have made it warm. A machine is overloaded while the mean load of its cores over 2 s is above a limit:
-``fall_multiple`` runs a core when warm, fewer when cold. A run that waits for a call when its request's
-deadline passes ends there, as on the platform.
+A cold machine works at ``cold_share`` of its warm speed. A run makes ``warm_calls`` database calls on a warm
+machine and ``cold_calls`` more on a cold one. Each reply warms the machine, as lookups fill a cache, and
+after ``warm_replies`` replies it is warm. A machine is overloaded while the mean load of its cores over 2 s
+exceeds a limit: ``fall_multiple`` runs per core when warm, fewer when cold. A run that waits for a call at
+its request's deadline is aborted, as on the platform.
 """
 
 from __future__ import annotations
@@ -21,27 +21,27 @@
 
 LOAD_WINDOW_MS = 2000.0
 LOAD_SAMPLE_MS = 100.0
-# What a result ends with: made with all of its calls, or with a call left out.
+# Endings of a result, which tell whether the run made all of its database calls or one of them was omitted.
 COMPLETE_SUFFIX = b" known"
 OMITTED_SUFFIX = b" without"
-RUN_TIME_SPREAD = 0.3  # a run takes its class's time, up to this share shorter or longer
+RUN_TIME_SPREAD = 0.3  # Maximum relative deviation of a run's core time from that of its class.
 
 
 @dataclass(frozen=True, slots=True)
 class WarmupModel:
-    """How a machine warms up; the field names are the keys of the plan's ``warmth``."""
+    """How a machine warms up; the field names are the keys of ``warmth`` in the lab's plan."""
 
-    cold_share: float = 0.23  # of the warm speed
-    warm_calls: float = 0.5  # calls of a run, when warm
-    cold_calls: float = 3.0  # more of them, when cold
+    cold_share: float = 0.23  # Ratio of the speed of a cold machine to that of a warm one.
+    warm_calls: float = 0.5  # Mean number of database calls of a run on a warm machine.
+    cold_calls: float = 3.0  # Mean number of additional database calls of a run on a cold machine.
     warm_replies: int = 150
-    fall_multiple: float = 5.0  # runs a core that a warm machine survives
-    over_ms: Mapping[str, float] = field(default_factory=dict)  # deadline of a request, by class
+    fall_multiple: float = 5.0  # Mean number of runs per core above which a warm machine is overloaded.
+    over_ms: Mapping[str, float] = field(default_factory=dict)  # Deadline of a request in ms, by class.
 
 
 @dataclass(slots=True)
 class _Run:
-    """A run that goes on."""
+    """A run in progress."""
 
     body: bytes
     calls_left: int
@@ -50,7 +50,7 @@
 
 
 class Machine(RuntimeEmulator):
-    """The runtime of one node in the lab; ``restart`` is a power cycle."""
+    """The runtime of one node in the lab, whose machine is cold after a restart and warms up."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         model: WarmupModel,
         generator: random.Random,
     ) -> None:
-        """Listen at the address, already warm: the fleet has been at work for long when a run begins."""
+        """Listen on the address; the machine is warm, as a lab run starts with a fleet long in operation."""
         self._model = model
         self._generator = generator
         self._replies = model.warm_replies
@@ -72,16 +72,16 @@
 
     @property
     def warmth(self) -> float:
-        """How warm the machine is, from 0 to 1."""
+        """The progress of the warm-up, from 0 (cold) to 1 (warm)."""
         return min(1.0, self._replies / self._model.warm_replies)
 
     @property
     def speed(self) -> float:
-        """Its speed, as a share of that when warm."""
+        """The ratio of the machine's speed to its warm speed."""
         return self._model.cold_share + (1.0 - self._model.cold_share) * self.warmth
 
     def restart(self) -> None:
-        """Switch the machine off and on: all runs and notices are lost, and it is cold."""
+        """Power-cycle the machine: all runs and notices are lost, and it is cold afterwards."""
         super().restart()
         self._replies = 0
         self._runs.clear()
@@ -108,7 +108,7 @@
         self._occupy_core(attempt_id, duration_ms / self.speed, partial(self._continue, attempt_id))
 
     def _draw_calls(self, class_name: str) -> int:
-        """Draw how many calls a run makes, with the right mean."""
+        """Return a random number of database calls for a run, whose mean depends on the warm-up."""
         mean = 0.0
         if class_name in self.script.calling_classes:
             mean = self._model.warm_calls + (1.0 - self.warmth) * self._model.cold_calls
@@ -127,13 +127,13 @@
             self._continue(attempt_id)
 
     def _end_run_at_call(self, attempt_id: str) -> None:
-        """End a run at its request's deadline, where it waits for a call."""
+        """Abort a run at its request's deadline if it waits for a call."""
         run = self._runs.get(attempt_id)
         if run is not None and run.waiting_for_reply:
             self._end_run(attempt_id, "aborted", b"")
 
     def _continue(self, attempt_id: str) -> None:
-        """Make the next call of a run, or end it after the last."""
+        """Make the next call of a run, or end the run after its last one."""
         run = self._runs[attempt_id]
         if run.calls_left > 0:
             run.calls_left -= 1
--- a/emulators/metered_database.py
+++ b/emulators/metered_database.py
@@ -1,6 +1,6 @@
-"""A formula database that records how many calls it had in hand, in the mean over a window.
+"""A formula database that measures its concurrent calls as a mean over a sliding window.
 
-A call whose client closes its connection stays in hand for :data:`LINGER_MS`, as on the platform.
+A call whose client closes the connection stays active for another :data:`LINGER_MS`, as on the platform.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 
 
 class _Sample(NamedTuple):
-    """How many calls were in hand at a time."""
+    """The number of active calls at one time."""
 
     at_ms: float
     calls: int
 
 
 class MeteredDatabase:
-    """Answers each call after ``answer_ms``; may be changed at any time."""
+    """Answers each call after ``answer_ms`` milliseconds; the attribute may be changed at any time."""
 
     def __init__(self, loop: EventLoop, address: Address, answer_ms: float) -> None:
-        """Listen at the address."""
+        """Listen on the address."""
         self.answer_ms = answer_ms
-        self.calls = 0  # that came
-        self.peak_mean_calls = 0.0  # of the calls in hand, over the window
+        self.calls_received = 0
+        self.peak_mean_calls = 0.0  # Highest mean number of concurrent calls over any window so far.
         self._active_calls = 0
         self._loop = loop
         self._samples: deque[_Sample] = deque()
@@ -55,7 +55,7 @@
                 yield Wait(connection.fileno(), READABLE | HANGUP)
                 if not connection.recv(READ_BYTES):
                     return
-                self.calls += 1
+                self.calls_received += 1
                 yield from self._answer(connection)
         except OSError:
             pass
@@ -63,7 +63,7 @@
             self._loop.close(connection)
 
     def _answer(self, connection: socket.socket) -> Coroutine:
-        """Answer one call, or drop it a while after its client has gone."""
+        """Answer one call; if its client disconnects first, end the call at most ``LINGER_MS`` later."""
         self._active_calls += 1
         try:
             due_ms = self._loop.clock.now() + self.answer_ms
--- a/emulators/node_under_faults.py
+++ b/emulators/node_under_faults.py
@@ -1,7 +1,7 @@
-"""One real node process with emulated peers, and a relay on each of its links.
+"""A real node process with emulated peers, and relays that inject faults into its connections to them.
 
-All emulators run on the loop of the caller's process; the node is a ``python -m snowthread`` of its own. The
-relays' faults are the caller's to set, at times of the loop's clock.
+The node is a ``python -m snowthread`` process. All emulators and relays run on the event loop of the caller's
+process, and the caller sets the faults of the relays while it runs the loop.
 """
 
 from __future__ import annotations
@@ -37,45 +37,46 @@
 START_TIMEOUT_MS = 30_000.0
 LOOP_STEP_S = 0.02
 HOST = "127.0.0.1"
-MAX_OBJECTIVE_RATIO = 0.7  # of a class's latency objective to its deadline
-MIN_KEY_WINDOW_S = 15.951  # of classes with idempotency keys
+MAX_OBJECTIVE_RATIO = 0.7  # Maximum ratio of a class's latency objective to its deadline.
+MIN_KEY_WINDOW_S = 15.951  # Minimum ``window_s`` in the settings of a class with idempotency keys.
 MS_PER_S = 1000.0
 POLL_MS = 50.0
-SOURCES = ("127.0.0.2", "127.0.0.3", "127.0.0.4")  # of the balancers
+SOURCES = ("127.0.0.2", "127.0.0.3", "127.0.0.4")  # Source addresses of the emulated balancers.
 
 
 class NodeStartError(RuntimeError):
-    """The node did not start."""
+    """The node process ended before it accepted connections, or took too long to accept them."""
 
     def __init__(self, log: str) -> None:
-        """Give what the node has logged."""
+        """Include what the node has logged so far."""
         self.log = log
-        super().__init__(f"the node did not start: {log}")
+        super().__init__(f"the node did not start; its log: {log}")
 
 
 @dataclass(slots=True)
 class NodeScenario:
-    """What is played: the node's settings, its machine, and the load in shares of its capacity."""
+    """The settings of the node, the machine of its runtime, and the load offered to it."""
 
     model: MachineModel
-    load_ratio: float  # Offered core time as a ratio to the core time of the machine.
+    load_ratio: float  # Ratio of the core time that the offered runs need to that of the machine's cores.
     class_shares: Mapping[str, float]
     keyed_classes: frozenset[str] = frozenset({"dispense"})
     preemption: str = "drop"
-    domain: Mapping[str, Any] = field(default_factory=dict)  # changes to the settings' ``domain``
+    # Changes to ``domain`` in the example's settings.
+    domain: Mapping[str, Any] = field(default_factory=dict)
     database_ms: float = 20.0
-    wait_ms: float = 3000.0  # for which balancers wait
-    deadline_s: float = 0.0  # of all classes; 0: as in the example
+    wait_ms: float = 3000.0  # Time in ms for which balancers wait for an answer.
+    deadline_s: float = 0.0  # Deadline in s of all classes; 0 keeps those of the example's settings.
     stop_ms: int = 3700
 
     def settings(self) -> dict[str, Any]:
-        """Return the example's settings with the changes of this scenario."""
+        """Return the settings of ``examples/node.json`` with the changes of this scenario."""
         settings: dict[str, Any] = deepcopy(json.loads(EXAMPLE_CONFIGURATION.read_bytes())["settings"])
         settings["domain"] |= {"cores": self.model.cores, "preemption": self.preemption} | dict(self.domain)
         settings["rules"] |= {
-            "fall_multiple": self.model.fall_multiple,
+            "fall_multiple": self.model.warm_runs_per_core_max,
             "overload_for_s": self.model.overload_window_ms / MS_PER_S,
-            "cold_share": self.model.cold_share,
+            "cold_share": self.model.cold_speed_ratio,
             "ramp_time_s": self.model.warmup_ms / MS_PER_S,
         }
         for request_class in settings["classes"]:
@@ -90,15 +91,21 @@
         return settings
 
     def requests_per_s(self) -> float:
-        """Return the rate of arrivals."""
+        """Return the mean number of requests per second."""
         return self.load_ratio * self.model.cores / self.model.mean_run_ms * MS_PER_S
 
 
 class NodeUnderFaults:
-    """A node process, its peers and the relays between them; a context manager."""
+    """A node process, its peers and the relays between them; as a context manager, it stops them on exit."""
 
     def __init__(self, folder: Path, scenario: NodeScenario, seed: int) -> None:
-        """Start the peers; the node starts with :meth:`start_node`."""
+        """Start the emulators and relays; :meth:`start_node` starts the node.
+
+        Args:
+            folder: Folder for the node's configuration and log.
+            scenario: Settings, machine and load.
+            seed: Seed of all random values.
+        """
         self.loop = EventLoop(Clock())
         self.scenario = scenario
         self.generator = random.Random(seed)
@@ -144,40 +151,41 @@
         self._resources.close()
 
     def start_node(self) -> None:
-        """Start the node and wait until it listens.
+        """Start the node, and wait until it is connected to its runtime and accepts connections.
 
         Raises:
-            NodeStartError: It ended before, or took too long.
+            NodeStartError: The process ended before that, or took longer than ``START_TIMEOUT_MS``.
         """
         self.runtime.reset_for_new_node()
         environment = os.environ | {"NODE_CONFIG": str(self._config_path), "PYTHONPATH": str(ROOT)}
         log = self._resources.enter_context(self.log_path.open("ab"))
-        command = f"trap '' HUP; exec {shlex.quote(sys.executable)} -m snowthread"  # as in service
+        # The service starts the node with SIGHUP ignored, too.
+        command = f"trap '' HUP; exec {shlex.quote(sys.executable)} -m snowthread"
         self.process = subprocess.Popen(
             ["/bin/sh", "-c", command], cwd=ROOT, env=environment, stdout=log, stderr=log
         )
         deadline_ms = self.loop.clock.now() + START_TIMEOUT_MS
         links = self.runtime.links
-        while self.runtime.links == links or not self._listens():
+        while self.runtime.links == links or not self._accepts_connections():
             if self.process.poll() is not None or self.loop.clock.now() > deadline_ms:
                 raise NodeStartError(self.log())
             self.run_for(POLL_MS)
 
-    def _listens(self) -> bool:
+    def _accepts_connections(self) -> bool:
         with socket.socket() as probe:
             return probe.connect_ex(self.listen_address) == 0
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the node, if it is there."""
+        """Send a signal to the node if its process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def run_for(self, duration_ms: float) -> None:
-        """Let the emulators run for so long."""
+        """Run the event loop, and with it the emulators, for ``duration_ms`` milliseconds."""
         self.load_generator.run_until(self.loop.clock.now() + duration_ms)
 
     def schedule_load(self, seconds: float) -> None:
-        """Schedule the scenario's arrivals from now on."""
+        """Schedule the requests of the scenario for the next ``seconds`` seconds."""
         scenario = self.scenario
         self.load_generator.schedule_arrivals(
             self.generator, scenario.requests_per_s(), seconds, scenario.class_shares, scenario.keyed_classes
--- a/emulators/persistent_clients.py
+++ b/emulators/persistent_clients.py
@@ -1,9 +1,9 @@
-"""Clients of one node that go on using their open connections, whatever the node says, until it is killed.
+"""Clients that keep using their open connections to one node until it is killed, even while it drains.
 
-Each request is sent at its time whether or not earlier ones were answered, on a connection that is open
-already where there is one. Some connections are reset by their client and some requests are cancelled: their
-answers are not owed. A request that crosses the end of its connection, within :data:`CLOSE_RACE_MS` of it, is
-sent once more on a new one, as the platform's balancers do.
+Requests are sent at their scheduled times, whether or not earlier ones were answered, on an open connection
+if there is one. Clients reset some connections and cancel some requests; no answer is expected for the
+requests concerned. If a connection ends within :data:`CLOSE_RACE_MS` after a request was sent on it, the node
+may not have read the request. It is then sent once more on a new connection, as the platform's balancers do.
 """
 
 from __future__ import annotations
@@ -28,35 +28,35 @@
 
 CLOSE_RACE_MS = 50.0
 READ_BYTES = 65536
-REQUESTS_OPEN_MAX = 32  # on one connection
+OPEN_REQUESTS_MAX = 32  # Maximum number of requests sent on one connection before a new one is opened.
 CONNECT_TIMEOUT_S = 1.0
 BALANCER_NUMBER = 1
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, with a timeout of 0 s
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # Value of SO_LINGER: on, with a timeout of 0 s.
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """One request of a client, and what became of it."""
+    """One request of a client, and its outcome."""
 
     class_name: str
-    idempotency_key: str  # empty: none
+    idempotency_key: str  # Empty for a request without an idempotency key.
     wait_ms: float
     attempt_id: str = ""
     sent_ms: float = 0.0
     answers: list[str] = field(default_factory=list)
     answered_ms: float = 0.0
     attempts: int = 0
-    answer_expected: bool = True  # False: cancelled, reset by its client, or never accepted
+    answer_expected: bool = True  # False if cancelled, reset by its client, never sent, or open at the kill.
     lost_reason: str = ""
 
     @property
     def lateness_ms(self) -> float:
-        """How long after its due time it was answered."""
+        """Time in ms from the request's deadline to its answer; negative if the answer was in time."""
         return self.answered_ms - self.sent_ms - self.wait_ms
 
 
 class ClientConnection:
-    """One connection, used for as long as it is open."""
+    """One connection to the node, and the requests sent on it."""
 
     def __init__(self, clients: PersistentClients, sock: socket.socket) -> None:
         self.sock = sock
@@ -67,7 +67,7 @@
         self._unpacker = msgpack.Unpacker()
 
     def send(self, request: ClientRequest) -> None:
-        """Send a request; OSError where the connection is broken."""
+        """Send a request; the socket raises OSError if the connection is broken."""
         self._number += 1
         key = request.idempotency_key
         message = RequestMessage(
@@ -83,7 +83,7 @@
         self.sock.sendall(message.encode())
 
     def cancel(self, request: ClientRequest) -> None:
-        """Notify the node that nobody waits for a request any more."""
+        """Send the node a cancellation of a request, if the request was sent on this connection."""
         for number, found in list(self.open.items()):
             if found is request and not self.is_closed:
                 del self.open[number]
@@ -117,13 +117,13 @@
 
 
 class PersistentClients:
-    """All clients of one node."""
+    """All clients of one node, which share a fixed number of connections."""
 
     def __init__(self, loop: EventLoop, address: Address, generator: random.Random, connections: int) -> None:
-        """Connect to nothing yet; ``connections`` are used in turn."""
+        """Open no connection yet; requests are spread at random over up to ``connections`` connections."""
         self.loop = loop
         self.requests: list[ClientRequest] = []
-        self.node_killed = False  # killed: what was open then is not owed
+        self.node_killed = False  # Set at the kill: no answer is expected for requests that are open then.
         self._address = address
         self._generator = generator
         self._connections: list[ClientConnection | None] = [None] * connections
@@ -143,11 +143,12 @@
         try:
             self._connection(index).send(request)
         except OSError:
-            request.answer_expected = False  # refused, or broken as it was sent: not a byte of it counts
+            # The connection was refused or broke during sending: the node cannot have read the whole request.
+            request.answer_expected = False
 
     def _connection(self, index: int) -> ClientConnection:
         found = self._connections[index]
-        if found is None or found.is_closed or len(found.open) >= REQUESTS_OPEN_MAX:
+        if found is None or found.is_closed or len(found.open) >= OPEN_REQUESTS_MAX:
             sock = socket.create_connection(self._address, timeout=CONNECT_TIMEOUT_S)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -157,7 +158,7 @@
         return found
 
     def cancel(self, request: ClientRequest) -> None:
-        """Cancel a request that has no answer yet."""
+        """Cancel a request unless it has been answered."""
         if not request.answers:
             request.answer_expected = False
             for connection in self._connections:
@@ -165,7 +166,7 @@
                     connection.cancel(request)
 
     def reset_random_connection(self) -> None:
-        """Reset a random connection; what is open there is not owed any more."""
+        """Reset a random connection; no answer is expected for its open requests any more."""
         connection = self._generator.choice(self._connections)
         if connection is not None and not connection.is_closed:
             for request in connection.open.values():
@@ -175,7 +176,7 @@
             connection.sock.shutdown(socket.SHUT_RDWR)
 
     def open_idle_connections(self, count: int) -> None:
-        """Open connections that send nothing."""
+        """Open ``count`` connections that send nothing; stop at the first one that the node refuses."""
         for _ in range(count):
             try:
                 self._idle.append(socket.create_connection(self._address, timeout=CONNECT_TIMEOUT_S))
@@ -183,13 +184,13 @@
                 return
 
     def close_idle_connections(self) -> None:
-        """Close the connections that sent nothing."""
+        """Close the connections that were opened to send nothing."""
         for sock in self._idle:
             sock.close()
         self._idle.clear()
 
     def connection_ended(self, connection: ClientConnection) -> None:
-        """Judge what was open on a connection that the node or the kernel closed."""
+        """Resend or mark as lost the open requests of a connection that the node or the kernel closed."""
         now = self.loop.clock.now()
         for request in connection.open.values():
             if request.answers or not request.answer_expected:
@@ -198,7 +199,8 @@
                 request.answer_expected = False
             elif now - request.sent_ms <= CLOSE_RACE_MS and request.attempts == 1:
                 index = self._generator.randrange(len(self._connections))
-                self._connections[index] = None  # on a new connection; the earlier one is still read
+                # Resend on a new connection; a connection that is replaced here is still read for answers.
+                self._connections[index] = None
                 self._send(request, index)
             else:
                 request.lost_reason = f"connection ended {now - request.sent_ms:.0f} ms after it was sent"
--- a/emulators/runtime_link.py
+++ b/emulators/runtime_link.py
@@ -1,7 +1,7 @@
-"""The link of an emulated runtime to its node: messages, and numbered notices that are sent again.
+"""The link of an emulated runtime to its node: messages, and numbered notices that a new link receives again.
 
-The wire words are those of the platform: a message is a JSON object a line, ``uid`` names an attempt, ``pos``
-the number of a notice.
+The format on the wire is that of the platform. Each message is a JSON object on a line of its own; ``uid`` is
+the id of an attempt, and ``pos`` is the number of a notice.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from itertools import islice
 from typing import Any
 
-# Reported as constants with the measured part of the load.
+# A load report has measured values for utilization and runs, and these constants for heap share and links.
 HEAP_SHARE = 0.1
 LINKS = 2
-RUN_WALL_MS = 1.0  # reported with each run that ended
+RUN_WALL_MS = 1.0  # Wall-clock time in ms reported for every run that ends; it is not measured.
 
 Message = dict[str, Any]
 
@@ -25,8 +25,8 @@
 class RuntimeLink:
     """The link to the node that connected last.
 
-    Notices are numbered from 1. They are stored, the latest ``max_notices`` where that is given, and sent
-    again to a node that connects and asks for those after a position.
+    Notices are numbered from 1. All of them are stored, or the latest ``max_notices`` if that is given. When
+    a node connects, it names the last notice that it received, and the link sends the stored ones after that.
     """
 
     def __init__(self, max_notices: int | None = None) -> None:
@@ -35,13 +35,17 @@
         self._notice_count = 0
 
     def is_current(self, connection: socket.socket) -> bool:
-        """Return whether this is the connection of the node."""
+        """Return whether this is the current connection to the node."""
         return self._connection is connection
 
     def connect(self, connection: socket.socket, code: str, age_ms: float, position: int) -> None:
-        """Take a connection as the node's.
+        """Make a connection the current one, and send the runtime's state and the missed notices on it.
 
-        It is sent the machine's state (``code``) and age, and all stored notices after a position.
+        Args:
+            connection: Connection of the node.
+            code: State of the machine, as on the wire.
+            age_ms: Time since the machine started, in ms.
+            position: Number of the last notice that the node received; later ones are sent.
         """
         self._connection = connection
         self.send({"action": "ready", "code": code, "wall_ms": age_ms})
@@ -50,50 +54,57 @@
             self.send(notice)
 
     def disconnect(self) -> None:
-        """Break the link; the node may connect again."""
+        """Shut down the current connection; the node may connect again."""
         if self._connection is not None:
-            with contextlib.suppress(OSError):  # its node may have been killed a moment ago
+            with contextlib.suppress(OSError):  # The node's end is already gone if the node has been killed.
                 self._connection.shutdown(socket.SHUT_RDWR)
             self._connection = None
 
     def connection_ended(self, connection: socket.socket) -> None:
-        """Note that a connection has ended."""
+        """Update the link after a connection has ended."""
         if self._connection is connection:
             self._connection = None
 
     def clear_notices(self) -> None:
-        """Begin the numbering of notices again."""
+        """Discard all stored notices and restart their numbering at 1."""
         self._notices.clear()
         self._notice_count = 0
 
     def send(self, message: Message) -> None:
-        """Send a message; it is lost where there is no link."""
+        """Send a message; it is lost if no node is connected."""
         if self._connection is None or self._connection.fileno() < 0:
             return
         try:
             self._connection.send(json.dumps(message).encode() + b"\n")
         except OSError:
-            self._connection = None  # a notice is sent again on the next link
+            # Notices are stored and sent again on the next link; other messages are lost.
+            self._connection = None
 
     def send_load(self, echo: str, utilization: float, runs: int) -> None:
-        """Answer a request for the load of the cores."""
+        """Answer a load request.
+
+        Args:
+            echo: Identifier of the request, which is returned with the answer.
+            utilization: Share of the core time in use, from 0 to 1.
+            runs: Number of runs on the cores.
+        """
         self.send({"action": "load", "echo": echo, "meters": [utilization, runs, HEAP_SHARE, LINKS]})
 
     def notify_end(self, attempt_id: str, code: str, result: bytes) -> None:
-        """Send the notice that a run has ended."""
+        """Send the notice that a run has ended with this result code and result."""
         content = base64.b64encode(result).decode()
         self._notify(
             {"action": "end", "uid": attempt_id, "code": code, "wall_ms": RUN_WALL_MS, "content": content}
         )
 
     def notify_call(self, attempt_id: str, body: bytes) -> int:
-        """Send the notice that a run wants to call the database, and return its number."""
+        """Send the notice that a run requests a database call, and return the notice's number."""
         return self._notify(
             {"action": "wants", "uid": attempt_id, "content": base64.b64encode(body).decode()}
         )
 
     def _notify(self, notice: Message) -> int:
-        """Give a notice its number, store it and send it."""
+        """Assign the next number to a notice, store the notice and send it."""
         self._notice_count += 1
         numbered = notice | {"pos": self._notice_count}
         self._notices.append(numbered)
--- a/emulators/servers.py
+++ b/emulators/servers.py
@@ -1,4 +1,4 @@
-"""Sockets of the emulators on the project's event loop."""
+"""Server sockets of the emulators, and coroutines for the event loop that serve them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def listen(address: Address) -> socket.socket:
-    """Return a socket that listens at an address, even if connections of an earlier one linger there."""
+    """Return a socket that listens on an address.
+
+    SO_REUSEADDR lets it bind while connections of an earlier listener on the address are still in TIME_WAIT.
+    """
     sock = address.open(socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(address)
@@ -24,7 +27,10 @@
 
 
 def bind_datagrams(address: Address) -> socket.socket:
-    """Return a socket that receives the datagrams to an address, also one that a run has reserved."""
+    """Return a socket that receives datagrams on an address.
+
+    SO_REUSEADDR lets it bind an address that an address reservation holds with a socket of its own.
+    """
     sock = address.open(socket.SOCK_DGRAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(address)
@@ -34,7 +40,7 @@
 def accept_connections(
     loop: EventLoop, listener: socket.socket, serve: Callable[[socket.socket], Coroutine]
 ) -> Coroutine:
-    """Accept connections for ever and serve each with a coroutine of its own."""
+    """Accept connections until the task ends, and run ``serve`` for each as a coroutine of its own."""
     try:
         while True:
             yield Wait(listener.fileno(), READABLE)
@@ -45,8 +51,8 @@
         loop.close(listener)
 
 
-def read_json_lines(connection: socket.socket, take: Callable[[dict[str, Any]], None]) -> Coroutine:
-    """Hand each line that comes to ``take``, as the JSON object it is, until the connection ends."""
+def read_json_lines(connection: socket.socket, handle: Callable[[dict[str, Any]], None]) -> Coroutine:
+    """Call ``handle`` with the JSON object of each line received, until the connection ends."""
     partial_line = b""
     while True:
         yield Wait(connection.fileno(), READABLE)
@@ -58,4 +64,4 @@
             return
         *lines, partial_line = (partial_line + data).split(b"\n")
         for line in lines:
-            take(json.loads(line))
+            handle(json.loads(line))
--- a/emulators/shared_cores.py
+++ b/emulators/shared_cores.py
@@ -1,8 +1,8 @@
-"""Cores that all runs on them share evenly, and the load that the machine survives.
+"""Cores that all runs share evenly, and the mean load from which a machine's overload is determined.
 
-Unlike :class:`emulators.core_queue.CoreQueue`, work beyond the cores does not wait in order: every run gets
-its part of the cores and all of them become slower, as on the platform. A machine fails where the mean number
-of its runs over a window is above what its present speed survives.
+Unlike :class:`emulators.core_queue.CoreQueue`, it queues no work: every run gets an equal part of the cores,
+and all runs become slower with each further one, as on the platform. A machine fails if the mean number of
+its runs over a window exceeds a limit that depends on its present speed.
 """
 
 from __future__ import annotations
@@ -15,23 +15,27 @@
 
 from snowthread.net.loop import EventLoop, Timer
 
-UTILIZATION_WINDOW_MS = 500.0  # over which the platform measures the share of the cores in use
-HISTORY_MS = 4000.0  # for which changes of the number of runs are recorded
-WORK_TOLERANCE_MS = 1e-6  # work this near its end has ended: sums of floats are not exact
+UTILIZATION_WINDOW_MS = 500.0  # Window over which the platform measures the share of the cores in use.
+HISTORY_MS = 4000.0  # Time for which changes of the number of runs are kept; no window may be longer.
+# Work with at most this core time left counts as finished, as sums of floats are inexact.
+WORK_TOLERANCE_MS = 1e-6
 
 
 @dataclass(order=True, slots=True)
 class _Work:
-    """Work on the cores; ``ends_at_ms`` is in core time that a run has had which was there throughout."""
+    """Work of one run on the cores.
+
+    ``ends_at_ms`` is the end in terms of the core time in ms that a run would have had since the start.
+    """
 
     ends_at_ms: float
     number: int
     owner: str = field(compare=False)
-    on_done: Callable[[], None] | None = field(compare=False)  # None: removed
+    on_done: Callable[[], None] | None = field(compare=False)  # None if the work was removed.
 
 
 class _LoadChange(NamedTuple):
-    """From when on how many runs were on the cores."""
+    """The number of runs on the cores from a time on."""
 
     at_ms: float
     runs: int
@@ -41,8 +45,8 @@
     """Processor sharing: ``n`` runs on ``cores`` cores each work at a speed of ``min(1, cores / n)``."""
 
     def __init__(self, loop: EventLoop, cores: int) -> None:
-        """Begin idle."""
-        self.speed = 1.0  # of the machine, as a share of its warm speed
+        """Start without runs."""
+        self.speed = 1.0  # Ratio of the machine's speed to its warm speed.
         self._loop = loop
         self._cores = cores
         self._heap: list[_Work] = []
@@ -58,28 +62,28 @@
         return len(self._by_owner)
 
     def add(self, owner: str, duration_ms: float, on_done: Callable[[], None]) -> None:
-        """Put work of so much core time on the cores; ``on_done`` is called at its end."""
+        """Add a run's work of ``duration_ms`` core time at warm speed; ``on_done`` is called at its end."""
         self._advance()
         self._number += 1
         work = _Work(self._core_time_ms + duration_ms, self._number, owner, on_done)
         self._by_owner[owner] = work
         heapq.heappush(self._heap, work)
-        self._changed()
+        self._update_after_change()
 
     def remove(self, owner: str) -> None:
-        """Take a run's work off the cores, if it is there; its ``on_done`` is never called."""
+        """Remove a run's work from the cores if it is there; its ``on_done`` is never called."""
         if owner in self._by_owner:
             self._advance()
             self._by_owner.pop(owner).on_done = None
-            self._changed()
+            self._update_after_change()
 
     def clear(self) -> None:
-        """Take all work off the cores."""
+        """Remove all work from the cores."""
         for owner in list(self._by_owner):
             self.remove(owner)
 
     def utilization(self) -> float:
-        """Return the share of the cores in use over the last half second, from 0 to 1."""
+        """Return the mean share of the cores in use over the last half second, from 0 to 1."""
         return self._mean(UTILIZATION_WINDOW_MS, lambda runs: min(1.0, runs / self._cores))
 
     def mean_runs(self, window_ms: float) -> float:
@@ -105,10 +109,11 @@
         self._core_time_ms += elapsed_ms * self._rate()
 
     def _rate(self) -> float:
-        """Return the core time that each run gets in a millisecond."""
+        """Return the core time in ms that each run gets per millisecond."""
         return self.speed * min(1.0, self._cores / max(1, len(self._by_owner)))
 
-    def _changed(self) -> None:
+    def _update_after_change(self) -> None:
+        """Record the number of runs, and reschedule the end of the work that finishes first."""
         now = self._loop.clock.now()
         self._history.append(_LoadChange(now, len(self._by_owner)))
         while len(self._history) > 1 and self._history[1].at_ms < now - HISTORY_MS:
@@ -132,6 +137,6 @@
             if work.on_done is not None:
                 del self._by_owner[work.owner]
                 done.append(work.on_done)
-        self._changed()
+        self._update_after_change()
         for on_done in done:
             on_done()
--- a/emulators/shared_database.py
+++ b/emulators/shared_database.py
@@ -1,8 +1,9 @@
-"""Emulate the formula database that all nodes of a fleet share, with a capacity and a collapse beyond it.
+"""Emulate the formula database that all nodes of a fleet share, whose throughput falls under overload.
 
-It works on ``slots`` calls at a time. Calls beyond wait in order, and each call takes longer by half for
-every ``slots`` that wait, so an overloaded database completes fewer calls in all. A call whose caller went
-away is completed all the same, as the database of the site does.
+The database processes ``slots`` calls at a time and queues further calls in order of arrival. For every
+``slots`` calls in the queue, a call takes longer by half, up to a maximum, so that an overloaded database
+completes fewer calls per second. A call is completed even if its client has closed the connection, as in the
+database of the site.
 """
 
 from __future__ import annotations
@@ -17,28 +18,29 @@
 from snowthread.address import Address
 from snowthread.net.loop import READABLE, Coroutine, EventLoop, Wait
 
-WAITING_MAX = 10_000  # calls; those beyond are answered 503 at once
+QUEUE_MAX = 10_000  # Maximum number of queued calls; further calls are answered with status 503 at once.
 BUSY_ANSWER = b"HTTP/1.1 503 Busy\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n"
-SLOWDOWN_PER_SLOTS_WAITING = 0.5
+SLOWDOWN_PER_QUEUED_SLOTS = 0.5
 MS_PER_S = 1000.0
-SLOWDOWN_MAX = 4.0
+QUEUE_SLOWDOWN_MAX = 4.0
 
 
 class SharedDatabase:
-    """An HTTP/1.1 server on loopback that answers one request a call; calls are not parsed."""
+    """An HTTP/1.1 server on loopback; each read from a connection counts as one call and is not parsed."""
 
     def __init__(self, loop: EventLoop, address: Address, call_ms: float, slots: int) -> None:
-        """Listen at the address; ``call_ms`` is the time of a call that nothing slows down."""
-        self.slowdown = 1.0  # set from outside: a fault of the database
+        """Listen on the address; ``call_ms`` is the time of a call without slowdown or queue."""
+        # Factor on the time of each call; the owner raises it to emulate a slow database.
+        self.slowdown = 1.0
         self.received_by_second: Counter[int] = Counter()
         self.completed_by_second: Counter[int] = Counter()
-        self.max_calls_by_second: Counter[int] = Counter()  # calls in progress and waiting, at the most
+        self.max_calls_by_second: Counter[int] = Counter()  # Peak of the calls in progress and in the queue.
         self.rejected = 0
         self._loop = loop
         self._call_ms = call_ms
         self._slots = slots
         self._in_progress = 0
-        self._waiting: deque[socket.socket] = deque()
+        self._queue: deque[socket.socket] = deque()
         loop.spawn(accept_connections(loop, listen(address), self._serve))
 
     def _second(self) -> int:
@@ -59,21 +61,21 @@
     def _receive_call(self, connection: socket.socket) -> None:
         second = self._second()
         self.received_by_second[second] += 1
-        if len(self._waiting) >= WAITING_MAX:
+        if len(self._queue) >= QUEUE_MAX:
             self.rejected += 1
             connection.send(BUSY_ANSWER)
             return
-        self._waiting.append(connection)
-        self._start_waiting()
-        calls = self._in_progress + len(self._waiting)
+        self._queue.append(connection)
+        self._start_queued()
+        calls = self._in_progress + len(self._queue)
         self.max_calls_by_second[second] = max(self.max_calls_by_second[second], calls)
 
-    def _start_waiting(self) -> None:
-        while self._waiting and self._in_progress < self._slots:
-            connection = self._waiting.popleft()
+    def _start_queued(self) -> None:
+        while self._queue and self._in_progress < self._slots:
+            connection = self._queue.popleft()
             self._in_progress += 1
-            crowding = 1.0 + SLOWDOWN_PER_SLOTS_WAITING * len(self._waiting) / self._slots
-            duration_ms = self._call_ms * self.slowdown * min(SLOWDOWN_MAX, crowding)
+            queue_slowdown = 1.0 + SLOWDOWN_PER_QUEUED_SLOTS * len(self._queue) / self._slots
+            duration_ms = self._call_ms * self.slowdown * min(QUEUE_SLOWDOWN_MAX, queue_slowdown)
             self._loop.call_at(self._loop.clock.now() + duration_ms, partial(self._complete, connection))
 
     def _complete(self, connection: socket.socket) -> None:
@@ -82,4 +84,4 @@
         if connection.fileno() >= 0:
             with contextlib.suppress(OSError):
                 connection.send(DATABASE_ANSWER)
-        self._start_waiting()
+        self._start_queued()
--- a/emulators/site.py
+++ b/emulators/site.py
@@ -1,8 +1,8 @@
-"""Emulate the surroundings of one node on loopback: its runtime, the formula database and the registry.
+"""Emulate the peers of one node on loopback: its runtime, the formula database and the registry.
 
-A script says how long runs take and which classes call the database. The runtime has a number of cores: work
-beyond them waits, so a load near capacity shows. It counts the runs begun by body, so that a test sees a run
-that was doubled instead of inferring it.
+A script sets how long runs take and which classes call the database. The runtime has a limited number of
+cores and queues further work, so a load near capacity has visible waiting times. The runtime counts the runs
+that it started by request body, so that a test observes a duplicate run directly instead of inferring it.
 """
 
 from __future__ import annotations
@@ -35,35 +35,36 @@
 
 @dataclass(slots=True)
 class SiteScript:
-    """The behaviour of a site; may be changed while it runs."""
+    """The behaviour of a site's emulators; fields may be changed while they run."""
 
-    run_ms: Mapping[str, float] = field(default_factory=dict)  # of core time, by class
-    default_run_ms: float = DEFAULT_RUN_MS  # of core time, for classes not named
-    calling_classes: frozenset[str] = frozenset({"dispense"})  # their runs call the database once
+    run_ms: Mapping[str, float] = field(default_factory=dict)  # Core time of a run in ms, by request class.
+    default_run_ms: float = DEFAULT_RUN_MS  # Core time in ms of runs whose class has no time of its own.
+    calling_classes: frozenset[str] = frozenset({"dispense"})  # Classes whose runs call the database once.
     cores: int = DEFAULT_CORES
-    database_ms: float = 0.0  # until the database answers
-    log: Callable[[str], None] = lambda _line: None  # takes a line for each thing that happens
+    database_ms: float = 0.0  # Time in ms after which the database answers a call.
+    log: Callable[[str], None] = lambda _line: None  # Receives one line per event of an emulator.
 
 
 class RuntimeEmulator:
     """The runtime of one node.
 
-    A run returns its body in capitals, or what the database answered.
+    The result of a run is its request's body in upper case, or the database's answer if its class calls the
+    database.
     """
 
     def __init__(self, loop: EventLoop, address: Address, script: SiteScript) -> None:
-        """Listen at the address; one node at a time is expected to connect."""
+        """Listen on the address; only one node at a time is expected to connect."""
         self.loop = loop
         self.script = script
-        self.runs: Counter[bytes] = Counter()  # begun, by body
+        self.runs: Counter[bytes] = Counter()  # Number of runs started, by request body.
         self._link = RuntimeLink()
         self._cores = CoreQueue(loop, script.cores)
-        self._active: set[str] = set()  # attempt ids of the runs that go on
-        self._restarted_at_ms = 0.0  # when the machine's power came back; 0: long ago
+        self._active: set[str] = set()  # Attempt ids of the runs in progress.
+        self._restarted_at_ms = 0.0  # Time of the machine's last restart in ms of the loop's clock; 0: none.
         loop.spawn(accept_connections(loop, listen(address), self._serve))
 
     def restart(self) -> None:
-        """Switch the machine off and on: all runs and notices are lost."""
+        """Power-cycle the machine: its link breaks, and all runs and stored notices are lost."""
         self._restarted_at_ms = self.loop.clock.now()
         self._link.disconnect()
         self._link.clear_notices()
@@ -78,7 +79,7 @@
             self.loop.close(connection)
 
     def _handle_command(self, connection: socket.socket, command: dict[str, Any]) -> None:
-        """Carry out one command of the node."""
+        """Execute one command of the node."""
         attempt_id = command.get("uid", "")
         match command["action"]:
             case "sync":
@@ -98,7 +99,7 @@
                     self._end_run(attempt_id, "aborted", b"")
 
     def _synchronize(self, connection: socket.socket, position: int) -> None:
-        """Take a connection as the node's, and send all notices after a position again."""
+        """Make a connection the node's link, and resend all notices after a position on it."""
         if self._restarted_at_ms:
             age_ms = self.loop.clock.now() - self._restarted_at_ms
             self._link.connect(connection, "fresh", age_ms, position)
@@ -106,7 +107,7 @@
             self._link.connect(connection, "seasoned", 0.0, position)
 
     def _start_run(self, attempt_id: str, class_name: str, body: bytes) -> None:
-        """Begin a run."""
+        """Start a run; at its end, it calls the database if its class does."""
         self.script.log(f"runtime: {class_name} {attempt_id} starts")
         self._active.add(attempt_id)
         self.runs[body] += 1
@@ -118,17 +119,17 @@
         self._occupy_core(attempt_id, duration_ms, on_done)
 
     def _resume_with_reply(self, attempt_id: str, reply: bytes) -> None:
-        """Give a run what the database answered."""
+        """End a run with the database's reply as its result."""
         self._occupy_core(attempt_id, 0.0, partial(self._end_run, attempt_id, "done", b"dispensed " + reply))
 
     def _resume_without_reply(self, attempt_id: str) -> None:
-        """Have a run go on without its call."""
+        """End a run whose database call was omitted."""
         self._occupy_core(
             attempt_id, 0.0, partial(self._end_run, attempt_id, "done", b"dispensed without a look")
         )
 
     def _occupy_core(self, attempt_id: str, duration_ms: float, on_done: Callable[[], None]) -> None:
-        """Use a core for a run; ``on_done`` is not called where the run ended meanwhile."""
+        """Occupy a core for a run; ``on_done`` is not called if the run ends before the core is done."""
 
         def finish() -> None:
             if attempt_id in self._active:
@@ -140,19 +141,19 @@
         self._link.notify_call(attempt_id, body)
 
     def _end_run(self, attempt_id: str, code: str, result: bytes) -> None:
-        """End a run with its result."""
+        """End a run and notify the node of its result."""
         self._active.discard(attempt_id)
         self._link.notify_end(attempt_id, code, result)
 
 
 class DatabaseEmulator:
-    """The formula database: answers each call after the script's time.
+    """The formula database: answers each call after the time that the script sets.
 
-    Calls are not parsed: on loopback each arrives in one piece.
+    Calls are not parsed, because on loopback each call arrives in a single read.
     """
 
     def __init__(self, loop: EventLoop, address: Address, script: SiteScript) -> None:
-        """Listen at the address."""
+        """Listen on the address."""
         self._loop = loop
         self._script = script
         loop.spawn(accept_connections(loop, listen(address), self._serve))
@@ -176,33 +177,33 @@
 
 
 class RegistryEmulator:
-    """The registry: takes reports, and the script logs those that differ from the one before."""
+    """The registry: receives reports and logs each one that differs from the previous one."""
 
     def __init__(self, loop: EventLoop, address: Address, script: SiteScript) -> None:
-        """Receive at the address."""
+        """Receive datagrams on the address."""
         self._loop = loop
         self._script = script
         self._sock = bind_datagrams(address)
         loop.spawn(self._read_reports())
 
     def _read_reports(self) -> Coroutine:
-        last = b""
+        last_report = b""
         try:
             while True:
                 yield Wait(self._sock.fileno(), READABLE)
                 report = self._sock.recv(DATAGRAM_BYTES_MAX)
-                if report != last:
+                if report != last_report:
                     self._script.log(f"roster: {report.decode(errors='replace')}")
-                last = report
+                last_report = report
         finally:
             self._loop.close(self._sock)
 
 
 class SiteEmulator:
-    """The runtime, the database and the registry at the addresses of a node's configuration."""
+    """The runtime, the database and the registry on the addresses of a node's configuration."""
 
     def __init__(self, loop: EventLoop, fields: Mapping[str, Any], script: SiteScript) -> None:
-        """Listen at all three addresses; ``fields`` are those of the configuration."""
+        """Listen on all three addresses; ``fields`` is the node's configuration as parsed from JSON."""
         self.script = script
         self.runtime = RuntimeEmulator(loop, Address.parse(fields["runtime"]), script)
         self.database = DatabaseEmulator(loop, Address.parse(fields["index"]), script)
@@ -212,7 +213,7 @@
 def main(config: str, cores: str = str(DEFAULT_CORES), run_ms: str = str(DEFAULT_RUN_MS)) -> None:
     """Run ``python -m emulators.site NODE_JSON [CORES [RUN_MS]]`` until standard input ends.
 
-    A line ``index MS`` on standard input sets how long the database takes from then on.
+    A line ``index MS`` on standard input sets the time in ms after which the database answers new calls.
     """
     loop = EventLoop(Clock())
     script = SiteScript(default_run_ms=float(run_ms), cores=int(cores))
--- a/emulators/skewed_clock.py
+++ b/emulators/skewed_clock.py
@@ -1,6 +1,6 @@
-"""Run the program on a machine whose clock is off: ``python -m emulators.skewed_clock SECONDS ARGUMENT...``.
+"""Run the program with a clock that is wrong: ``python -m emulators.skewed_clock SECONDS ARGUMENT...``.
 
-The arguments are those of ``python -m snowthread``; the program's only clock is ahead by this many seconds.
+The program's only clock is ahead by ``SECONDS``. The other arguments are those of ``python -m snowthread``.
 """
 
 from __future__ import annotations
--- a/emulators/soak.py
+++ b/emulators/soak.py
@@ -1,7 +1,7 @@
-"""A soak of one real node: seeded traffic and faults, an early kill, and every rule checked afterwards.
+"""A soak of one real node: random traffic and faults from a seed, an early kill, then a check of all rules.
 
-``python -m emulators.soak SEED [SEED ...]`` plays the seeds one after the other and prints a JSON line each.
-Its status is 1 if any rule was broken.
+``python -m emulators.soak SEED [SEED ...]`` runs one soak per seed in sequence and prints a JSON line for
+each. The exit status is 1 if any rule was broken.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class Soak:
-    """One soak."""
+    """One soak of a node, from its start to its kill."""
 
     def __init__(self, folder: Path, plan: SoakPlan) -> None:
         """Start the node and its peers."""
@@ -57,7 +57,7 @@
         }
 
     def run(self) -> SoakResult:
-        """Play the plan and evaluate it."""
+        """Run the traffic and the faults of the plan, and return the evaluation."""
         loop = self.node.loop
         plan = self.plan
         with ExitStack() as stack:
@@ -71,10 +71,10 @@
             self._terminate_and_kill()
             return evaluate(self._observe())
 
-    # Traffic.
+    # Traffic of the clients.
 
     def _schedule_traffic(self, begin_ms: float) -> None:
-        """Schedule Poisson arrivals until the kill."""
+        """Schedule all requests until the kill, as a Poisson process."""
         scenario = self.plan.scenario
         names = list(scenario.class_shares)
         shares = list(scenario.class_shares.values())
@@ -102,7 +102,7 @@
         if not self._killed_at_ms:
             self._clients.send(request.class_name, request.idempotency_key, request.wait_ms)
 
-    # Faults.
+    # Faults of the plan, and their end after a duration.
 
     def _call_later(self, delay_ms: float, call: Callable[[], None]) -> None:
         self.node.loop.call_at(self.node.loop.clock.now() + delay_ms, call)
@@ -149,7 +149,7 @@
         self._call_later(fault.duration_ms, partial(self.node.signal, signal.SIGCONT))
 
     def _terminate_and_kill(self) -> None:
-        """Send SIGTERM, in a series where the plan says so, and kill at the earliest time allowed."""
+        """Send SIGTERM as often as the plan says, and kill the node at the earliest time that is allowed."""
         for number in range(self.plan.terminations):
             self._call_later(number * TERMINATION_GAP_MS, partial(self.node.signal, signal.SIGTERM))
         self.node.run_for(self.plan.scenario.stop_ms)
@@ -167,7 +167,7 @@
             runs_by_attempt=node.runtime.runs_by_attempt,
             peak=node.runtime.peak,
             links=node.runtime.links,
-            calls_in_hand=node.database.peak_mean_calls,
+            peak_mean_calls=node.database.peak_mean_calls,
             killed_at_ms=self._killed_at_ms,
             paused_ms=self._paused_ms,
             log=node.log(),
@@ -176,7 +176,10 @@
 
 
 def run_soak(seed: int) -> SoakResult:
-    """Play one seed in a folder of its own; where a rule was broken, the node's log is copied out of it."""
+    """Run the soak of a seed in a temporary folder and return its result.
+
+    If a rule was broken, the node's log is copied to ``soak-SEED.log`` in the system's temporary folder.
+    """
     with tempfile.TemporaryDirectory() as folder:
         soak = Soak(Path(folder), draw_plan(seed))
         result = soak.run()
@@ -187,7 +190,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Play the seeds given; return the exit status."""
+    """Run a soak for each seed given; return the exit status."""
     status = 0
     for argument in arguments:
         result: dict[str, Any] = asdict(run_soak(int(argument)))
--- a/emulators/soak_plan.py
+++ b/emulators/soak_plan.py
@@ -1,4 +1,4 @@
-"""What a soak of one node plays, drawn from a seed. Pure: the same seed gives the same plan."""
+"""The plan of a soak of one node, generated from a seed; the same seed always gives the same plan."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from emulators.strict_runtime import MachineModel
 
 CLASS_NAMES = ("match", "recalc", "dispense")
-KILL_AFTER_DEADLINE_MS = 700  # the kill comes this long after the longest deadline, at the earliest
+KILL_AFTER_DEADLINE_MS = 700  # Minimum time from the longest deadline of an open request to the kill.
 FAULTS_BEGIN_MS = 1500.0
 MS_PER_S = 1000.0
-FLAPPING_SHARE = 0.5  # of the plans: the link breaks until the kill
+FLAPPING_SHARE = 0.5  # Share of the plans in which the link to the runtime breaks repeatedly until the kill.
 
 
 class FaultKind(Enum):
-    """One kind of fault."""
+    """A kind of fault, or of disturbance by a signal or by clients."""
 
     RUNTIME_RESET = "runtime link reset"
     RUNTIME_DOWN = "runtime link down"
@@ -34,7 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault at a time, for a duration where it has one; ``value`` is a time in ms or a number."""
+    """A fault of a plan.
+
+    Attributes:
+        at_ms: Start in ms since the beginning of the traffic.
+        kind: The kind of fault.
+        duration_ms: Duration in ms; 0 if the fault has none.
+        value: The delay or answer time in ms, or the number of idle connections, as the kind requires.
+    """
 
     at_ms: float
     kind: FaultKind
@@ -48,16 +55,16 @@
 
     seed: int
     scenario: NodeScenario
-    traffic_ms: float  # until SIGTERM; clients go on after it, until the kill
+    traffic_ms: float  # Time in ms until the first SIGTERM; clients continue after it until the kill.
     connections: int
     cancelled_share: float
-    repeated_share: float  # of keyed requests: sent again by the client
-    terminations: int  # how many times SIGTERM is sent
+    repeated_share: float  # Share of the requests with an idempotency key that their client sends again.
+    terminations: int  # Number of times SIGTERM is sent.
     faults: tuple[PlannedFault, ...]
 
 
 def draw_plan(seed: int, traffic_ms: float = 7000.0) -> SoakPlan:
-    """Return the plan of a seed."""
+    """Return the plan of a seed, with ``traffic_ms`` milliseconds of traffic before the first SIGTERM."""
     generator = random.Random(seed)
     scenario = _draw_scenario(generator)
     return SoakPlan(
@@ -84,7 +91,7 @@
         mean_run_ms=generator.choice((80.0, 200.0, 500.0)),
         call_share={"match": call_share, "dispense": call_share},
         supports_stop=preemption != "none",
-        cold_share=0.23 if is_cold else 1.0,
+        cold_speed_ratio=0.23 if is_cold else 1.0,
         warmup_ms=17_000.0 if is_cold else 0.0,
     )
     return NodeScenario(
@@ -101,12 +108,12 @@
 
 
 def _draw_faults(generator: random.Random, traffic_ms: float) -> list[PlannedFault]:
-    """Draw two to four rows of faults; each row repeats one kind at a pace of its own."""
+    """Return two to four random series of faults, each of one kind with a mean interval of its own."""
     faults: list[PlannedFault] = []
     for kind in generator.sample(list(FaultKind), generator.randint(2, 4)):
         at_ms = generator.uniform(FAULTS_BEGIN_MS, traffic_ms * 0.6)
         until_ms = at_ms + generator.choice((500.0, 2500.0, traffic_ms))
-        period_ms = _period_ms(kind, generator)
+        period_ms = _draw_period_ms(kind, generator)
         while at_ms < until_ms:
             faults.append(_draw_fault(kind, at_ms, generator))
             at_ms += period_ms * generator.uniform(0.6, 1.4)
@@ -114,11 +121,11 @@
 
 
 def _draw_flapping(generator: random.Random, traffic_ms: float) -> list[PlannedFault]:
-    """Draw, for half of the plans, a runtime's link that breaks again and again until the kill."""
+    """Return, in half of the cases, a series of link breaks to the runtime that lasts until the kill."""
     if generator.random() >= FLAPPING_SHARE:
         return []
     period_ms = generator.choice((120.0, 200.0, 600.0))
-    down_share = generator.choice((0.0, 0.1, 0.4))  # of the period
+    down_share = generator.choice((0.0, 0.1, 0.4))  # Share of the period for which the link stays down.
     faults = []
     at_ms = FAULTS_BEGIN_MS
     while at_ms < traffic_ms * 2.0:
@@ -128,7 +135,7 @@
     return faults
 
 
-def _period_ms(kind: FaultKind, generator: random.Random) -> float:
+def _draw_period_ms(kind: FaultKind, generator: random.Random) -> float:
     if kind in (FaultKind.RUNTIME_RESET, FaultKind.DATABASE_RESET, FaultKind.CLIENT_RESET):
         return generator.choice((120.0, 350.0, 600.0))
     return generator.choice((700.0, 1500.0))
--- a/emulators/soak_rules.py
+++ b/emulators/soak_rules.py
@@ -1,4 +1,4 @@
-"""The rules that a soak checks, on what was observed. Pure."""
+"""The rules that a soak checks, as pure functions of what was observed."""
 
 from __future__ import annotations
 
@@ -13,33 +13,35 @@
 from emulators.strict_runtime import LoadPeak
 from snowthread.admission.concurrency import CEILING_RATIO
 
-ANSWER_SLACK_MS = 110.0  # the settings' 60 ms and the protocol's 50 ms
-TEST_HOST_SLACK_MS = 100.0  # of the machine that plays: node, emulators and clients share it
-UNREADABLE_BEFORE_KILL_MS = 30.0  # before the kill: what is sent then no node can read and answer
+# Time after a deadline for its answer: 60 ms from the settings, 50 ms in the protocol.
+ANSWER_SLACK_MS = 110.0
+TEST_HOST_SLACK_MS = 100.0  # More time for answers, as node, emulators and clients share the test host.
+UNREADABLE_BEFORE_KILL_MS = 30.0  # A request sent this shortly before the kill cannot be read and answered.
 ERRORS_IN_LOG = ("Traceback", " failed\n", "ERROR", "CRITICAL")
 EXPECTED_EXITS = (0, -signal.SIGKILL)
 
 
 @dataclass(slots=True)
 class SoakObservation:
-    """What was observed of one soak."""
+    """The observations from one soak."""
 
     plan: SoakPlan
     requests: Sequence[ClientRequest] = ()
-    runs_by_body: Mapping[bytes, int] = field(default_factory=dict)  # runs that the runtime began, by body
-    runs_by_attempt: Mapping[str, int] = field(default_factory=dict)  # the same, by attempt id
-    peak: LoadPeak = field(default_factory=LoadPeak)  # of the machine's load
-    links: int = 0  # that the node opened to its runtime
-    calls_in_hand: float = 0.0  # the most that the database had, in the mean over its window
+    # Number of runs started, by request body.
+    runs_by_body: Mapping[bytes, int] = field(default_factory=dict)
+    runs_by_attempt: Mapping[str, int] = field(default_factory=dict)  # Number of runs started, by attempt id.
+    peak: LoadPeak = field(default_factory=LoadPeak)  # Highest load of the machine.
+    links: int = 0  # Number of links that the node opened to its runtime.
+    peak_mean_calls: float = 0.0  # Highest mean number of concurrent database calls over a window.
     killed_at_ms: float = 0.0
-    paused_ms: float = 0.0  # for which the node was stopped
-    log: str = ""  # of the node
-    exit_status: int | None = None  # of the node; None: it was never started
+    paused_ms: float = 0.0  # Time in ms for which the node was stopped by SIGSTOP.
+    log: str = ""  # Log of the node.
+    exit_status: int | None = None  # Exit status of the node; None if it was never started.
 
 
 @dataclass(slots=True)
 class SoakResult:
-    """What came of one soak; ``broken`` names each rule that was broken, with its figures."""
+    """The result of one soak; ``broken`` has one message per violation of a rule, with its figures."""
 
     seed: int
     requests: int = 0
@@ -48,12 +50,13 @@
     peak_runs_per_core: float = 0.0
     peak_of_survived: float = 0.0
     calls_in_hand: float = 0.0
-    latest_ms: float = 0.0  # the latest answer after its due time
+    # Time in ms from the deadline to the answer that was latest relative to its deadline.
+    latest_ms: float = 0.0
     broken: list[str] = field(default_factory=list)
 
 
 def evaluate(observed: SoakObservation) -> SoakResult:
-    """Return the figures of a soak, and how its rules were broken."""
+    """Return the figures of a soak and the violations of its rules."""
     requests = observed.requests
     result = SoakResult(
         seed=observed.plan.seed,
@@ -62,7 +65,7 @@
         links=observed.links,
         peak_runs_per_core=round(observed.peak.runs_per_core, 2),
         peak_of_survived=round(observed.peak.limit_ratio, 2),
-        calls_in_hand=round(observed.calls_in_hand, 2),
+        calls_in_hand=round(observed.peak_mean_calls, 2),
         latest_ms=round(max((r.lateness_ms for r in requests if r.answers), default=0.0), 1),
     )
     for check in (check_answers, check_runs, check_load, check_process):
@@ -71,7 +74,7 @@
 
 
 def check_answers(observed: SoakObservation) -> list[str]:
-    """Return how the rule was broken that each request read has one answer, in time."""
+    """Return the violations of the rule that each request that was read has exactly one answer, in time."""
     slack_ms = ANSWER_SLACK_MS + TEST_HOST_SLACK_MS + observed.paused_ms
     broken = []
     for request in observed.requests:
@@ -81,13 +84,13 @@
         if len(request.answers) > 1:
             broken.append(f"{sent} was answered twice: {request.answers}")
         elif request.lost_reason:
-            broken.append(f"{sent} lost: {request.lost_reason}")
+            broken.append(f"{sent} was lost: {request.lost_reason}")
         elif request.answers and request.lateness_ms > slack_ms:
-            broken.append(f"{sent} answered {request.lateness_ms:.0f} ms after its due time")
+            broken.append(f"{sent} was answered {request.lateness_ms:.0f} ms after its deadline")
         elif (
             not request.answers and request.answer_expected and _could_be_answered(observed, request, due_ms)
         ):
-            broken.append(f"{sent} has no answer")
+            broken.append(f"{sent} was not answered")
     return broken
 
 
@@ -99,14 +102,14 @@
 
 
 def check_runs(observed: SoakObservation) -> list[str]:
-    """Return which keys ran twice, and which attempts were rejected though they ran."""
+    """Return which idempotency keys ran more than once, and which keyed attempts ran but were rejected."""
     broken = [
-        f"key {body!r} ran {count} times"
+        f"request body {body!r}, which names an idempotency key, ran {count} times"
         for body, count in observed.runs_by_body.items()
         if body.startswith(KEYED_BODY_PREFIX) and count > 1
     ]
     broken += [
-        f"keyed attempt {request.attempt_id} was rejected and ran"
+        f"attempt {request.attempt_id} with an idempotency key was rejected although it ran"
         for request in observed.requests
         if request.class_name in observed.plan.scenario.keyed_classes
         and REJECTED in request.answers
@@ -116,21 +119,23 @@
 
 
 def check_load(observed: SoakObservation) -> list[str]:
-    """Return whether the machine or the database had more than they survive."""
+    """Return whether the load of the machine or of the database exceeded its limit."""
     broken = []
     quota = observed.plan.scenario.settings()["domain"]["calls_out"]
     if observed.peak.limit_ratio >= 1.0:
-        broken.append(f"the machine fell: {observed.peak}")
+        broken.append(f"the machine was overloaded: {observed.peak}")
     elif observed.peak.limit_ratio > CEILING_RATIO:
-        broken.append(f"the machine had more than the margin allows: {observed.peak}")
-    if observed.calls_in_hand > quota:
-        broken.append(f"{observed.calls_in_hand:.2f} calls in hand, {quota} allowed")
+        broken.append(f"the machine's load exceeded the safety margin: {observed.peak}")
+    if observed.peak_mean_calls > quota:
+        broken.append(
+            f"the mean of concurrent database calls was {observed.peak_mean_calls:.2f}, limit {quota}"
+        )
     return broken
 
 
 def check_process(observed: SoakObservation) -> list[str]:
-    """Return which errors the node logged, and whether it exited with one."""
-    broken = [f"the log has {text!r}" for text in ERRORS_IN_LOG if text in observed.log]
+    """Return which errors the node logged, and whether its exit status is an error."""
+    broken = [f"the node's log contains {text!r}" for text in ERRORS_IN_LOG if text in observed.log]
     if observed.exit_status is not None and observed.exit_status not in EXPECTED_EXITS:
-        broken.append(f"the node exited with {observed.exit_status}")
+        broken.append(f"the node exited with status {observed.exit_status}")
     return broken
--- a/emulators/stdin_commands.py
+++ b/emulators/stdin_commands.py
@@ -1,4 +1,4 @@
-"""Take commands of an emulator process from its standard input, one a line; the end of input ends it."""
+"""Read the commands of an emulator process from standard input, one per line; the process ends with it."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class CommandHandler(Protocol):
-    """Carries out one command."""
+    """Executes one command."""
 
     def __call__(self, command: str, argument: str, /) -> None:
-        """Take the first word of a line, and the rest of it."""
+        """Execute a command; ``command`` is the first word of the line, ``argument`` the rest of it."""
 
 
 def handle_commands(loop: EventLoop, handler: CommandHandler) -> None:
@@ -26,7 +26,7 @@
 
 
 def _read_commands(handler: CommandHandler) -> Coroutine:
-    # Read from the descriptor: epoll does not see lines that a buffered reader has taken already.
+    # Read from the descriptor: epoll does not report lines that a buffered reader has already read from it.
     descriptor = sys.stdin.fileno()
     os.set_blocking(descriptor, False)
     partial_line = b""
@@ -34,13 +34,16 @@
         yield Wait(descriptor, READABLE)
         data = os.read(descriptor, READ_BYTES)
         if not data:
-            os._exit(0)  # the process that started this one is done; there is nothing to clean up
+            # The parent process has closed the pipe and waits for no answer; no cleanup is needed.
+            os._exit(0)
         *lines, partial_line = (partial_line + data).split(b"\n")
         try:
             for line in lines:
                 command, _, argument = line.decode().strip().partition(" ")
                 handler(command, argument)
-        except Exception:  # noqa: BLE001  # whatever it is, it ends the process
-            # Whoever sent the command waits for its answer: ending now shows the failure at once.
-            logger.exception("command failed: {!r}", lines)
+        except Exception:  # noqa: BLE001  # Any error of a handler ends the process.
+            # The parent process waits for an answer; ending the process shows it the failure at once.
+            logger.exception(
+                "a command on standard input failed, the emulator exits; lines read: {!r}", lines
+            )
             os._exit(1)
--- a/emulators/strict_runtime.py
+++ b/emulators/strict_runtime.py
@@ -1,8 +1,9 @@
-"""A runtime that follows the platform's protocol to the letter, on cores that its runs share.
+"""A runtime that follows the platform's protocol exactly, with cores that its runs share evenly.
 
-It differs from :class:`emulators.site.RuntimeEmulator` in what matters while links break: a new link replaces
-the earlier one, whose unread commands are lost; a run that is stopped leaves the cores at once, or goes on
-where the site can't stop runs; and it records the highest mean load of its cores.
+It differs from :class:`emulators.site.RuntimeEmulator` in behaviour that matters when links break. A new link
+replaces the previous one, and commands that were not read from the previous one are lost. A run that is
+stopped leaves the cores at once, or continues if the site does not support stopping runs. The highest mean
+load of the cores is recorded.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from snowthread.address import Address
 from snowthread.net.loop import Coroutine, EventLoop
 
-MAX_NOTICES = 4000  # that are sent again on a new link
+MAX_NOTICES = 4000  # Maximum number of notices stored to be sent again on a new link.
 LOAD_SAMPLE_MS = 20.0
 
 
@@ -30,31 +31,32 @@
     """The machine of a node and the work of its runs."""
 
     cores: int = 4
-    mean_run_ms: float = 300.0  # of core time, exponentially distributed
-    call_share: Mapping[str, float] = field(default_factory=dict)  # of a class's runs, that call the database
+    mean_run_ms: float = 300.0  # Mean core time of a run in ms; core times are exponentially distributed.
+    call_share: Mapping[str, float] = field(default_factory=dict)  # Share of runs with a call, by class.
     supports_stop: bool = True
-    fall_multiple: float = 5.0  # runs a core that a warm machine survives
+    # Mean runs per core that a warm machine sustains; above it, it fails.
+    warm_runs_per_core_max: float = 5.0
     overload_window_ms: float = 2000.0
-    cold_share: float = 1.0  # of the warm speed, at the start
+    cold_speed_ratio: float = 1.0  # Ratio of the speed at the start to the warm speed.
     warmup_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class LoadPeak:
-    """The highest mean load of the cores so far."""
+    """The highest mean load of the cores so far, relative to the load at which the machine fails."""
 
     runs_per_core: float = 0.0
-    limit_ratio: float = 0.0  # above 1: the machine is overloaded and fails
-    at_ms: float = 0.0  # since the machine's start
+    limit_ratio: float = 0.0  # Ratio of the load to its limit; above 1, the machine is overloaded and fails.
+    at_ms: float = 0.0  # Time of the peak in ms since the machine's start.
 
 
 @dataclass(slots=True)
 class _Run:
-    """A run that goes on."""
+    """A run in progress."""
 
     body: bytes
     calls_left: int
-    call_notice: int = 0  # the notice of the call that it waits for; 0: none
+    call_notice: int = 0  # Number of the notice that requested the call it waits for; 0 if it waits for none.
 
 
 class StrictRuntime:
@@ -63,12 +65,12 @@
     def __init__(
         self, loop: EventLoop, address: Address, model: MachineModel, generator: random.Random
     ) -> None:
-        """Listen at the address."""
+        """Listen on the address."""
         self.loop = loop
         self.model = model
         self.cores = SharedCores(loop, model.cores)
         self.peak = LoadPeak()
-        self.runs_by_attempt: dict[str, int] = {}  # by attempt id
+        self.runs_by_attempt: dict[str, int] = {}
         self.runs_by_body: dict[bytes, int] = {}
         self.links = 0
         self._generator = generator
@@ -80,18 +82,18 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether any run goes on, on the cores or at a call."""
+        """Whether any run is in progress, on the cores or waiting for a call."""
         return bool(self._runs)
 
     def reset_for_new_node(self) -> None:
-        """Begin the numbering of notices again, as for a node that starts anew; runs end."""
+        """Prepare for a newly started node: end all runs, and restart the numbering of notices at 1."""
         self._link.clear_notices()
         self._runs.clear()
         self.cores.clear()
 
     def max_runs_per_core(self) -> float:
-        """Return the runs a core that the machine survives at its present speed."""
-        return 1.0 + (self.model.fall_multiple - 1.0) * self.cores.speed
+        """Return the maximum mean number of runs per core that the machine sustains at its present speed."""
+        return 1.0 + (self.model.warm_runs_per_core_max - 1.0) * self.cores.speed
 
     def _sample_load(self) -> None:
         now = self.loop.clock.now()
@@ -99,25 +101,25 @@
         self.loop.call_at(now + LOAD_SAMPLE_MS, self._sample_load)
         if model.warmup_ms:
             warmth = min(1.0, (now - self._started_ms) / model.warmup_ms)
-            self.cores.speed = model.cold_share + (1.0 - model.cold_share) * warmth
+            self.cores.speed = model.cold_speed_ratio + (1.0 - model.cold_speed_ratio) * warmth
         per_core = self.cores.mean_runs(model.overload_window_ms) / model.cores
-        share = per_core / self.max_runs_per_core()
-        if share > self.peak.limit_ratio:
-            self.peak = LoadPeak(per_core, share, now - self._started_ms)
+        limit_ratio = per_core / self.max_runs_per_core()
+        if limit_ratio > self.peak.limit_ratio:
+            self.peak = LoadPeak(per_core, limit_ratio, now - self._started_ms)
 
-    # The link.
+    # Messages of the node on its links.
 
     def _serve(self, connection: socket.socket) -> Coroutine:
         try:
             yield from read_json_lines(connection, partial(self._handle_message, connection))
         except OSError:
-            pass  # reset: what was not read is lost
+            pass  # The connection was reset, and commands that were not read are lost.
         finally:
             self._link.connection_ended(connection)
             self.loop.close(connection)
 
     def _handle_message(self, connection: socket.socket, command: dict[str, Any]) -> None:
-        """Carry out one command; those of a link that was replaced are ignored."""
+        """Execute one command; commands on a link that has been replaced are ignored."""
         if command["action"] == "sync":
             self._synchronize(connection, command["pos"])
         elif self._link.is_current(connection):
@@ -143,7 +145,7 @@
                 if attempt_id in self._runs and self._runs[attempt_id].call_notice == command["pos"]:
                     self._resume_after_call(attempt_id)
 
-    # Runs.
+    # Progress of the runs.
 
     def _start_run(self, attempt_id: str, class_name: str, body: bytes) -> None:
         calls = self._generator.random() < self.model.call_share.get(class_name, 0.0)
@@ -157,7 +159,7 @@
         self.cores.add(attempt_id, work_ms, partial(self._continue, attempt_id))
 
     def _continue(self, attempt_id: str) -> None:
-        """Call the database, or end."""
+        """Make a run's next database call, or end the run if it has none left."""
         run = self._runs[attempt_id]
         if not run.calls_left:
             self._end_run(attempt_id, "done", run.body.upper())
--- a/tests/incidents/test_runtime_overload.py
+++ b/tests/incidents/test_runtime_overload.py
@@ -77,7 +77,7 @@
 )
 COLD_MACHINE = NodeScenario(
     MachineModel(
-        cores=4, mean_run_ms=1200.0, call_share={"dispense": 0.3}, cold_share=0.23, warmup_ms=17_000.0
+        cores=4, mean_run_ms=1200.0, call_share={"dispense": 0.3}, cold_speed_ratio=0.23, warmup_ms=17_000.0
     ),
     load_ratio=3.0,
     class_shares={"dispense": 1.0},
--- a/tests/soak/test_soak_rules.py
+++ b/tests/soak/test_soak_rules.py
@@ -47,7 +47,7 @@
 
 
 def test_missing_answer_is_reported() -> None:
-    assert "no answer" in check_answers(soak_of(answered()))[0]
+    assert "was not answered" in check_answers(soak_of(answered()))[0]
 
 
 def test_answer_that_is_not_owed_may_be_missing() -> None:
@@ -62,7 +62,7 @@
 
 def test_late_answer_is_reported() -> None:
     late_ms = WAIT_MS + ANSWER_SLACK_MS + TEST_HOST_SLACK_MS + 1.0
-    assert "after its due time" in check_answers(soak_of(answered(SERVED, after_ms=late_ms)))[0]
+    assert "after its deadline" in check_answers(soak_of(answered(SERVED, after_ms=late_ms)))[0]
 
 
 def test_request_whose_connection_ended_is_reported() -> None:
@@ -78,19 +78,19 @@
 
 def test_rejection_of_what_ran_is_reported() -> None:
     soak = replace(soak_of(answered(REJECTED)), runs_by_attempt={"a1": 1})
-    assert "was rejected and ran" in check_runs(soak)[0]
+    assert "was rejected although it ran" in check_runs(soak)[0]
 
 
 def test_machine_and_database_with_more_than_they_survive_are_reported() -> None:
-    broken = " ".join(check_load(replace(QUIET, peak=LoadPeak(5.0, 1.0, 1.0), calls_in_hand=100.0)))
-    assert "machine fell" in broken and "calls in hand" in broken
+    broken = " ".join(check_load(replace(QUIET, peak=LoadPeak(5.0, 1.0, 1.0), peak_mean_calls=100.0)))
+    assert "machine was overloaded" in broken and "concurrent database calls" in broken
 
 
 @pytest.mark.parametrize(
     ("soak", "broken"),
     [
-        (replace(QUIET, log="ERROR: x"), "the log has 'ERROR'"),
-        (replace(QUIET, exit_status=1), "the node exited with 1"),
+        (replace(QUIET, log="ERROR: x"), "the node's log contains 'ERROR'"),
+        (replace(QUIET, exit_status=1), "the node exited with status 1"),
     ],
 )
 def test_error_in_the_log_and_exit_with_an_error_are_reported(soak: SoakObservation, broken: str) -> None:
