--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: each is a program with ``--seed`` and ``--short`` whose last line is one JSON object."""
+"""Benchmarks: programs with the options ``--seed`` and ``--short`` whose last line of output is JSON."""
--- a/benchmarks/command.py
+++ b/benchmarks/command.py
@@ -1,4 +1,4 @@
-"""The command line that benchmarks with a seed, a short form and targets share."""
+"""The command line of benchmarks that have a seed, a short form and targets."""
 
 from __future__ import annotations
 
@@ -13,19 +13,26 @@
 
 def run_benchmark(
     description: str | None,
-    first_seed: int,
+    default_seed: int,
     measure: Callable[[int, bool], Figures],
     missed_targets: Callable[[Figures], list[str]],
     short_help: str = "ends within 45 s",
 ) -> int:
-    """Measure, print every figure to standard error and all as one JSON object; return 1 for a missed target.
+    """Run a benchmark from the command line and return the exit status, which is 1 if a target is missed.
 
-    ``measure`` takes the seed and whether the short form is wanted; ``short_help`` describes that form.
+    Each figure is printed to standard error, and all of them to standard output as one JSON object.
+
+    Args:
+        description: Description for ``--help``.
+        default_seed: Seed without the option ``--seed``.
+        measure: Function that takes the seed and whether to run the short form, and returns the figures.
+        missed_targets: Function that takes the figures and returns the names of the targets that they miss.
+        short_help: Description of the short form for ``--help``.
     """
     parser = argparse.ArgumentParser(
         description=description, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--seed", type=int, default=first_seed)
+    parser.add_argument("--seed", type=int, default=default_seed)
     parser.add_argument("--short", action="store_true", help=short_help)
     options = parser.parse_args()
     figures = measure(options.seed, options.short)
--- a/benchmarks/programs.py
+++ b/benchmarks/programs.py
@@ -1,4 +1,4 @@
-"""Programs that benchmarks start on loopback, and their configuration."""
+"""Start programs for benchmarks on loopback, and write their configuration."""
 
 from __future__ import annotations
 
@@ -22,21 +22,25 @@
     """A program ended before it was ready."""
 
     def __init__(self, command: tuple[str, ...], lines: list[str]) -> None:
-        """Name its command, and what it had written until then."""
+        """Include the program's command and the lines that it had written until then."""
         self.command = command
         self.lines = lines
-        super().__init__(f"{command} did not start: {lines}")
+        super().__init__(f"program {command} ended before it was ready; its output: {lines}")
 
 
 def reserve_address(addresses: AddressReservation, kind: socket.SocketKind = socket.SOCK_STREAM) -> str:
-    """Return an address on loopback that is reserved, as host:port."""
+    """Reserve an address on loopback and return it as host:port."""
     return f"{LOOPBACK_HOST}:{addresses.reserve(kind).port}"
 
 
 def write_configuration(folder: Path, addresses: AddressReservation, cores: int) -> Path:
-    """Write the example's configuration on reserved addresses and return its path.
+    """Write the configuration of ``examples/node.json`` with reserved addresses and return its path.
 
-    ``addresses`` reserves ports of all hosts, as the node listens on all and the balancers have several.
+    Args:
+        folder: Folder for the file.
+        addresses: Reserves ports on all hosts, as the node listens on all of them and the balancers have
+            several addresses.
+        cores: Number of cores in the node's settings.
     """
     fields = json.loads((ROOT / "examples" / "node.json").read_bytes())
     fields["listen"] = f"{ANY_HOST}:{addresses.reserve().port}"
@@ -51,23 +55,30 @@
 
 @contextmanager
 def run_program(
-    *command: str, ready: str, where: str = "stdout", cwd: Path = ROOT, **environment: str
+    *command: str, ready: str, stream: str = "stdout", cwd: Path = ROOT, **environment: str
 ) -> Iterator[subprocess.Popen[str]]:
-    """Run a Python program in the block, from when it has written ``ready`` to the stream ``where``.
+    """Run a Python program for the duration of the block, which starts once the program is ready.
 
-    ProgramStartError says that it ended before.
+    A program that ends before it is ready raises ProgramStartError.
+
+    Args:
+        command: Arguments of the Python interpreter.
+        ready: Text in the line that the program writes when it is ready.
+        stream: Stream that is read for this line, ``stdout`` or ``stderr``; the other one is discarded.
+        cwd: Working directory, which is also the program's ``PYTHONPATH``.
+        environment: Additional environment variables.
     """
     process = subprocess.Popen(
         [sys.executable, *command],
         cwd=cwd,
         text=True,
         stdin=subprocess.PIPE,
-        stdout=subprocess.PIPE if where == "stdout" else subprocess.DEVNULL,
-        stderr=subprocess.PIPE if where == "stderr" else subprocess.DEVNULL,
+        stdout=subprocess.PIPE if stream == "stdout" else subprocess.DEVNULL,
+        stderr=subprocess.PIPE if stream == "stderr" else subprocess.DEVNULL,
         env=os.environ | {"PYTHONPATH": str(cwd)} | environment,
     )
     try:
-        _wait_for_line(process.stdout if where == "stdout" else process.stderr, ready, command)
+        _wait_for_line(process.stdout if stream == "stdout" else process.stderr, ready, command)
         yield process
     finally:
         process.kill()
--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -1,10 +1,11 @@
-"""Measure what records cost a node, and how fast and in how much memory they are read back.
+"""Measure the cost of writing records for a node, and the speed and memory of reading them back.
 
     python benchmarks/records.py [--seed N] [--short]
 
-Cost is paired: the same load against a node with records and one without, in turns. Targets: under 3 % more
-CPU a request (10 % in the short form, whose one pair shows little), and a merge in memory that does not grow
-with the number of records. Ends with one JSON object; status 1 where a target is missed.
+The cost is measured in pairs: the same load runs against a node with records and against one without, in
+alternating order. The targets are less than 3 % more CPU time per request (10 % in the short form, whose
+single pair has little significance), and a merge whose memory does not grow with the number of records. The
+benchmark prints one JSON object at its end; its exit status is 1 if a target is missed.
 """
 
 from __future__ import annotations
@@ -33,12 +34,12 @@
 from snowthread.records.model import Record, RecordFields, RecordKind
 from snowthread.records.reader import Findings, merge_records
 
-SOURCES = [f"127.0.{number}.9" for number in range(5)]  # addresses of the load
-CORES = 64  # of the emulated runtime
+SOURCES = [f"127.0.{number}.9" for number in range(5)]  # Source addresses of the load's connections.
+CORES = 64  # Number of cores of the emulated runtime.
 REQUESTS_PER_S = 600.0
-WARM_UP_S = 0.5  # not measured
+WARM_UP_S = 0.5  # Duration of the load before each measurement.
 WARM_UP_SEED = 100
-FILE_SECONDS = 1800  # records in one file that is read back
+FILE_RECORDS = 1800  # Number of records, one per second, in each file that is read back.
 BEGIN_MS = 1_800_000_000_000.0
 US_PER_S = 1e6
 BYTES_PER_MB = 1e6
@@ -49,25 +50,25 @@
 CLASSES = ("match", "recalc", "dispense")
 
 
-class Node(NamedTuple):
-    """A running node."""
+class RunningNode(NamedTuple):
+    """A running node: its process id, and the address that it listens on as host:port."""
 
     pid: int
     address: str
 
 
 @dataclass(slots=True)
-class Cost:
-    """What was measured over several rounds."""
+class RecordingCost:
+    """Measurements of several runs with and without records; CPU times are per request in microseconds."""
 
-    without_us: list[float] = field(default_factory=list)  # CPU a request
+    without_us: list[float] = field(default_factory=list)
     with_us: list[float] = field(default_factory=list)
     writer_s: float = 0.0
     file_bytes: int = 0
     recorded_requests: int = 0
 
     def summary(self) -> dict[str, float]:
-        """Return CPU a request without and with records, of the writer, and bytes a request."""
+        """Return the CPU times per request of the node and of the record writer, and bytes per request."""
         without_us = sum(self.without_us) / len(self.without_us)
         with_us = sum(self.with_us) / len(self.with_us)
         return {
@@ -80,8 +81,11 @@
         }
 
 
-def start_node(stack: ExitStack, folder: Path, with_records: bool) -> Node:
-    """Start a node and what it needs; records go to the folder ``records``."""
+def start_node(stack: ExitStack, folder: Path, with_records: bool) -> RunningNode:
+    """Start a node with its emulated peers until the stack closes.
+
+    With ``with_records``, the node writes records to ``folder/records``.
+    """
     addresses = stack.enter_context(AddressReservation(ANY_HOST))
     config = write_configuration(folder, addresses, CORES)
     stack.enter_context(run_program("-m", "emulators.site", str(config), str(CORES), "1.0", ready="ready"))
@@ -91,32 +95,32 @@
         file.write_text(f'records {{\n folder = "{folder}/records"\n}}\n')
         command += ["serve", "--with", str(file)]
     process = stack.enter_context(
-        run_program(*command, ready="listens on", where="stderr", NODE_CONFIG=str(config))
+        run_program(*command, ready="listens on", stream="stderr", NODE_CONFIG=str(config))
     )
-    return Node(process.pid, json.loads(config.read_text())["listen"])
+    return RunningNode(process.pid, json.loads(config.read_text())["listen"])
 
 
 def measure_cost(rounds: int, seconds: float) -> dict[str, float]:
-    """Return what records cost; each round has one run with them and one without."""
-    cost = Cost()
+    """Return the cost of records; each round has one run with records and one without."""
+    cost = RecordingCost()
     for number in range(rounds):
         for with_records in (False, True) if number % 2 else (True, False):
             measure_run(cost, number, with_records, seconds)
     return cost.summary()
 
 
-def measure_run(cost: Cost, seed: int, with_records: bool, seconds: float) -> None:
-    """Add one run of a node under load."""
+def measure_run(cost: RecordingCost, seed: int, with_records: bool, seconds: float) -> None:
+    """Run a node under load and add the measurements to ``cost``."""
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         node = start_node(stack, folder, with_records)
-        load = LoadGenerator(node.address, SOURCES)
-        load.run(random.Random(WARM_UP_SEED + seed), REQUESTS_PER_S, WARM_UP_S)
+        load_generator = LoadGenerator(node.address, SOURCES)
+        load_generator.run(random.Random(WARM_UP_SEED + seed), REQUESTS_PER_S, WARM_UP_S)
         cpu_before_s = cpu_seconds(node.pid)
         writers = child_pids(node.pid)
-        asked_before = len(load.sent_requests)
-        load.run(random.Random(seed), REQUESTS_PER_S, seconds)
-        requests = len(load.sent_requests) - asked_before
+        requests_before = len(load_generator.sent_requests)
+        load_generator.run(random.Random(seed), REQUESTS_PER_S, seconds)
+        requests = len(load_generator.sent_requests) - requests_before
         cpu_us = (cpu_seconds(node.pid) - cpu_before_s) / requests * US_PER_S
         if with_records:
             cost.with_us.append(cpu_us)
@@ -124,14 +128,14 @@
             cost.file_bytes += sum(
                 path.stat().st_size for path in (folder / "records").glob(f"*{RECORD_FILE_SUFFIX}")
             )
-            cost.recorded_requests += len(load.sent_requests)
+            cost.recorded_requests += len(load_generator.sent_requests)
         else:
             cost.without_us.append(cpu_us)
-        load.close()
+        load_generator.close()
 
 
 def make_records(node: int, seconds: int, rng: random.Random) -> list[Record]:
-    """Return the records that one node makes in so many seconds."""
+    """Return the records of one node for ``seconds`` seconds, one per second."""
     begin_ms = BEGIN_MS + rng.uniform(0.0, 1000.0)
     fields = second_fields(rng)
     return [
@@ -148,7 +152,7 @@
 
 
 def second_fields(rng: random.Random) -> RecordFields:
-    """Return fields as a busy node makes them."""
+    """Return the fields of a per-second record of a busy node."""
     return {
         "ms": 1000.0,
         "totals": [
@@ -172,14 +176,14 @@
 
 
 def write_files(folder: Path, node: int, records: Sequence[Record]) -> None:
-    """Write the records of one boot, several files long."""
-    for number, first in enumerate(range(0, len(records), FILE_SECONDS), 1):
+    """Write the records of one boot of a node to the folder, in files of ``FILE_RECORDS`` records."""
+    for number, first in enumerate(range(0, len(records), FILE_RECORDS), 1):
         path = folder / f"n{node}-1-{node:012x}-{number:06d}{RECORD_FILE_SUFFIX}"
-        path.write_bytes(b"".join(encode_record(record) for record in records[first : first + FILE_SECONDS]))
+        path.write_bytes(b"".join(encode_record(record) for record in records[first : first + FILE_RECORDS]))
 
 
 def measure_reading(nodes: int, seconds: int, rng: random.Random) -> dict[str, float]:
-    """Return records a second, and the most memory at once, of a merge over so many nodes' files."""
+    """Measure the throughput and peak memory of merging the files of several nodes, and their record size."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         for node in range(nodes):
@@ -207,7 +211,7 @@
 
 
 def measure_merge_memory(folder: Path) -> float:
-    """Return the most memory that a merge takes, in MB."""
+    """Return the peak memory of a merge in MiB."""
     tracemalloc.start()
     for _ in merge_records([folder], Findings()):
         pass
@@ -217,7 +221,7 @@
 
 
 def measure(seed: int, short: bool) -> dict[str, Any]:
-    """Return all figures."""
+    """Run all measurements and return their figures."""
     rng = random.Random(seed)
     cost = measure_cost(rounds=1 if short else 6, seconds=4.0 if short else 10.0)
     small = measure_reading(20, 120, rng)
@@ -232,17 +236,17 @@
 
 
 def missed_targets(figures: dict[str, Any]) -> list[str]:
-    """Return the targets that are missed."""
+    """Return the names of the targets that the figures miss."""
     max_cpu_ratio = MAX_CPU_RATIO_SHORT if figures["short"] else MAX_CPU_RATIO
     targets = {
-        "under 3 % more CPU (10 % short)": figures["cost"]["ratio"] <= max_cpu_ratio,
+        "less than 3 % more CPU time per request (10 % short)": figures["cost"]["ratio"] <= max_cpu_ratio,
         "memory of a merge does not grow": figures["memory_growth"] <= MAX_MEMORY_GROWTH,
     }
     return [target for target, met in targets.items() if not met]
 
 
 def main() -> int:
-    """Run the benchmark and return its status."""
+    """Run the benchmark and return its exit status."""
     return run_benchmark(__doc__, 1, measure, missed_targets)
 
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,13 +1,20 @@
 """Measure the time to full service after a mass restart, with recovery and without it.
 
-Four of five nodes are killed at once and are back within a second, under load at 90 % of the fleet's
-capacity. Plays of the fleet lab, several at a time. Variants: state still there; all state folders wiped;
-half of them torn; snapshots of an older generation of the fleet; the database slow by five times while the
-nodes recover; two nodes killed once more while they warm up; the registry cut off from half of the nodes.
-``--short`` plays ``kept`` and ``slow`` with one seed. Where service is not back in a play, its length after
-the fault counts. ``cost`` is the processor time of the nodes a request on a calm day, with recovery over
-without. ``stolen`` is the share of the machine's time that its host gave to others meanwhile: with much
-of it, times of plays say little.
+Four of five nodes are killed at once and restarted within a second, under a load of 90 % of the fleet's
+capacity. The benchmark runs the fleet lab, several runs at a time, in these variants:
+
+- ``kept``: the state folders of the nodes are intact;
+- ``wiped``: the state folders of the killed nodes are emptied;
+- ``torn``: the files in the state folders of two nodes are truncated;
+- ``older``: the snapshots are of an older generation of the fleet;
+- ``slow``: the database takes five times as long while the nodes recover;
+- ``twice``: two nodes are killed again while they warm up;
+- ``partition``: two nodes cannot reach the registry for some seconds.
+
+``--short`` runs ``kept`` and ``slow`` with one seed. If a run does not reach full service, its duration after
+the fault counts as the time. ``cost`` is the ratio of the nodes' CPU time per request with recovery to that
+without it, in runs without faults. ``stolen`` is the share of the machine's time that its hypervisor gave to
+other machines (steal time); if it is high, the measured times are not reliable.
 
     .venv/bin/python -m benchmarks.recovery [--seed N] [--short]
 """
@@ -27,12 +34,13 @@
 from benchmarks.command import run_benchmark
 from benchmarks.programs import ROOT
 
-MAX_TIME_RATIO = 0.5  # of the time to full service with recovery to that without
-MAX_DATABASE_PEAK_RATIO = 1.0  # of its calls to its capacity
-MAX_COST_RATIO = 1.1  # of the processor time a request with recovery to that without
-MIN_TIME_S = 0.1  # to full service, in a ratio
+MAX_TIME_RATIO = 0.5  # Maximum ratio of the time to full service with recovery to that without.
+MAX_DATABASE_PEAK_RATIO = 1.0  # Maximum ratio of the database's peak calls to its capacity.
+MAX_COST_RATIO = 1.1  # Maximum ratio of the CPU time per request with recovery to that without.
+MIN_TIME_S = 0.1  # Shorter times to full service without recovery count as this in a ratio.
 MS_PER_S = 1000.0
-STOLEN_FIELD = 8  # of the first line of /proc/stat, the last that counts
+# Position of the steal time in the first line of /proc/stat; later fields are parts of earlier ones.
+STEAL_FIELD = 8
 MUST_BE_ZERO = (
     "second_dips",
     "stale_decisions",
@@ -46,10 +54,10 @@
 FAULT_S = 5
 SECONDS = 40
 SECONDS_SHORT = 24
-CALM = "calm"  # a play without faults
-CALM_SECONDS = 24
-MAX_CONCURRENT_PLAYS = 6
-PLAY_OVERHEAD_S = 120  # that a play may take beyond its length
+NO_FAULTS = "calm"  # Variant without faults, which measures the cost of recovery.
+NO_FAULTS_SECONDS = 24
+MAX_CONCURRENT_RUNS = 6
+RUN_OVERHEAD_S = 120  # Time in s that a run may take beyond its scenario's duration.
 LAB_CORES = 3
 ERROR_CHARACTERS_MAX = 2000
 KILL = {"at": "5s", "do": "kill", "share": 0.8, "again_after": "800ms"}
@@ -65,12 +73,12 @@
 SHORT_VARIANTS = ("kept", "slow")
 
 Summary = dict[str, Any]
-"""The lab's ``summary.json``."""
+"""The content of the lab's ``summary.json``."""
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
-    """One play of the lab: a variant, its seed, and whether the nodes recover or just start."""
+class LabRun:
+    """A run of the lab: its variant, its seed, and whether the nodes recover or just start."""
 
     variant: str
     seed: int
@@ -78,41 +86,41 @@
 
     @property
     def name(self) -> str:
-        """The name of its files."""
+        """The base name of the run's files."""
         return f"{self.variant}-{self.seed}-{'comeback' if self.recovers else 'baseline'}"
 
 
-class PlayError(RuntimeError):
-    """A play of the lab failed."""
+class LabRunError(RuntimeError):
+    """A run of the lab exited with an error."""
 
-    def __init__(self, play: Play, errors: str) -> None:
-        """Name the play, and what it wrote to standard error."""
-        self.play = play
+    def __init__(self, lab_run: LabRun, errors: str) -> None:
+        """Include the name of the run and the end of its standard error."""
+        self.lab_run = lab_run
         self.errors = errors
-        super().__init__(f"{play.name}: {errors}")
+        super().__init__(f"lab run {lab_run.name} failed: {errors}")
 
 
 @dataclass(frozen=True, slots=True)
 class MachineTime:
-    """The machine's processor time so far, in ticks, and what of it its host gave to others."""
+    """The machine's CPU time since its boot, and the steal time in it, in clock ticks."""
 
     total: int
-    stolen: int
+    steal: int
 
-    def stolen_share_since(self, before: MachineTime) -> float:
-        """Return the share that was stolen between two readings."""
-        return (self.stolen - before.stolen) / max(1, self.total - before.total)
+    def steal_share_since(self, before: MachineTime) -> float:
+        """Return the share of the CPU time since an earlier reading that was steal time."""
+        return (self.steal - before.steal) / max(1, self.total - before.total)
 
 
 def read_machine_time() -> MachineTime:
-    """Read the machine's processor time."""
+    """Read the machine's CPU time from ``/proc/stat``."""
     words = Path("/proc/stat").read_text().split("\n")[0].split()
-    ticks = [int(word) for word in words[1 : STOLEN_FIELD + 1]]
+    ticks = [int(word) for word in words[1 : STEAL_FIELD + 1]]
     return MachineTime(sum(ticks), ticks[-1])
 
 
-def scenario(seed: int, seconds: int, recovers: bool, steps: list[dict[str, Any]]) -> str:
-    """Return the HCL of a play."""
+def scenario_hcl(seed: int, seconds: int, recovers: bool, steps: list[dict[str, Any]]) -> str:
+    """Return the HCL text of a lab scenario with these fault steps."""
 
     def block(step: dict[str, Any]) -> str:
         return "step {\n" + "".join(f"  {key} = {json.dumps(value)}\n" for key, value in step.items()) + "}\n"
@@ -123,12 +131,14 @@
     )
 
 
-def start_play(folder: Path, play: Play, seconds: int) -> subprocess.Popen[str]:
-    """Start the lab on a play; its files go to ``folder / play.name``."""
-    length = CALM_SECONDS if play.variant == CALM else seconds
-    path = folder / f"{play.name}.hcl"
-    path.write_text(scenario(play.seed, length, play.recovers, VARIANTS.get(play.variant, [])))
-    command = ["lab", "run", str(path), "-o", str(folder / play.name), "--lab-cores", str(LAB_CORES)]
+def start_lab_run(folder: Path, lab_run: LabRun, seconds: int) -> subprocess.Popen[str]:
+    """Start a run of the lab; its files go to the subfolder with its name."""
+    duration_s = NO_FAULTS_SECONDS if lab_run.variant == NO_FAULTS else seconds
+    path = folder / f"{lab_run.name}.hcl"
+    path.write_text(
+        scenario_hcl(lab_run.seed, duration_s, lab_run.recovers, VARIANTS.get(lab_run.variant, []))
+    )
+    command = ["lab", "run", str(path), "-o", str(folder / lab_run.name), "--lab-cores", str(LAB_CORES)]
     return subprocess.Popen(
         [sys.executable, "-m", "snowthread", *command],
         cwd=ROOT,
@@ -138,35 +148,41 @@
     )
 
 
-def run_concurrently(folder: Path, plays: list[Play], seconds: int) -> list[Summary]:
-    """Run plays at the same time; return their summaries, in order.
+def run_concurrently(folder: Path, lab_runs: list[LabRun], seconds: int) -> list[Summary]:
+    """Run the lab for each given run at the same time, and return the summaries in the same order.
 
     Raises:
-        PlayError: A play failed.
+        LabRunError: A run exited with an error.
     """
-    running = [(play, start_play(folder, play, seconds)) for play in plays]
+    running = [(lab_run, start_lab_run(folder, lab_run, seconds)) for lab_run in lab_runs]
     summaries = []
-    for play, process in running:
-        _, errors = process.communicate(timeout=seconds + PLAY_OVERHEAD_S)
+    for lab_run, process in running:
+        _, errors = process.communicate(timeout=seconds + RUN_OVERHEAD_S)
         if process.returncode:
-            raise PlayError(play, errors[-ERROR_CHARACTERS_MAX:])
-        summaries.append(json.loads((folder / play.name / "summary.json").read_text()))
+            raise LabRunError(lab_run, errors[-ERROR_CHARACTERS_MAX:])
+        summaries.append(json.loads((folder / lab_run.name / "summary.json").read_text()))
     return summaries
 
 
-def run_all(plays: list[Play], seconds: int, concurrency: int) -> dict[tuple[str, bool], list[Summary]]:
-    """Run all plays, so many at a time; return their summaries by variant and whether they recover."""
+def run_all(lab_runs: list[LabRun], seconds: int, concurrency: int) -> dict[tuple[str, bool], list[Summary]]:
+    """Run the lab for all given runs, ``concurrency`` at a time.
+
+    Return the summaries by variant and whether the nodes recover.
+    """
     results: dict[tuple[str, bool], list[Summary]] = {}
     with tempfile.TemporaryDirectory(prefix="restart-") as folder:
-        for first in range(0, len(plays), concurrency):
-            batch = plays[first : first + concurrency]
-            for play, summary in zip(batch, run_concurrently(Path(folder), batch, seconds), strict=True):
-                results.setdefault((play.variant, play.recovers), []).append(summary)
+        for first in range(0, len(lab_runs), concurrency):
+            batch = lab_runs[first : first + concurrency]
+            for lab_run, summary in zip(batch, run_concurrently(Path(folder), batch, seconds), strict=True):
+                results.setdefault((lab_run.variant, lab_run.recovers), []).append(summary)
     return results
 
 
-def figures(summaries: list[Summary], longest_s: float) -> dict[str, Any]:
-    """Return the figures of one side's plays; the worst of each."""
+def aggregate(summaries: list[Summary], longest_s: float) -> dict[str, Any]:
+    """Return medians of times and lost value over several runs, and the maximum of all other figures.
+
+    ``longest_s`` counts as the time to full service of runs that did not reach it.
+    """
     times_s = [
         summary["time_to_full_s"] if summary["time_to_full_s"] is not None else longest_s
         for summary in summaries
@@ -182,26 +198,26 @@
 
 
 def cost_ms(summary: Summary) -> float:
-    """Return the nodes' processor time a request, in ms."""
-    used_s = sum(took_s for name, took_s in summary["cpu_s"].items() if name in summary["lives"])
+    """Return the nodes' CPU time per request in ms."""
+    used_s = sum(cpu_s for name, cpu_s in summary["cpu_s"].items() if name in summary["lives"])
     return float(MS_PER_S * used_s / summary["asked"])
 
 
 def mean_cost_ms(summaries: list[Summary]) -> float:
-    """Return the mean of the plays' costs."""
+    """Return the mean over several runs of the nodes' CPU time per request in ms."""
     return sum(map(cost_ms, summaries)) / len(summaries)
 
 
 def compare(baseline: list[Summary], recovery: list[Summary], longest_s: float) -> dict[str, Any]:
     """Return the figures of a variant without and with recovery, and the ratio of their times."""
-    without = figures(baseline, longest_s)
-    with_recovery = figures(recovery, longest_s)
-    baseline_s = without["time_to_full_s"]["median"]
+    without_recovery = aggregate(baseline, longest_s)
+    with_recovery = aggregate(recovery, longest_s)
+    baseline_s = without_recovery["time_to_full_s"]["median"]
     ratio = round(with_recovery["time_to_full_s"]["median"] / max(MIN_TIME_S, baseline_s), 3)
-    return {"baseline": without, "comeback": with_recovery, "ratio": ratio}
+    return {"baseline": without_recovery, "comeback": with_recovery, "ratio": ratio}
 
 
-def _missed_of_variant(variant: str, compared: dict[str, Any]) -> list[str]:
+def _missed_in_variant(variant: str, compared: dict[str, Any]) -> list[str]:
     """Return the names of a variant's figures that miss their objective."""
     recovery = compared["comeback"]
     missed = [f"{variant}: {figure}" for figure in MUST_BE_ZERO if recovery[figure]]
@@ -213,31 +229,31 @@
 
 
 def measure(seed: int, short: bool) -> dict[str, Any]:
-    """Run all plays; return all figures."""
+    """Run all variants and return the figures."""
     seconds = SECONDS_SHORT if short else SECONDS
     seeds = [seed] if short else [seed, seed + 1]
     variants = SHORT_VARIANTS if short else tuple(VARIANTS)
-    plays = [
-        Play(variant, play_seed, recovers)
-        for variant in (*variants, CALM)
-        for play_seed in seeds
+    lab_runs = [
+        LabRun(variant, run_seed, recovers)
+        for variant in (*variants, NO_FAULTS)
+        for run_seed in seeds
         for recovers in (False, True)
     ]
     before = read_machine_time()
-    began_s = time.monotonic()
-    results = run_all(plays, seconds, len(plays) if short else MAX_CONCURRENT_PLAYS)
-    stolen = read_machine_time().stolen_share_since(before)
-    costs_ms = [mean_cost_ms(results[CALM, recovers]) for recovers in (False, True)]
+    started_at_s = time.monotonic()
+    results = run_all(lab_runs, seconds, len(lab_runs) if short else MAX_CONCURRENT_RUNS)
+    steal_share = read_machine_time().steal_share_since(before)
+    costs_ms = [mean_cost_ms(results[NO_FAULTS, recovers]) for recovers in (False, True)]
     longest_s = float(seconds - FAULT_S)
     return {
         "seeds": seeds,
         "cost_ms": [round(value, 3) for value in costs_ms],
         "cost": round(costs_ms[1] / costs_ms[0], 3),
-        "stolen": round(stolen, 3),
+        "stolen": round(steal_share, 3),
         "variants": {
             name: compare(results[name, False], results[name, True], longest_s) for name in variants
         },
-        "took_s": round(time.monotonic() - began_s, 1),
+        "took_s": round(time.monotonic() - started_at_s, 1),
     }
 
 
@@ -245,12 +261,12 @@
     """Return the names of the figures that miss their objective."""
     missed = ["cost"] if measured["cost"] > MAX_COST_RATIO else []
     for variant, compared in measured["variants"].items():
-        missed += _missed_of_variant(variant, compared)
+        missed += _missed_in_variant(variant, compared)
     return missed
 
 
 def main() -> int:
-    """Run the benchmark and return its status."""
+    """Run the benchmark and return its exit status."""
     return run_benchmark(__doc__, 1, measure, missed_objectives, short_help="two variants with one seed")
 
 
--- a/benchmarks/tenant_costs.py
+++ b/benchmarks/tenant_costs.py
@@ -1,6 +1,6 @@
-"""What tenants from a directory cost: look-ups, identification, a full refresh, decoding.
+"""Measure the costs of tenants from a directory: lookups, identification, a full refresh, and decoding.
 
-The parts ``look_up``, ``gate``, ``full_sync`` and ``codec`` of ``benchmarks.tenants``.
+These are the parts ``look_up``, ``gate``, ``full_sync`` and ``codec`` of ``benchmarks.tenants``.
 """
 
 from __future__ import annotations
@@ -42,11 +42,11 @@
 READ_BYTES = 16384
 
 
-def operator_file(folder: Path, directory: str) -> Path:
-    """Write an operator's file that follows this directory."""
+def write_operator_file(folder: Path, directory_address: str) -> Path:
+    """Write an operator's file that replicates tenants from this directory, and return its path."""
     path = folder / "tenants.hcl"
     path.write_text(f"""tenants {{
-      servers = ["ldap://{directory}"]
+      servers = ["ldap://{directory_address}"]
       base = "ou=tenants,dc=example"
       probe = "1s"
       operation = "3s"
@@ -58,16 +58,16 @@
     return path
 
 
-def tenant_settings(folder: Path, directory: str) -> TenantSettings:
-    """Return the settings of such a file."""
+def tenant_settings(folder: Path, directory_address: str) -> TenantSettings:
+    """Write an operator's file for this directory and return its tenant settings."""
     node = config.load({"NODE_CONFIG": str(ROOT / "examples" / "node.json")})
-    settings = Features.load(operator_file(folder, directory), node).tenants
+    settings = Features.load(write_operator_file(folder, directory_address), node).tenants
     assert settings is not None
     return settings
 
 
 def make_tenants(count: int, networks: int) -> list[Tenant]:
-    """Return so many tenants that have so many networks together."""
+    """Return ``count`` tenants that share ``networks`` networks evenly."""
     each = networks // count
     return [
         Tenant(
@@ -80,15 +80,15 @@
     ]
 
 
-def seconds_of(action: Callable[[], object]) -> float:
-    """Return how long an action takes."""
-    began = time.perf_counter()
+def duration_s(action: Callable[[], object]) -> float:
+    """Run an action and return its duration in s."""
+    started_at_s = time.perf_counter()
     action()
-    return time.perf_counter() - began
+    return time.perf_counter() - started_at_s
 
 
 def table_memory_mb(tenants: list[Tenant]) -> float:
-    """Return the memory of a table without its tenants."""
+    """Return the memory in MiB that a table of these tenants takes, without the tenants themselves."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     table = TenantTable()
@@ -98,21 +98,21 @@
     return memory / BYTES_PER_MIB
 
 
-def look_up(rng: random.Random, tenant_count: int, networks: int, lookups: int) -> dict[str, float]:
-    """Measure the microseconds a look-up, cached and not cached, and those of a change."""
+def measure_lookups(rng: random.Random, tenant_count: int, networks: int, lookups: int) -> dict[str, float]:
+    """Measure the time of lookups with and without the cache, of changes, and of filling a table."""
     tenants = make_tenants(tenant_count, networks)
     memory_mb = table_memory_mb(tenants)
     table = TenantTable()
-    build_s = seconds_of(lambda: table.apply(tenants))
+    build_s = duration_s(lambda: table.apply(tenants))
     changed = tenants[5]
     changes = [Tenant(changed.id, f"name {n}", networks=changed.networks) for n in range(200)]
-    change_s = seconds_of(lambda: [table.apply([tenant]) for tenant in changes])
+    change_s = duration_s(lambda: [table.apply([tenant]) for tenant in changes])
     addresses = [f"10.{rng.randrange(96)}.{rng.randrange(256)}.{rng.randrange(256)}" for _ in range(lookups)]
-    cold_s = seconds_of(lambda: [table._identify_uncached(address, 5) for address in addresses])
+    uncached_s = duration_s(lambda: [table._identify_uncached(address, 5) for address in addresses])
     repeated = addresses[:500] * (lookups // 500)
-    cached_s = seconds_of(lambda: [table.identify(address, 5) for address in repeated])
+    cached_s = duration_s(lambda: [table.identify(address, 5) for address in repeated])
     return {
-        "cold_us": cold_s / lookups * US_PER_S,
+        "cold_us": uncached_s / lookups * US_PER_S,
         "kept_us": cached_s / len(repeated) * US_PER_S,
         "build_ms": build_s * MS_PER_S,
         "change_us": change_s / len(changes) * US_PER_S,
@@ -120,8 +120,11 @@
     }
 
 
-def full_sync(tenant_count: int, networks: int) -> dict[str, float]:
-    """Measure a full refresh from a directory in another process, and how long the loop stood still."""
+def measure_full_refresh(tenant_count: int, networks: int) -> dict[str, float]:
+    """Measure a full refresh from a directory in another process, and the CPU time of the event loop's turns.
+
+    It ends after ``MAX_REFRESH_S`` even if the refresh is not complete.
+    """
     loop = EventLoop(Clock())
     size = (str(tenant_count), str(networks // tenant_count))
     with ExitStack() as stack:
@@ -134,18 +137,18 @@
         settings = tenant_settings(folder, address)
         tenants = TenantState(settings.rules)
         DirectoryReplicator(loop, settings, tenants, random.Random(1), lambda _changes: None)
-        began = time.perf_counter()
-        cpu_began = time.process_time()
+        started_at_s = time.perf_counter()
+        cpu_before_s = time.process_time()
         turns_ms: list[float] = []
         while not tenants.counters.refreshes or not len(tenants.table):
-            turn_began = time.process_time()
+            turn_before_s = time.process_time()
             loop.run_once(LOOP_STEP_S)
-            turns_ms.append((time.process_time() - turn_began) * MS_PER_S)
-            if time.perf_counter() - began > MAX_REFRESH_S:
+            turns_ms.append((time.process_time() - turn_before_s) * MS_PER_S)
+            if time.perf_counter() - started_at_s > MAX_REFRESH_S:
                 break
         return {
-            "seconds": time.perf_counter() - began,
-            "cpu_s": time.process_time() - cpu_began,
+            "seconds": time.perf_counter() - started_at_s,
+            "cpu_s": time.process_time() - cpu_before_s,
             "tenants": len(tenants.table),
             "networks": tenants.table.network_count,
             "longest_turn_ms": max(turns_ms),
@@ -153,8 +156,8 @@
         }
 
 
-def gate(rng: random.Random, requests: int) -> dict[str, float]:
-    """Measure the microseconds that identifying its tenant adds to a request."""
+def measure_identification(rng: random.Random, requests: int) -> dict[str, float]:
+    """Measure the time that the identification of its tenant adds to a request, in microseconds."""
     with tempfile.TemporaryDirectory() as folder:
         settings = tenant_settings(Path(folder), "127.0.0.1:1")
     passed: list[events.Event] = []
@@ -166,19 +169,19 @@
         events.RequestReceived((n % 500, n), "0" * 16, "match", b"grey", 1.0, 1.0, 3, 20.0, 0.5)
         for n in range(requests)
     ]
-    began = time.perf_counter()
+    started_at_s = time.perf_counter()
     for message in messages:
         identification.handle(message)
-    identified_s = time.perf_counter() - began
-    began = time.perf_counter()
+    identified_s = time.perf_counter() - started_at_s
+    started_at_s = time.perf_counter()
     for message in messages:
         identification._post(message)
-    bare_s = time.perf_counter() - began
-    return {"us_per_request": (identified_s - bare_s) / requests * US_PER_S}
+    passed_on_s = time.perf_counter() - started_at_s
+    return {"us_per_request": (identified_s - passed_on_s) / requests * US_PER_S}
 
 
-def codec(count: int) -> dict[str, float]:
-    """Measure the decoding of entries, as the session does it."""
+def measure_decoding(count: int) -> dict[str, float]:
+    """Measure how fast an LDAP session decodes ``count`` entries."""
     entry = Entry(
         "cn=Farbhof,ou=tenants,dc=example",
         b"x" * 16,
@@ -193,8 +196,8 @@
     wire = protocol.message(1, entry.encode()) * count
     session = Session()
     session.send(SearchRequest("", Scope.SUB, filters.parse("(cn=*)")))
-    began = time.perf_counter()
-    read = sum(len(session.receive(wire[at : at + READ_BYTES])) for at in range(0, len(wire), READ_BYTES))
-    seconds = time.perf_counter() - began
-    assert read == count
+    started_at_s = time.perf_counter()
+    decoded = sum(len(session.receive(wire[at : at + READ_BYTES])) for at in range(0, len(wire), READ_BYTES))
+    seconds = time.perf_counter() - started_at_s
+    assert decoded == count
     return {"mb_per_s": len(wire) / seconds / BYTES_PER_MB, "us_per_entry": seconds / count * US_PER_S}
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -1,14 +1,17 @@
-"""Tenants from a directory: service through a stall, cost of a look-up, of a sync, of the feature off.
+"""Measure tenants from a directory: service while the directory is stalled, and the costs of the feature.
 
     python -m benchmarks.tenants [--seed N] [--short] [--only PART]
 
-Service is paired: the same load from the same seed, with the directory working and with it stalled.
-Objectives: at least 0.95 of the service without a stall; nobody lost, doubled or late; the feature off within
-1.10 of an earlier version (a ratio of CPU in one run, so that a noisy machine does not decide). Ends with one
-JSON object; status 1 if an objective is missed.
+The part ``service`` runs the same load twice from the same seed: with a working directory and with a stalled
+one. ``change_to_decision`` measures the time until a change in the directory takes effect. ``look_up``,
+``gate``, ``full_sync`` and ``codec`` measure lookups in the table, the identification of requests, a full
+refresh and the decoding of entries. ``off`` compares a node without tenants with the earlier version
+``BASELINE_VERSION``: its CPU time per request and at the start, and its memory.
 
-``--only off`` compares the CPU a request, the CPU of the start and the memory of a node without features with
-the version ``BEFORE``; the other parts are service, change_to_decision, look_up, gate, full_sync and codec.
+The objectives are at least 0.95 of the service without a stall; no request lost, answered twice or late; and
+at most 1.10 of the earlier version's CPU time per request without tenants. That is a ratio of two
+measurements in one run, so that other load on the machine has little influence. The benchmark prints one JSON
+object at its end; its exit status is 1 if an objective is missed.
 """
 
 from __future__ import annotations
@@ -29,31 +32,38 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from benchmarks.programs import ROOT, reserve_address, run_program, write_configuration
-from benchmarks.tenant_costs import codec, full_sync, gate, look_up, operator_file
-from benchmarks.traffic_figures import broken_rules, quantile, served_by_second
+from benchmarks.tenant_costs import (
+    measure_decoding,
+    measure_full_refresh,
+    measure_identification,
+    measure_lookups,
+    write_operator_file,
+)
+from benchmarks.traffic_figures import count_broken_rules, quantile, served_by_second
 from emulators.load_generator import LoadGenerator
 from emulators.request_protocol import REJECTED, SERVED
 from snowthread.lab.address_reservation import ANY_HOST, AddressReservation
 from snowthread.lab.process_usage import cpu_seconds, resident_memory_mb
 
-BEFORE = "cf437b5"  # the version that the part ``off`` compares with
-PROGRAM = "snowthread"  # the program's package
+BASELINE_VERSION = "cf437b5"  # Commit of the earlier version that the part ``off`` compares with.
+PROGRAM = "snowthread"  # Name of the program's package.
 CORES = 4
 RUN_MS = 20.0
-LOAD_SHARE = 0.85  # of the capacity, which is 200 requests a second
-SOURCES = [f"127.0.{n}.9" for n in range(5)]  # one in each network of the emulator's five tenants
-# When the directory is stalled, as shares of the load's length.
+LOAD_SHARE = 0.85  # Ratio of the request rate to the capacity of 200 requests per second.
+SOURCES = [f"127.0.{n}.9" for n in range(5)]  # One address in each network of the emulator's five tenants.
+# Beginning and end of the directory's stall, as shares of the load's duration.
 STALL_FROM = 0.2
 STALL_UNTIL = 0.9
-MIN_SERVICE_RATIO = 0.95  # of the service with the directory stalled to that with it working
-MAX_CPU_RATIO = 1.10  # of a request now to the earlier version
-MAX_CPU_RATIO_SHORT = 1.5  # one short round of a second of load shows little
+# Minimum ratio of the share served with the directory stalled to that with it working.
+MIN_SERVICE_RATIO = 0.95
+MAX_CPU_RATIO = 1.10  # Maximum ratio of the CPU time per request to that of the earlier version.
+MAX_CPU_RATIO_SHORT = 1.5  # The same in the short form, whose single round of 1 s has little significance.
 US_PER_S = 1e6
 MS_PER_S = 1e3
 
 
-class Setup:
-    """Site, directory and node, each a process."""
+class NodeSetup:
+    """A node with its emulated site and, with ``tenants``, a directory, each in a process of its own."""
 
     def __init__(
         self,
@@ -77,19 +87,19 @@
             self.directory = stack.enter_context(
                 run_program("-m", "emulators.directory", address, ready="5 tenants")
             )
-            command += ["serve", "--with", str(operator_file(folder, address))]
+            command += ["serve", "--with", str(write_operator_file(folder, address))]
         self.node = stack.enter_context(
             run_program(
                 *command,
                 ready="refreshed in" if tenants else "listens on",
-                where="stderr",
+                stream="stderr",
                 cwd=cwd,
                 NODE_CONFIG=str(config_path),
             )
         )
 
     def command_directory(self, line: str) -> None:
-        """Send a command to the directory and wait until it is done."""
+        """Send a command to the directory's standard input and wait for its answer."""
         assert self.directory is not None and self.directory.stdin is not None
         assert self.directory.stdout is not None
         self.directory.stdin.write(line + "\n")
@@ -97,47 +107,51 @@
         self.directory.stdout.readline()
 
 
-def service(seed: int, seconds: float, stall: bool) -> dict[str, Any]:
-    """Run the load once; with ``stall`` the directory is silent from a fifth of the time to nine tenths."""
+def run_load(seed: int, seconds: float, stall: bool) -> dict[str, Any]:
+    """Run the load once; with ``stall``, the directory stalls from ``STALL_FROM`` to ``STALL_UNTIL``."""
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        setup = Setup(stack, folder, CORES, RUN_MS)
-        load = LoadGenerator(setup.listen, SOURCES)
+        setup = NodeSetup(stack, folder, CORES, RUN_MS)
+        load_generator = LoadGenerator(setup.listen, SOURCES)
         if stall:
-            now = load.loop.clock.now()
+            now = load_generator.loop.clock.now()
             for share, command in ((STALL_FROM, "stall"), (STALL_UNTIL, "go")):
                 at_ms = now + seconds * MS_PER_S * share
-                load.loop.call_at(at_ms, partial(setup.command_directory, command))
-        load.run(random.Random(seed), LOAD_SHARE * CORES * MS_PER_S / RUN_MS, seconds)
-        load.close()
-        served = sum(sent.answers[0].outcome == SERVED for sent in load.sent_requests if sent.answers)
+                load_generator.loop.call_at(at_ms, partial(setup.command_directory, command))
+        load_generator.run(random.Random(seed), LOAD_SHARE * CORES * MS_PER_S / RUN_MS, seconds)
+        load_generator.close()
+        served = sum(
+            request.answers[0].outcome == SERVED
+            for request in load_generator.sent_requests
+            if request.answers
+        )
         return {
-            "served": served / len(load.sent_requests),
-            "worst_second": min(served_by_second(load.sent_requests)),
-            "rules": broken_rules(load.sent_requests, load.wait_ms),
+            "served": served / len(load_generator.sent_requests),
+            "worst_second": min(served_by_second(load_generator.sent_requests)),
+            "rules": count_broken_rules(load_generator.sent_requests, load_generator.wait_ms),
         }
 
 
-def change_to_decision(rounds: int) -> dict[str, float]:
-    """Measure the milliseconds from a suspension in the directory to the first request rejected by it."""
+def measure_change_to_decision(rounds: int) -> dict[str, float]:
+    """Measure the time from a tenant's suspension in the directory to its first rejected request."""
     delays_ms = []
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        setup = Setup(stack, folder, 64, 1.0)
-        load = LoadGenerator(setup.listen, ["127.0.4.9"])
+        setup = NodeSetup(stack, folder, 64, 1.0)
+        load_generator = LoadGenerator(setup.listen, ["127.0.4.9"])
         for _ in range(rounds):
             setup.command_directory("put Pigment 127.0.4.0/24 50")
-            load.run_until(load.loop.clock.now() + 60.0)
-            began = load.loop.clock.now()
+            load_generator.run_until(load_generator.loop.clock.now() + 60.0)
+            suspended_at_ms = load_generator.loop.clock.now()
             setup.command_directory("suspend Pigment")
-            while load.loop.clock.now() < began + 5_000.0:
-                request = load.send("127.0.4.9")
-                while not request.answers and load.loop.clock.now() < request.sent_ms + 1000.0:
-                    load.loop.run_once(0.001)
+            while load_generator.loop.clock.now() < suspended_at_ms + 5_000.0:
+                request = load_generator.send("127.0.4.9")
+                while not request.answers and load_generator.loop.clock.now() < request.sent_ms + 1000.0:
+                    load_generator.loop.run_once(0.001)
                 if request.answers and request.answers[0].outcome == REJECTED:
-                    delays_ms.append(request.sent_ms - began)
+                    delays_ms.append(request.sent_ms - suspended_at_ms)
                     break
-        load.close()
+        load_generator.close()
     return {
         "median_ms": quantile(delays_ms, 0.5),
         "p99_ms": quantile(delays_ms, 0.99),
@@ -146,7 +160,7 @@
 
 
 def extract_version(version: str, folder: Path) -> bool:
-    """Extract the program of an earlier version; False if this is no repository that has it."""
+    """Extract an earlier version of the program to the folder; return False if the repository lacks it."""
     archive = subprocess.run(["git", "archive", version, PROGRAM], cwd=ROOT, capture_output=True, check=False)
     if archive.returncode:
         return False
@@ -156,30 +170,35 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeCost:
-    """What a node took to start and to answer a load."""
+    """The CPU time of a node's start, its CPU time per request under load, and its resident memory."""
 
     start_cpu_s: float
     request_cpu_us: float
     memory_mb: float
 
 
-def off(rounds: int, requests: int) -> dict[str, float] | None:
-    """Compare what a node without features costs with ``BEFORE``, turn by turn."""
+def compare_with_baseline(rounds: int, requests: int) -> dict[str, float] | None:
+    """Compare the cost of a node without tenants with that of ``BASELINE_VERSION``.
+
+    Each round measures both versions, in alternating order. Return None if the earlier version is not
+    available.
+    """
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         before = folder / "before"
         before.mkdir()
-        if not extract_version(BEFORE, before):
+        if not extract_version(BASELINE_VERSION, before):
             return None
         roots = {"before": before, "now": ROOT}
-        for root in roots.values():  # else the first start of a version would also compile it
+        # Compile both versions, so that the first start of each does not include it.
+        for root in roots.values():
             subprocess.run([sys.executable, "-m", "compileall", "-q", PROGRAM], cwd=root, check=True)
-        costs: dict[str, list[NodeCost]] = {which: [] for which in roots}
+        costs: dict[str, list[NodeCost]] = {version: [] for version in roots}
         for n in range(rounds):
-            for which in ("before", "now") if n % 2 else ("now", "before"):
-                place = folder / f"{which}{n}"
-                place.mkdir()
-                costs[which].append(bare_node(place, roots[which], n, requests))
+            for version in ("before", "now") if n % 2 else ("now", "before"):
+                run_folder = folder / f"{version}{n}"
+                run_folder.mkdir()
+                costs[version].append(measure_node_cost(run_folder, roots[version], n, requests))
     before_us = [cost.request_cpu_us for cost in costs["before"]]
     now_us = [cost.request_cpu_us for cost in costs["now"]]
     return {
@@ -197,43 +216,43 @@
     return float(now / before)
 
 
-def bare_node(folder: Path, root: Path, seed: int, requests: int) -> NodeCost:
-    """Return what a node costs that is run from this root."""
+def measure_node_cost(folder: Path, root: Path, seed: int, requests: int) -> NodeCost:
+    """Return the cost of a node without tenants that runs from the repository at ``root``."""
     with ExitStack() as stack:
-        setup = Setup(stack, folder, 64, 1.0, tenants=False, cwd=root)
-        load = LoadGenerator(setup.listen, SOURCES)
-        began = cpu_seconds(setup.node.pid)
-        load.run(random.Random(seed), 500.0, requests / 500.0)
-        cpu_us = (cpu_seconds(setup.node.pid) - began) / len(load.sent_requests) * US_PER_S
+        setup = NodeSetup(stack, folder, 64, 1.0, tenants=False, cwd=root)
+        load_generator = LoadGenerator(setup.listen, SOURCES)
+        start_cpu_s = cpu_seconds(setup.node.pid)
+        load_generator.run(random.Random(seed), 500.0, requests / 500.0)
+        cpu_us = (cpu_seconds(setup.node.pid) - start_cpu_s) / len(load_generator.sent_requests) * US_PER_S
         memory_mb = resident_memory_mb(setup.node.pid)
-        load.close()
-    return NodeCost(start_cpu_s=began, request_cpu_us=cpu_us, memory_mb=memory_mb)
+        load_generator.close()
+    return NodeCost(start_cpu_s=start_cpu_s, request_cpu_us=cpu_us, memory_mb=memory_mb)
 
 
-def run_service(seed: int, seconds: float) -> dict[str, Any]:
-    """Run the load with the directory working and with it stalled."""
-    calm = service(seed, seconds, stall=False)
-    stalled = service(seed, seconds, stall=True)
-    return {"calm": calm, "stalled": stalled, "service_ratio": stalled["served"] / calm["served"]}
+def measure_service(seed: int, seconds: float) -> dict[str, Any]:
+    """Run the load with the directory working and with it stalled, and compare the shares served."""
+    working = run_load(seed, seconds, stall=False)
+    stalled = run_load(seed, seconds, stall=True)
+    return {"calm": working, "stalled": stalled, "service_ratio": stalled["served"] / working["served"]}
 
 
 def missed_objectives(results: Mapping[str, Any], short: bool) -> list[str]:
-    """Return the objectives that the parts that ran miss."""
+    """Return the names of the objectives that the results miss; parts that did not run have none."""
     max_cpu_ratio = MAX_CPU_RATIO_SHORT if short else MAX_CPU_RATIO
     met = {}
     if "service_ratio" in results:
         rules = [results[run]["rules"] for run in ("calm", "stalled")]
-        met["service through the stall at least 0.95"] = results["service_ratio"] >= MIN_SERVICE_RATIO
-        met["nobody lost, doubled or late"] = not any(
+        met["service during the stall at least 0.95"] = results["service_ratio"] >= MIN_SERVICE_RATIO
+        met["no request lost, answered twice or late"] = not any(
             broken[rule] for broken in rules for rule in ("lost", "doubled", "late")
         )
     if results.get("off") is not None:
-        met["feature off within 1.10 of before"] = results["off"]["cpu_ratio"] <= max_cpu_ratio
+        met["CPU time without tenants at most 1.10 of before"] = results["off"]["cpu_ratio"] <= max_cpu_ratio
     return [objective for objective, is_met in met.items() if not is_met]
 
 
 def main() -> int:
-    """Run the parts and print their figures."""
+    """Run the selected parts, print their figures, and return the exit status."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -246,13 +265,13 @@
     size = (2_000, 20_000) if short else (10_000, 100_000)
     rng = random.Random(options.seed)
     parts: dict[str, Callable[[], Any]] = {
-        "service": lambda: run_service(options.seed, seconds),
-        "change_to_decision": lambda: change_to_decision(6 if short else 50),
-        "look_up": lambda: look_up(rng, 10_000, 100_000, 5_000 if short else 100_000),
-        "gate": lambda: gate(rng, 20_000),
-        "full_sync": lambda: full_sync(*size),
-        "codec": lambda: codec(2_000 if short else 20_000),
-        "off": lambda: off(1 if short else 6, 1_000 if short else 4_000),
+        "service": lambda: measure_service(options.seed, seconds),
+        "change_to_decision": lambda: measure_change_to_decision(6 if short else 50),
+        "look_up": lambda: measure_lookups(rng, 10_000, 100_000, 5_000 if short else 100_000),
+        "gate": lambda: measure_identification(rng, 20_000),
+        "full_sync": lambda: measure_full_refresh(*size),
+        "codec": lambda: measure_decoding(2_000 if short else 20_000),
+        "off": lambda: compare_with_baseline(1 if short else 6, 1_000 if short else 4_000),
     }
     if options.only is not None and options.only not in parts:
         parser.error(f"--only takes one of {', '.join(parts)}")
--- a/benchmarks/traffic_figures.py
+++ b/benchmarks/traffic_figures.py
@@ -1,4 +1,4 @@
-"""Figures of the requests that a benchmark sent: broken rules, service by second, quantiles."""
+"""Figures of the requests that a benchmark sent: broken rules, share served by second, and quantiles."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from emulators.load_generator import SentRequest
 from emulators.request_protocol import SERVED
 
-LATE_SLACK_MS = 110.0  # beyond its timeout, until an answer counts as late
-MIN_REQUESTS_PER_SECOND = 5  # of a second whose share is given
+LATE_SLACK_MS = 110.0  # Time after its request's timeout from which an answer counts as late.
+MIN_REQUESTS_PER_SECOND = 5  # Minimum number of requests in a second for its share served to be reported.
 MS_PER_S = 1000.0
 
 
-def broken_rules(sent_requests: Sequence[SentRequest], timeout_ms: float) -> dict[str, int]:
-    """Return how many requests there were, and how many were lost, answered twice, or late."""
+def count_broken_rules(sent_requests: Sequence[SentRequest], timeout_ms: float) -> dict[str, int]:
+    """Return the numbers of requests sent, lost, answered more than once, and answered late."""
     return {
         "asked": len(sent_requests),
         "lost": sum(not request.answers for request in sent_requests),
@@ -28,7 +28,7 @@
 
 
 def served_by_second(sent_requests: Sequence[SentRequest]) -> list[float]:
-    """Return the share served of each second's requests, by when they were sent."""
+    """Return the share of served requests for each second in which enough requests were sent, in order."""
     begin_ms = min(request.sent_ms for request in sent_requests)
     sent: Counter[int] = Counter()
     served: Counter[int] = Counter()
@@ -42,11 +42,11 @@
 
 
 def was_served(request: SentRequest) -> bool:
-    """Return whether any answer to a request has a result."""
+    """Return whether a request has an answer with a result."""
     return any(answer.outcome == SERVED for answer in request.answers)
 
 
 def quantile(values: Sequence[float], q: float) -> float:
-    """Return the value below which a share ``q`` of the values lies."""
+    """Return the ``q``-quantile of the values, with ``q`` from 0 to 1."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(q * len(ordered)))]
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,7 +1,8 @@
 """Send one request to a formula node and print its answer: ``ask.py [CLASS [BODY [KEY]]]``.
 
-``KEY`` is the idempotency key; requests of the class ``dispense`` have a random one where it is not given.
-The node's address is that of the configuration in ``NODE_CONFIG``, or of the example beside this file.
+``KEY`` is the idempotency key; without it, a request of the class ``dispense`` gets a random one. The node's
+address is read from the configuration file that ``NODE_CONFIG`` names, or else from ``node.json`` in the
+folder of this file.
 """
 
 from __future__ import annotations
@@ -24,7 +25,10 @@
 
 
 def ask(address: tuple[str, int], class_name: str, body: bytes, idempotency_key: str | None = None) -> object:
-    """Send one request on a connection of its own and return the complete answer message."""
+    """Send one request on a new connection and return the complete answer message.
+
+    Exits with an error message if the node closes the connection without an answer.
+    """
     fields = {
         "id": secrets.token_hex(8),
         "at": str(int(time.time() * 1000)),
@@ -46,7 +50,7 @@
 
 
 def main(class_name: str = "match", body: str = "a warm grey", key: str | None = None) -> None:
-    """Ask the configured node and print its answer."""
+    """Send a request to the configured node and print the answer."""
     path = Path(os.environ.get("NODE_CONFIG", Path(__file__).with_name("node.json")))
     host, _, port = json.loads(path.read_text())["listen"].rpartition(":")
     if key is None and class_name == "dispense":
--- a/examples/toy_site.py
+++ b/examples/toy_site.py
@@ -1,8 +1,8 @@
-"""Emulate everything a formula node talks to, for trying one out by hand; not for measurements.
+"""Emulate the peers of a formula node, for manual experiments with a node; not suitable for measurements.
 
-Run it from the repository's root beside a node (README.md says how). It emulates the runtime, the database
-and the registry at the addresses of a configuration: a run takes a fifth of a second, every ``dispense``
-makes one call to the database, and what happens is printed.
+Run it from the repository's root beside a node, as README.md describes. It emulates the runtime, the database
+and the registry on the addresses of a configuration. A run takes a fifth of a second, every ``dispense``
+makes one call to the database, and each event is printed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def main(path: Path = EXAMPLE) -> None:
-    """Emulate the surroundings of a configured node until interrupted."""
+    """Emulate the peers of a configured node until interrupted."""
     loop = EventLoop(Clock())
     script = SiteScript(log=lambda line: print(line, flush=True))
     SiteEmulator(loop, json.loads(path.read_text()), script)
--- a/tests/benchmarks/test_objectives.py
+++ b/tests/benchmarks/test_objectives.py
@@ -1,4 +1,4 @@
-"""Which objectives the restart benchmarks report as missed, and that their load reaches a new process."""
+"""The objectives that the restart benchmarks report as missed; their load continues on a new process."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from benchmarks import hot_restart, recovery
 
-CALM_RESTART = {
+PASSING_RESTART = {
     "lost": 0,
     "doubled": 0,
     "late": 0,
@@ -17,11 +17,11 @@
     "left": [0, 0],
     "ready_ms": [500, 600],
 }
-GOOD_RECOVERY: dict[str, float] = {
+PASSING_RECOVERY: dict[str, float] = {
     **dict.fromkeys(recovery.MUST_BE_ZERO, 0),
     "database_peak_over_capacity": recovery.MAX_DATABASE_PEAK_RATIO,
 }
-GOOD_VARIANT: dict[str, Any] = {"ratio": recovery.MAX_TIME_RATIO, "comeback": GOOD_RECOVERY}
+PASSING_VARIANT: dict[str, Any] = {"ratio": recovery.MAX_TIME_RATIO, "comeback": PASSING_RECOVERY}
 
 
 @pytest.mark.parametrize(
@@ -35,35 +35,35 @@
         ({"ready_ms": []}, 1.0, ["ready_ms"]),
     ],
 )
-def test_figures_of_hot_restarts_that_miss_their_objective_are_named(
+def test_hot_restart_figures_that_miss_their_objective_are_reported(
     changes: dict[str, Any], ratio: float, missed: list[str]
 ) -> None:
-    figures = {"replaced": CALM_RESTART | changes, "ratio": ratio}
+    figures = {"replaced": PASSING_RESTART | changes, "ratio": ratio}
     assert hot_restart.missed_objectives(figures) == missed
 
 
 @pytest.mark.parametrize(
     ("cost", "variant", "missed"),
     [
-        (recovery.MAX_COST_RATIO, GOOD_VARIANT, []),
-        (recovery.MAX_COST_RATIO + 0.01, GOOD_VARIANT, ["cost"]),
-        (1.0, GOOD_VARIANT | {"ratio": recovery.MAX_TIME_RATIO + 0.01}, ["wiped: ratio"]),
-        (1.0, GOOD_VARIANT | {"comeback": GOOD_RECOVERY | {"lost": 1}}, ["wiped: lost"]),
+        (recovery.MAX_COST_RATIO, PASSING_VARIANT, []),
+        (recovery.MAX_COST_RATIO + 0.01, PASSING_VARIANT, ["cost"]),
+        (1.0, PASSING_VARIANT | {"ratio": recovery.MAX_TIME_RATIO + 0.01}, ["wiped: ratio"]),
+        (1.0, PASSING_VARIANT | {"comeback": PASSING_RECOVERY | {"lost": 1}}, ["wiped: lost"]),
         (
             1.0,
-            GOOD_VARIANT | {"comeback": GOOD_RECOVERY | {"database_peak_over_capacity": 1.1}},
+            PASSING_VARIANT | {"comeback": PASSING_RECOVERY | {"database_peak_over_capacity": 1.1}},
             ["wiped: database"],
         ),
     ],
 )
-def test_figures_of_recoveries_that_miss_their_objective_are_named(
+def test_recovery_figures_that_miss_their_objective_are_reported(
     cost: float, variant: dict[str, Any], missed: list[str]
 ) -> None:
     assert recovery.missed_objectives({"cost": cost, "variants": {"wiped": variant}}) == missed
 
 
-def test_load_of_the_hot_restart_benchmark_goes_on_at_the_new_process() -> None:
-    figures = hot_restart.play(seed=1, seconds=1.5, restarts_at_s=[0.1])
+def test_load_of_the_hot_restart_benchmark_continues_on_the_new_process() -> None:
+    figures = hot_restart.run_load(seed=1, seconds=1.5, restarts_at_s=[0.1])
     assert figures["asked"] > 20 and figures["served"] > 0.5
     assert len(figures["ready_ms"]) == len(figures["private_mb"]) == len(figures["left"]) == 1
     assert figures["keys_run"] > 0 and figures["keys_run_twice"] == 0
--- a/tests/benchmarks/test_traffic_figures.py
+++ b/tests/benchmarks/test_traffic_figures.py
@@ -1,4 +1,4 @@
-"""Figures of requests: broken rules, the share served by second, quantiles."""
+"""Figures of sent requests: broken rules, the share served by second, and quantiles."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from benchmarks.traffic_figures import (
     LATE_SLACK_MS,
     MIN_REQUESTS_PER_SECOND,
-    broken_rules,
+    count_broken_rules,
     quantile,
     served_by_second,
 )
@@ -22,7 +22,7 @@
     return SentRequest(sent_ms, "127.0.0.2", list(answers))
 
 
-def test_lost_doubled_and_late_requests_are_counted() -> None:
+def test_requests_without_answer_with_two_answers_and_with_a_late_answer_are_counted() -> None:
     in_time = Answer(BEGIN_MS + TIMEOUT_MS + LATE_SLACK_MS, SERVED)
     late = Answer(BEGIN_MS + TIMEOUT_MS + LATE_SLACK_MS + 1.0, REJECTED)
     requests = [
@@ -31,10 +31,10 @@
         request(BEGIN_MS, in_time, in_time),
         request(BEGIN_MS),
     ]
-    assert broken_rules(requests, TIMEOUT_MS) == {"asked": 4, "lost": 1, "doubled": 1, "late": 1}
+    assert count_broken_rules(requests, TIMEOUT_MS) == {"asked": 4, "lost": 1, "doubled": 1, "late": 1}
 
 
-def test_share_served_is_given_for_seconds_with_enough_requests() -> None:
+def test_share_served_is_reported_for_seconds_with_enough_requests() -> None:
     served = Answer(BEGIN_MS, SERVED)
     rejected = Answer(BEGIN_MS, REJECTED)
     first = [request(BEGIN_MS + n, served if n else rejected) for n in range(MIN_REQUESTS_PER_SECOND)]
@@ -44,5 +44,5 @@
 
 
 @pytest.mark.parametrize(("q", "value"), [(0.0, 1.0), (0.5, 3.0), (0.99, 4.0), (1.0, 4.0)])
-def test_quantile_is_the_value_that_so_many_lie_below(q: float, value: float) -> None:
+def test_quantile_is_the_value_that_a_share_of_the_values_lies_below(q: float, value: float) -> None:
     assert quantile([4.0, 1.0, 3.0, 2.0], q) == value
