--- a/tests/emulators/test_shared_cores.py
+++ b/tests/emulators/test_shared_cores.py
@@ -1,4 +1,4 @@
-"""Cores shared evenly by their runs: how long work takes, and the mean load that a machine is judged by."""
+"""Cores that runs share evenly: the time until work ends, and the mean load by which overload is detected."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SharedCoresOnManualClock:
-    """Shared cores on a clock that the test moves, and when each piece of work ended."""
+    """Shared cores on a clock that the test advances, and the time in ms at which each owner's work ended."""
 
     def __init__(self, cores: int) -> None:
         self.clock = ManualClock(1000.0)
@@ -30,7 +30,7 @@
             self.loop.run_once(0.0)
 
 
-def test_runs_beyond_the_cores_slow_each_other_down() -> None:
+def test_runs_in_excess_of_the_cores_slow_each_other_down() -> None:
     machine = SharedCoresOnManualClock(cores=2)
     for owner in "abcd":
         machine.add(owner, 100.0)
@@ -40,7 +40,7 @@
     assert machine.ended_ms == pytest.approx(dict.fromkeys("abcd", 200.0), abs=STEP_MS)
 
 
-def test_run_that_is_removed_never_ends_and_leaves_its_share_to_the_others() -> None:
+def test_removed_run_never_ends_and_the_other_runs_get_its_share() -> None:
     machine = SharedCoresOnManualClock(cores=1)
     machine.add("a", 100.0)
     machine.add("b", 100.0)
@@ -52,7 +52,7 @@
     assert "a" not in machine.ended_ms
 
 
-def test_cold_machine_works_at_its_speed() -> None:
+def test_work_takes_longer_at_reduced_speed() -> None:
     machine = SharedCoresOnManualClock(cores=1)
     machine.cores.speed = 0.25
     machine.add("a", 100.0)
@@ -60,7 +60,7 @@
     assert machine.ended_ms == pytest.approx({"a": 400.0}, abs=STEP_MS)
 
 
-def test_mean_load_and_utilization_are_over_their_windows() -> None:
+def test_mean_load_and_utilization_are_measured_over_their_windows() -> None:
     machine = SharedCoresOnManualClock(cores=2)
     machine.advance(1000.0)
     for owner in "abc":
--- a/tests/emulators/test_strict_runtime.py
+++ b/tests/emulators/test_strict_runtime.py
@@ -1,4 +1,4 @@
-"""The strict runtime keeps to the platform's protocol where links break and runs are stopped."""
+"""The strict runtime follows the platform's protocol when links break and runs are stopped."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from snowthread.net.clock import Clock
 from snowthread.net.loop import EventLoop
 
-PATIENCE_S = 5.0
-FOREVER_MS = 1e9
+READ_TIMEOUT_S = 5.0
+ENDLESS_RUN_MS = 1e9
 
 
 class Link:
-    """A node's end of a link to the runtime."""
+    """The node's end of a link to the runtime."""
 
     def __init__(self, loop: EventLoop, address: Address, position: int = 0) -> None:
         self._loop = loop
@@ -38,9 +38,9 @@
         self.send(action="start", uid=attempt_id, lane="match", content="eA==")
 
     def read(self) -> dict[str, Any]:
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + READ_TIMEOUT_S
         while b"\n" not in self._unread:
-            assert time.monotonic() < end, "nothing came"
+            assert time.monotonic() < end, "the runtime sent no message"
             self._loop.run_once(0.01)
             try:
                 self._unread += self._sock.recv(65536)
@@ -50,7 +50,7 @@
         return dict(json.loads(line))
 
     def measured_runs(self) -> int:
-        """Return the runs on the cores, once all that was sent before was read."""
+        """Return the number of runs on the cores after all commands sent so far."""
         self.send(action="gauges", echo="t")
         while (message := self.read())["action"] != "load":
             pass
@@ -64,12 +64,12 @@
 
 def make_runtime(loop: EventLoop, supports_stop: bool = True) -> Address:
     address = reserve_address()
-    model = MachineModel(mean_run_ms=FOREVER_MS, supports_stop=supports_stop)
+    model = MachineModel(mean_run_ms=ENDLESS_RUN_MS, supports_stop=supports_stop)
     StrictRuntime(loop, address, model, random.Random(1))
     return address
 
 
-def test_commands_of_a_link_that_was_replaced_are_ignored(loop: EventLoop) -> None:
+def test_commands_on_a_replaced_link_are_ignored(loop: EventLoop) -> None:
     address = make_runtime(loop)
     old = Link(loop, address)
     new = Link(loop, address)
@@ -78,7 +78,7 @@
     assert new.measured_runs() == 1
 
 
-def test_run_goes_on_while_there_is_no_link_and_a_second_start_does_nothing(loop: EventLoop) -> None:
+def test_run_continues_without_a_link_and_a_second_start_has_no_effect(loop: EventLoop) -> None:
     address = make_runtime(loop)
     Link(loop, address).start("a")
     loop.run_once(0.05)
@@ -87,7 +87,7 @@
     assert link.measured_runs() == 1
 
 
-def test_stopped_run_leaves_the_cores_and_its_notice_is_repeated_on_the_next_link(loop: EventLoop) -> None:
+def test_stopped_run_leaves_the_cores_and_the_next_link_receives_its_notice_again(loop: EventLoop) -> None:
     address = make_runtime(loop)
     link = Link(loop, address)
     link.start("a")
@@ -96,7 +96,7 @@
     assert Link(loop, address).read()["code"] == "aborted"
 
 
-def test_run_that_cannot_be_stopped_goes_on(loop: EventLoop) -> None:
+def test_run_that_cannot_be_stopped_continues(loop: EventLoop) -> None:
     link = Link(loop, make_runtime(loop, supports_stop=False))
     link.start("a")
     link.send(action="stop", uid="a")
--- a/tests/incidents/test_runtime_overload.py
+++ b/tests/incidents/test_runtime_overload.py
@@ -1,20 +1,21 @@
-"""Incident 2026-12-02: more runs on a machine than it survives, while the runtime's link broke repeatedly.
+"""Incident 2026-12-02: machines were overloaded with runs while the link to the runtime broke repeatedly.
 
-Symptom: machines fell, cold and warm, 3 to 6 s into a row of resets of the link between runtime and node; one
-node had reported itself as far slower than before 1.5 s earlier.
+Symptom: cold and warm machines were overloaded 3 to 6 s after a series of link resets between runtime and
+node began. One node had reported itself as far slower than before 1.5 s earlier.
 
-Sequence: a run is started; the link breaks before the node hears of it; the node takes the run out of its
-count, as it might never have begun or as nobody waits for it any more, and starts another in its place. The
-first goes on. Each break adds runs that nobody counts, all runs become slower, and more are cut off by the
-next break.
+Sequence: The node starts a run, and the link breaks before the runtime confirms it. The node stops counting
+the run, as it may never have started or its client may no longer wait, and starts another one in its place.
+The first run continues. Each break adds runs that are not counted, all runs become slower, and the next break
+hits more.
 
-Cause: what nothing was known of counted as not running, in three places. A start of unknown fate freed its
-core. A run whose answer was given counted as ended at the break, also where the site can't stop runs. Its
-stop, where the link was down, was dropped with its request.
+Cause: Runs of unknown state counted as not running, in three cases. A start without confirmation freed its
+core. An answered run counted as ended at a break, even if the site cannot stop runs. If the link was down,
+the stop of a run was discarded together with its request.
 
-Settled by the node's notes at a break, beside the runtime's own figure in the same line, two cores, links of
-0.2 s: ``2 runs counted, 3 indeterminate, 0 at calls, limit 2.0, ceiling 8.0; load sample 103 ms old: core_use
-1.00, on_cores 11.00``. Eleven runs ran: two were counted, three indeterminate, six had been counted as ended.
+Evidence: the node's log line at a break, which also has the runtime's own load, with two cores and links that
+lasted 0.2 s: ``2 runs counted, 3 indeterminate, 0 at calls, limit 2.0, ceiling 8.0; load sample 103 ms old:
+core_use 1.00, on_cores 11.00``. Of eleven runs, two were counted, three were indeterminate, and six had been
+counted as ended.
 """
 
 from __future__ import annotations
@@ -32,14 +33,14 @@
 
 BEFORE_FAULTS_MS = 2000.0
 FAULTS_MS = 9000.0
-UNCOUNTED_MAX = 0.25  # runs a core: a sample is a moment older than the count beside it
+UNCOUNTED_MAX = 0.25  # Uncounted runs per core that are allowed, as a load sample is older than the count.
 
 
 @dataclass(frozen=True)
 class LinkBreaks:
-    """A link that breaks every ``period_ms`` and takes no connection for ``down_ms`` after it.
+    """A link that breaks every ``period_ms`` and then accepts no connection for ``down_ms``.
 
-    Single breaks come beside these, ``mean_gap_ms`` apart in the mean (0: none).
+    Additional breaks come at random times, with ``mean_gap_ms`` between them on average (0: none).
     """
 
     period_ms: float
@@ -48,7 +49,7 @@
 
 
 def break_link_periodically(node: NodeUnderFaults, breaks: LinkBreaks) -> None:
-    """Reset the runtime's link, and again and again from then on."""
+    """Reset the link to the runtime now and in every period from now on."""
     faults = node.runtime_relay.faults
     loop = node.loop
     faults.cut_count += 1
@@ -59,20 +60,20 @@
 
 
 def break_link_at_random(node: NodeUnderFaults, breaks: LinkBreaks) -> None:
-    """Reset the runtime's link once, and at random times from then on."""
+    """Reset the link to the runtime now and at random times from now on."""
     node.runtime_relay.faults.cut_count += 1
     gap_ms = node.generator.expovariate(1.0 / breaks.mean_gap_ms)
     node.loop.call_at(node.loop.clock.now() + gap_ms, partial(break_link_at_random, node, breaks))
 
 
 def uncounted_runs_per_core(node: NodeUnderFaults) -> float:
-    """Return, in the mean over the breaks, the runs that the runtime measured and the node did not count."""
-    notes = re.findall(r"lost: (\d+) runs counted.*on_cores (\d+)", node.log())
-    differences = [int(measured) - int(counted) for counted, measured in notes]
+    """Return the mean over the breaks of the runs per core that were measured but not counted by the node."""
+    log_matches = re.findall(r"lost: (\d+) runs counted.*on_cores (\d+)", node.log())
+    differences = [int(measured) - int(counted) for counted, measured in log_matches]
     return sum(differences) / len(differences) / node.scenario.model.cores
 
 
-KEYED_STARTS = NodeScenario(
+RUNS_WITH_KEYS = NodeScenario(
     MachineModel(cores=4, mean_run_ms=600.0), load_ratio=3.0, class_shares={"dispense": 1.0}, wait_ms=3000.0
 )
 COLD_MACHINE = NodeScenario(
@@ -96,7 +97,7 @@
 @pytest.mark.parametrize(
     ("scenario", "breaks"),
     [
-        pytest.param(KEYED_STARTS, LinkBreaks(120.0), id="keyed-starts"),
+        pytest.param(RUNS_WITH_KEYS, LinkBreaks(120.0), id="keyed-starts"),
         pytest.param(RUNS_THAT_CANNOT_BE_STOPPED, LinkBreaks(150.0, down_ms=50.0), id="no-preemption"),
         pytest.param(COLD_MACHINE, LinkBreaks(600.0, down_ms=200.0, mean_gap_ms=300.0), id="cold-machine"),
     ],
@@ -113,7 +114,8 @@
             break_link_at_random(node, breaks)
         node.run_for(FAULTS_MS)
         peak = node.runtime.peak
-        assert node.runtime.links > FAULTS_MS / breaks.period_ms / 2  # the link did break, and came back
+        # The link was broken and opened again at least in half of the periods.
+        assert node.runtime.links > FAULTS_MS / breaks.period_ms / 2
         uncounted = uncounted_runs_per_core(node)
         print(f"{peak}, {uncounted:.2f} uncounted runs a core")
         assert uncounted < UNCOUNTED_MAX
--- a/tests/soak/test_soak_rules.py
+++ b/tests/soak/test_soak_rules.py
@@ -1,4 +1,4 @@
-"""Each rule that a soak checks is reported when it is broken."""
+"""The violation of each rule that a soak checks is reported."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 KILLED_AT_MS = 100_000.0
 WAIT_MS = 1000.0
-QUIET = SoakObservation(draw_plan(1), killed_at_ms=KILLED_AT_MS)
-"""A soak whose node has served nothing."""
+EMPTY = SoakObservation(draw_plan(1), killed_at_ms=KILLED_AT_MS)
+"""A soak without requests."""
 
 
 def answered(*answers: str, after_ms: float = 10.0) -> ClientRequest:
@@ -37,7 +37,7 @@
 
 def soak_of(request: ClientRequest) -> SoakObservation:
     """Return a soak with one request."""
-    return replace(QUIET, requests=[request])
+    return replace(EMPTY, requests=[request])
 
 
 def test_one_answer_in_time_breaks_no_rule() -> None:
@@ -50,7 +50,7 @@
     assert "was not answered" in check_answers(soak_of(answered()))[0]
 
 
-def test_answer_that_is_not_owed_may_be_missing() -> None:
+def test_answer_that_is_not_expected_may_be_missing() -> None:
     request = answered()
     request.answer_expected = False
     assert check_answers(soak_of(request)) == []
@@ -65,7 +65,7 @@
     assert "after its deadline" in check_answers(soak_of(answered(SERVED, after_ms=late_ms)))[0]
 
 
-def test_request_whose_connection_ended_is_reported() -> None:
+def test_request_whose_connection_was_lost_is_reported() -> None:
     request = answered()
     request.lost_reason = f"connection ended {CLOSE_RACE_MS + 1.0} ms after it was sent"
     assert "lost" in check_answers(soak_of(request))[0]
@@ -76,22 +76,22 @@
     assert "ran 2 times" in check_runs(soak)[0]
 
 
-def test_rejection_of_what_ran_is_reported() -> None:
+def test_rejection_of_a_keyed_attempt_that_ran_is_reported() -> None:
     soak = replace(soak_of(answered(REJECTED)), runs_by_attempt={"a1": 1})
     assert "was rejected although it ran" in check_runs(soak)[0]
 
 
-def test_machine_and_database_with_more_than_they_survive_are_reported() -> None:
-    broken = " ".join(check_load(replace(QUIET, peak=LoadPeak(5.0, 1.0, 1.0), peak_mean_calls=100.0)))
+def test_overload_of_the_machine_and_too_many_database_calls_are_reported() -> None:
+    broken = " ".join(check_load(replace(EMPTY, peak=LoadPeak(5.0, 1.0, 1.0), peak_mean_calls=100.0)))
     assert "machine was overloaded" in broken and "concurrent database calls" in broken
 
 
 @pytest.mark.parametrize(
     ("soak", "broken"),
     [
-        (replace(QUIET, log="ERROR: x"), "the node's log contains 'ERROR'"),
-        (replace(QUIET, exit_status=1), "the node exited with status 1"),
+        (replace(EMPTY, log="ERROR: x"), "the node's log contains 'ERROR'"),
+        (replace(EMPTY, exit_status=1), "the node exited with status 1"),
     ],
 )
-def test_error_in_the_log_and_exit_with_an_error_are_reported(soak: SoakObservation, broken: str) -> None:
+def test_error_in_the_log_and_error_exit_status_are_reported(soak: SoakObservation, broken: str) -> None:
     assert evaluate(soak).broken == check_process(soak) == [broken]
