--- a/examples/ask.py
+++ b/examples/ask.py
@@ -24,7 +24,9 @@
 READ_BYTES = 65536
 
 
-def ask(address: tuple[str, int], class_name: str, body: bytes, idempotency_key: str | None = None) -> object:
+def send_request(
+    address: tuple[str, int], class_name: str, body: bytes, idempotency_key: str | None = None
+) -> object:
     """Send one request on a new connection and return the complete answer message.
 
     Exits with an error message if the node closes the connection without an answer.
@@ -55,7 +57,7 @@
     host, _, port = json.loads(path.read_text())["listen"].rpartition(":")
     if key is None and class_name == "dispense":
         key = secrets.token_hex(16)
-    print(ask((host, int(port)), class_name, body.encode(), key))
+    print(send_request((host, int(port)), class_name, body.encode(), key))
 
 
 if __name__ == "__main__":
--- a/tests/records/test_record_program.py
+++ b/tests/records/test_record_program.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from ask import ask
+from ask import send_request
 from support.program import TIMEOUT_S, configuration, environment, listen_address, site, started
 
 from snowthread import config
@@ -40,7 +40,7 @@
         )
         assert node.stderr is not None and "listens on" in node.stderr.readline()
         for number in range(5):
-            assert ask(listen_address(path), "match", b"grey") == [1, 1, None, [b"GREY", {}]], number
+            assert send_request(listen_address(path), "match", b"grey") == [1, 1, None, [b"GREY", {}]], number
         time.sleep(1.2)
         node.kill()
         node.wait()
@@ -92,11 +92,11 @@
             started("-m", "snowthread", "serve", "--with", str(file), env=environment(path))
         )
         assert node.stderr is not None and "listens on" in node.stderr.readline()
-        assert ask(listen_address(path), "match", b"grey") == [1, 1, None, [b"GREY", {}]]
+        assert send_request(listen_address(path), "match", b"grey") == [1, 1, None, [b"GREY", {}]]
         children = Path(f"/proc/{node.pid}/task/{node.pid}/children").read_text().split()
         os.kill(int(children[0]), signal.SIGKILL)
         assert any("the writer process has exited" in line for line in iter(node.stderr.readline, ""))
-        assert ask(listen_address(path), "match", b"grey") == [1, 1, None, [b"GREY", {}]]
+        assert send_request(listen_address(path), "match", b"grey") == [1, 1, None, [b"GREY", {}]]
         node.send_signal(signal.SIGTERM)
         assert node.wait(TIMEOUT_S) == 0
 
--- a/tests/tenants/test_tenants_program.py
+++ b/tests/tenants/test_tenants_program.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from ask import ask
+from ask import send_request
 from support.program import (
     ROOT,
     TIMEOUT_S,
@@ -96,7 +96,7 @@
         return process
 
     def request(self, idempotency_key: str | None = None) -> str:
-        response: Any = ask(
+        response: Any = send_request(
             listen_address(self.node_config),
             "dispense" if idempotency_key else "match",
             b"grey",
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from ask import ask
+from ask import send_request
 from support.node_harness import address, loopback
 from support.program import (
     ROOT,
@@ -40,10 +40,10 @@
 def test_example_serves_and_shuts_down(tmp_path: Path) -> None:
     path = configuration(tmp_path, stop_ms=1000)
     with site(path), node(path) as process:  # without a command, the program serves
-        assert ask(listen_address(path), "match", b"grey") == GREY_MATCH
-        first = ask(listen_address(path), "dispense", b"grey", "k1")
+        assert send_request(listen_address(path), "match", b"grey") == GREY_MATCH
+        first = send_request(listen_address(path), "dispense", b"grey", "k1")
         assert first == GREY_DISPENSE
-        assert ask(listen_address(path), "dispense", b"grey", "k1") == first
+        assert send_request(listen_address(path), "dispense", b"grey", "k1") == first
         process.send_signal(signal.SIGTERM)
         log = process.communicate(timeout=TIMEOUT_S)[1]
         # An idle connection to the database is still open: waiting tasks must end before the event loop.
@@ -66,7 +66,7 @@
 def test_messages_unread_at_the_shutdown_signal_are_answered(tmp_path: Path) -> None:
     path = configuration(tmp_path, stop_ms=1500)
     with site(path), node(path) as process:
-        assert ask(listen_address(path), "match", b"grey") == GREY_MATCH
+        assert send_request(listen_address(path), "match", b"grey") == GREY_MATCH
         process.send_signal(signal.SIGSTOP)
         process.send_signal(signal.SIGTERM)
         with socket.create_connection(listen_address(path)) as sock:
@@ -90,7 +90,7 @@
         crowd = [socket.create_connection(listen_address(path)) for _ in range(100)]
         for sock in crowd:
             sock.close()
-        assert ask(listen_address(path), "match", b"grey") == GREY_MATCH
+        assert send_request(listen_address(path), "match", b"grey") == GREY_MATCH
         assert process.poll() is None
 
 
@@ -105,8 +105,8 @@
         with pytest.raises(BlockingIOError):  # the node has paused reading and all buffers are full
             while sent < len(checks):
                 sent += sock.send(checks[sent : sent + 65536])
-                ask(listen_address(path), "health", b"")
-        assert ask(listen_address(path), "match", b"grey") == GREY_MATCH
+                send_request(listen_address(path), "health", b"")
+        assert send_request(listen_address(path), "match", b"grey") == GREY_MATCH
         sock.settimeout(TIMEOUT_S)
         expected, received = sent // len(HEALTH_CHECK) * len(HEALTHY_ANSWER), 0
         while received < expected:
@@ -124,11 +124,11 @@
     with ExitStack() as stack:
         first = stack.enter_context(site(path))
         process = stack.enter_context(node(path))
-        assert ask(listen_address(path), "dispense", b"grey", "k1") == GREY_DISPENSE
+        assert send_request(listen_address(path), "dispense", b"grey", "k1") == GREY_DISPENSE
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
         assert "keeping the current one" in next_log_line(process)
-        assert ask(listen_address(other), "match", b"grey") == GREY_MATCH
+        assert send_request(listen_address(other), "match", b"grey") == GREY_MATCH
         second = stack.enter_context(site(other))
         path.write_text(json.dumps(fields | {"name": "n7"}))
         process.send_signal(signal.SIGHUP)
@@ -137,8 +137,8 @@
         first.kill()
         # Cached results are kept, and the new runtime runs the requests. The toy runtime numbers its notices
         # from the start again, so the node ignores them; exchanges/address-migration.txt covers the rest.
-        assert ask(listen_address(other), "dispense", b"grey", "k1") == GREY_DISPENSE
-        ask(listen_address(other), "match", b"grey")
+        assert send_request(listen_address(other), "dispense", b"grey", "k1") == GREY_DISPENSE
+        send_request(listen_address(other), "match", b"grey")
         assert second.stdout is not None
         assert any("runtime: match" in line for line in iter(second.stdout.readline, ""))
         process.send_signal(signal.SIGHUP)
