--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -57,7 +57,7 @@
 # Minimum ratio of the share served with the directory stalled to that with it working.
 MIN_SERVICE_RATIO = 0.95
 MAX_CPU_RATIO = 1.10  # Maximum ratio of the CPU time per request to that of the earlier version.
-MAX_CPU_RATIO_SHORT = 1.5  # The same in the short form, whose single round of 1 s has little significance.
+MAX_CPU_RATIO_SHORT = 1.5  # Maximum in the short form, whose single round of 1 s has little significance.
 US_PER_S = 1e6
 MS_PER_S = 1e3
 
--- a/emulators/balancers.py
+++ b/emulators/balancers.py
@@ -152,18 +152,14 @@
 
     def _send(self, request: ClientRequest, node: str, left_ms: float) -> bool:
         """Send an attempt to a node; return False if the node accepts no connection."""
-        load_generator = (self._foreign_load_generators if request.is_foreign else self._own_load_generators)[
-            node
-        ]
+        sender = (self._foreign_load_generators if request.is_foreign else self._own_load_generators)[node]
         try:
-            sent = load_generator.send(
-                request.source, request.request_class.name, request.idempotency_key, left_ms
-            )
+            sent = sender.send(request.source, request.request_class.name, request.idempotency_key, left_ms)
         except OSError:
-            load_generator.sent_requests.pop()
+            sender.sent_requests.pop()
             return False
         # Attempts are recorded in this class; the load generator's list would only grow for the whole run.
-        load_generator.sent_requests.clear()
+        sender.sent_requests.clear()
         if request.idempotency_key:
             request.sticky_node = node
         self._attempts[sent] = Attempt(request, node, sent.sent_ms + left_ms)
--- a/emulators/node_router.py
+++ b/emulators/node_router.py
@@ -23,8 +23,8 @@
         """Start with all nodes of the plan as listed, and poll the registry from now on."""
         self._loop = loop
         self._generator = generator
-        self._known = frozenset(plan.nodes)
-        self._listed = sorted(plan.nodes)
+        self._known_nodes = frozenset(plan.nodes)
+        self._listed_nodes = sorted(plan.nodes)
         self._weights: dict[str, float] = {}
         # Time of the loop's clock in ms until which a node is avoided, by source address and node name.
         self._avoid_until_ms: dict[tuple[str, str], float] = {}
@@ -38,7 +38,7 @@
                 yield Wait(self._sock.fileno(), READABLE, self._loop.clock.now() + REGISTRY_POLL_MS)
                 names = self._sock.recv(DATAGRAM_BYTES_MAX).decode().split()[1:]
                 if names:  # An empty list does not replace the last one: there would be no node to choose.
-                    self._listed = [name for name in names if name in self._known]
+                    self._listed_nodes = [name for name in names if name in self._known_nodes]
             except OSError:
                 pass
             yield Wait(until_ms=self._loop.clock.now() + REGISTRY_POLL_MS)
@@ -49,7 +49,7 @@
         Nodes that are avoided for the request's source are chosen only if there is no other.
         """
         now = self._loop.clock.now()
-        untried = [name for name in self._listed if name not in request.nodes_tried]
+        untried = [name for name in self._listed_nodes if name not in request.nodes_tried]
         preferred = [name for name in untried if self._avoid_until_ms.get((request.source, name), 0.0) <= now]
         candidates = preferred or untried
         if not candidates:
--- a/emulators/persistent_clients.py
+++ b/emulators/persistent_clients.py
@@ -28,7 +28,8 @@
 
 CLOSE_RACE_MS = 50.0
 READ_BYTES = 65536
-OPEN_REQUESTS_MAX = 32  # Maximum number of requests sent on one connection before a new one is opened.
+# Maximum number of requests on a connection; the next one opens a new connection.
+CONNECTION_REQUESTS_MAX = 32
 CONNECT_TIMEOUT_S = 1.0
 BALANCER_NUMBER = 1
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # Value of SO_LINGER: on, with a timeout of 0 s.
@@ -60,7 +61,7 @@
 
     def __init__(self, clients: PersistentClients, sock: socket.socket) -> None:
         self.sock = sock
-        self.open: dict[int, ClientRequest] = {}
+        self.requests: dict[int, ClientRequest] = {}
         self.is_closed = False
         self._clients = clients
         self._number = 0
@@ -79,14 +80,14 @@
             key,
             body=keyed_body(key) if key else PLAIN_BODY,
         )
-        self.open[self._number] = request
+        self.requests[self._number] = request
         self.sock.sendall(message.encode())
 
     def cancel(self, request: ClientRequest) -> None:
         """Send the node a cancellation of a request, if the request was sent on this connection."""
-        for number, found in list(self.open.items()):
+        for number, found in list(self.requests.items()):
             if found is request and not self.is_closed:
-                del self.open[number]
+                del self.requests[number]
                 self.sock.sendall(encode_cancellation(number))
 
     def read_answers(self) -> Coroutine:
@@ -109,7 +110,7 @@
             self._clients.connection_ended(self)
 
     def _handle_answer(self, message: list[object]) -> None:
-        request = self.open.get(int(str(message[1])))
+        request = self.requests.get(int(str(message[1])))
         if request is not None:
             error = message[2]
             request.answers.append(str(error[0]) if isinstance(error, list) else SERVED)
@@ -148,7 +149,7 @@
 
     def _connection(self, index: int) -> ClientConnection:
         found = self._connections[index]
-        if found is None or found.is_closed or len(found.open) >= OPEN_REQUESTS_MAX:
+        if found is None or found.is_closed or len(found.requests) >= CONNECTION_REQUESTS_MAX:
             sock = socket.create_connection(self._address, timeout=CONNECT_TIMEOUT_S)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -169,9 +170,9 @@
         """Reset a random connection; no answer is expected for its open requests any more."""
         connection = self._generator.choice(self._connections)
         if connection is not None and not connection.is_closed:
-            for request in connection.open.values():
+            for request in connection.requests.values():
                 request.answer_expected = request.answer_expected and bool(request.answers)
-            connection.open.clear()
+            connection.requests.clear()
             connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             connection.sock.shutdown(socket.SHUT_RDWR)
 
@@ -192,7 +193,7 @@
     def connection_ended(self, connection: ClientConnection) -> None:
         """Resend or mark as lost the open requests of a connection that the node or the kernel closed."""
         now = self.loop.clock.now()
-        for request in connection.open.values():
+        for request in connection.requests.values():
             if request.answers or not request.answer_expected:
                 continue
             if self.node_killed:
@@ -203,5 +204,5 @@
                 self._connections[index] = None
                 self._send(request, index)
             else:
-                request.lost_reason = f"connection ended {now - request.sent_ms:.0f} ms after it was sent"
-        connection.open.clear()
+                request.lost_reason = f"connection ended {now - request.sent_ms:.0f} ms after the request"
+        connection.requests.clear()
--- a/emulators/recorded_incidents.py
+++ b/emulators/recorded_incidents.py
@@ -1,6 +1,6 @@
 """Generate the records that a fleet writes on a day with known faults, from a random seed.
 
-The faults and the errors of the nodes' clocks are returned beside the records, so that a reconstruction from
+The faults and the errors of the nodes' clocks are returned with the records, so that a reconstruction from
 the records can be compared with them. Requests arrive as a Poisson process, and each recorded value has its
 own random noise. The same seed always produces the same records.
 """
@@ -19,7 +19,7 @@
 from snowthread.records.frame import encode_record
 from snowthread.records.model import Record, RecordFields, RecordKind
 
-DAY_BEGIN_S = 1_800_000_000.0  # Unix time at which each day begins
+DAY_BEGIN_S = 1_800_000_000.0  # Unix time in s at which each generated day begins.
 REQUESTS_PER_S = 40.0  # Requests per second to each node while all nodes serve and there is no fault.
 BALANCERS = 4
 BALANCER_OFFSET_MAX_MS = 50.0
--- a/emulators/site.py
+++ b/emulators/site.py
@@ -107,7 +107,7 @@
             self._link.connect(connection, "seasoned", 0.0, position)
 
     def _start_run(self, attempt_id: str, class_name: str, body: bytes) -> None:
-        """Start a run; at its end, it calls the database if its class does."""
+        """Start a run; after its core time, it calls the database if its class does, or else ends."""
         self.script.log(f"runtime: {class_name} {attempt_id} starts")
         self._active.add(attempt_id)
         self.runs[body] += 1
@@ -129,7 +129,7 @@
         )
 
     def _occupy_core(self, attempt_id: str, duration_ms: float, on_done: Callable[[], None]) -> None:
-        """Occupy a core for a run; ``on_done`` is not called if the run ends before the core is done."""
+        """Occupy a core for a run; ``on_done`` is not called if the run ends earlier."""
 
         def finish() -> None:
             if attempt_id in self._active:
--- a/emulators/soak_rules.py
+++ b/emulators/soak_rules.py
@@ -13,10 +13,11 @@
 from emulators.strict_runtime import LoadPeak
 from snowthread.admission.concurrency import CEILING_RATIO
 
-# Time after a deadline for its answer: 60 ms from the settings, 50 ms in the protocol.
+# Allowed time from a deadline to the answer: 60 ms from the settings, 50 ms from the protocol.
 ANSWER_SLACK_MS = 110.0
 TEST_HOST_SLACK_MS = 100.0  # More time for answers, as node, emulators and clients share the test host.
-UNREADABLE_BEFORE_KILL_MS = 30.0  # A request sent this shortly before the kill cannot be read and answered.
+# Requests sent within this time before the kill need no answer, as the node cannot read and answer them.
+UNREADABLE_BEFORE_KILL_MS = 30.0
 ERRORS_IN_LOG = ("Traceback", " failed\n", "ERROR", "CRITICAL")
 EXPECTED_EXITS = (0, -signal.SIGKILL)
 
--- a/emulators/stdin_commands.py
+++ b/emulators/stdin_commands.py
@@ -1,4 +1,7 @@
-"""Read the commands of an emulator process from standard input, one per line; the process ends with it."""
+"""Read the commands of an emulator process from standard input, one per line.
+
+The process exits with status 0 at the end of the input, and with status 1 when a command fails.
+"""
 
 from __future__ import annotations
 
--- a/emulators/traffic_statistics.py
+++ b/emulators/traffic_statistics.py
@@ -10,7 +10,8 @@
 
 from emulators.traffic_plan import RequestClass, TrafficPlan
 
-LATE_TOLERANCE_MS = 110.0  # Time from a deadline to its answer: 60 ms in the node's rules, 50 ms on the way.
+# Allowed time from a deadline to the answer: 60 ms from the node's rules, 50 ms for its transmission.
+LATE_TOLERANCE_MS = 110.0
 # An attempt that was open within this time of a node's outage may stay unanswered. The lab reports the outage
 # and may be delayed itself, and stopping a node takes time.
 OUTAGE_TOLERANCE_MS = 400.0
--- a/examples/toy_site.py
+++ b/examples/toy_site.py
@@ -1,8 +1,8 @@
 """Emulate the peers of a formula node, for manual experiments with a node; not suitable for measurements.
 
-Run it from the repository's root beside a node, as README.md describes. It emulates the runtime, the database
-and the registry on the addresses of a configuration. A run takes a fifth of a second, every ``dispense``
-makes one call to the database, and each event is printed.
+Run it from the repository's root together with a node, as README.md describes. It emulates the runtime, the
+database and the registry on the addresses of a configuration. A run takes a fifth of a second, every
+``dispense`` makes one call to the database, and each event is printed.
 """
 
 from __future__ import annotations
--- a/tests/benchmarks/test_programs.py
+++ b/tests/benchmarks/test_programs.py
@@ -49,4 +49,4 @@
 def test_reading_the_usage_of_a_missing_process_raises_an_error() -> None:
     for read in (cpu_seconds, child_pids, resident_memory_mb, private_memory_mb):
         with pytest.raises(OSError, match="No such file"):
-            read(2**22 + 1)  # No process can have this id: the largest one is 2**22.
+            read(2**22 + 1)  # Above the largest process id of Linux, 2**22.
--- a/tests/incidents/test_runtime_overload.py
+++ b/tests/incidents/test_runtime_overload.py
@@ -117,6 +117,6 @@
         # The link was broken and opened again at least in half of the periods.
         assert node.runtime.links > FAULTS_MS / breaks.period_ms / 2
         uncounted = uncounted_runs_per_core(node)
-        print(f"{peak}, {uncounted:.2f} uncounted runs a core")
+        print(f"{peak}, {uncounted:.2f} uncounted runs per core")
         assert uncounted < UNCOUNTED_MAX
         assert peak.limit_ratio < CEILING_RATIO
--- a/tests/soak/test_soak_rules.py
+++ b/tests/soak/test_soak_rules.py
@@ -67,7 +67,7 @@
 
 def test_request_whose_connection_was_lost_is_reported() -> None:
     request = answered()
-    request.lost_reason = f"connection ended {CLOSE_RACE_MS + 1.0} ms after it was sent"
+    request.lost_reason = f"connection ended {CLOSE_RACE_MS + 1.0} ms after the request"
     assert "lost" in check_answers(soak_of(request))[0]
 
 
