--- a/emulators/persistent_clients.py
+++ b/emulators/persistent_clients.py
@@ -1,9 +1,9 @@
-"""Clients of one node that go on using their open connections, whatever the node says, until it is killed.
+"""Clients that keep using their open connections to one node until it is killed, even while it drains.
 
-Each request is sent at its time whether or not earlier ones were answered, on a connection that is open
-already where there is one. Some connections are reset by their client and some requests are cancelled: their
-answers are not owed. A request that crosses the end of its connection, within :data:`CROSSING_MS` of it, is
-sent once more on a new one, as the platform's balancers do.
+Requests are sent at their scheduled times, whether or not earlier ones were answered, on an open connection
+if there is one. Clients reset some connections and cancel some requests; no answer is expected for the
+requests concerned. If a connection ends within :data:`CLOSE_RACE_MS` after a request was sent on it, the node
+may not have read the request. It is then sent once more on a new connection, as the platform's balancers do.
 """
 
 from __future__ import annotations
@@ -26,48 +26,49 @@
 from snowthread.address import Address
 from snowthread.net.loop import HANGUP, READABLE, Coroutine, EventLoop, Wait
 
-CROSSING_MS = 50.0
+CLOSE_RACE_MS = 50.0
 READ_BYTES = 65536
-REQUESTS_OPEN_MAX = 32  # on one connection
+# Maximum number of requests on a connection; the next one opens a new connection.
+CONNECTION_REQUESTS_MAX = 32
 CONNECT_TIMEOUT_S = 1.0
 BALANCER_NUMBER = 1
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, with a timeout of 0 s
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # Value of SO_LINGER: on, with a timeout of 0 s.
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """One request of a client, and what became of it."""
+    """One request of a client, and its outcome."""
 
     class_name: str
-    idempotency_key: str  # empty: none
+    idempotency_key: str  # Empty for a request without an idempotency key.
     wait_ms: float
     attempt_id: str = ""
     sent_ms: float = 0.0
     answers: list[str] = field(default_factory=list)
     answered_ms: float = 0.0
     attempts: int = 0
-    is_owed: bool = True  # False: cancelled, reset by its client, or never accepted
+    answer_expected: bool = True  # False if cancelled, reset by its client, never sent, or open at the kill.
     lost_reason: str = ""
 
     @property
     def lateness_ms(self) -> float:
-        """How long after its due time it was answered."""
+        """Time in ms from the request's deadline to its answer; negative if the answer was in time."""
         return self.answered_ms - self.sent_ms - self.wait_ms
 
 
 class ClientConnection:
-    """One connection, used for as long as it is open."""
+    """One connection to the node, and the requests sent on it."""
 
     def __init__(self, clients: PersistentClients, sock: socket.socket) -> None:
         self.sock = sock
-        self.open: dict[int, ClientRequest] = {}
+        self.requests: dict[int, ClientRequest] = {}
         self.is_closed = False
         self._clients = clients
         self._number = 0
         self._unpacker = msgpack.Unpacker()
 
     def send(self, request: ClientRequest) -> None:
-        """Send a request; OSError where the connection is broken."""
+        """Send a request; the socket raises OSError if the connection is broken."""
         self._number += 1
         key = request.idempotency_key
         message = RequestMessage(
@@ -79,17 +80,17 @@
             key,
             body=keyed_body(key) if key else PLAIN_BODY,
         )
-        self.open[self._number] = request
+        self.requests[self._number] = request
         self.sock.sendall(message.encode())
 
     def cancel(self, request: ClientRequest) -> None:
-        """Notify the node that nobody waits for a request any more."""
-        for number, found in list(self.open.items()):
+        """Send the node a cancellation of a request, if the request was sent on this connection."""
+        for number, found in list(self.requests.items()):
             if found is request and not self.is_closed:
-                del self.open[number]
+                del self.requests[number]
                 self.sock.sendall(encode_cancellation(number))
 
-    def steps(self) -> Coroutine:
+    def read_answers(self) -> Coroutine:
         """Read answers until the connection ends."""
         try:
             while True:
@@ -100,7 +101,7 @@
                 self._unpacker.feed(data)
                 for message in self._unpacker:
                     if message[0] == ANSWER_MESSAGE:
-                        self._take_answer(message)
+                        self._handle_answer(message)
         except OSError:
             pass
         finally:
@@ -108,8 +109,8 @@
             self._clients.loop.close(self.sock)
             self._clients.connection_ended(self)
 
-    def _take_answer(self, message: list[object]) -> None:
-        request = self.open.get(int(str(message[1])))
+    def _handle_answer(self, message: list[object]) -> None:
+        request = self.requests.get(int(str(message[1])))
         if request is not None:
             error = message[2]
             request.answers.append(str(error[0]) if isinstance(error, list) else SERVED)
@@ -117,13 +118,13 @@
 
 
 class PersistentClients:
-    """All clients of one node."""
+    """All clients of one node, which share a fixed number of connections."""
 
     def __init__(self, loop: EventLoop, address: Address, generator: random.Random, connections: int) -> None:
-        """Connect to nothing yet; ``connections`` are used in turn."""
+        """Open no connection yet; requests are spread at random over up to ``connections`` connections."""
         self.loop = loop
         self.requests: list[ClientRequest] = []
-        self.node_is_gone = False  # killed: what was open then is not owed
+        self.node_killed = False  # Set at the kill: no answer is expected for requests that are open then.
         self._address = address
         self._generator = generator
         self._connections: list[ClientConnection | None] = [None] * connections
@@ -143,63 +144,65 @@
         try:
             self._connection(index).send(request)
         except OSError:
-            request.is_owed = False  # refused, or broken as it was sent: not a byte of it counts
+            # The connection was refused or broke during sending: the node cannot have read the whole request.
+            request.answer_expected = False
 
     def _connection(self, index: int) -> ClientConnection:
         found = self._connections[index]
-        if found is None or found.is_closed or len(found.open) >= REQUESTS_OPEN_MAX:
+        if found is None or found.is_closed or len(found.requests) >= CONNECTION_REQUESTS_MAX:
             sock = socket.create_connection(self._address, timeout=CONNECT_TIMEOUT_S)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             found = ClientConnection(self, sock)
             self._connections[index] = found
-            self.loop.spawn(found.steps())
+            self.loop.spawn(found.read_answers())
         return found
 
     def cancel(self, request: ClientRequest) -> None:
-        """Cancel a request that has no answer yet."""
+        """Cancel a request unless it has been answered."""
         if not request.answers:
-            request.is_owed = False
+            request.answer_expected = False
             for connection in self._connections:
                 if connection is not None:
                     connection.cancel(request)
 
-    def reset_one(self) -> None:
-        """Reset a random connection; what is open there is not owed any more."""
+    def reset_random_connection(self) -> None:
+        """Reset a random connection; no answer is expected for its open requests any more."""
         connection = self._generator.choice(self._connections)
         if connection is not None and not connection.is_closed:
-            for request in connection.open.values():
-                request.is_owed = request.is_owed and bool(request.answers)
-            connection.open.clear()
+            for request in connection.requests.values():
+                request.answer_expected = request.answer_expected and bool(request.answers)
+            connection.requests.clear()
             connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             connection.sock.shutdown(socket.SHUT_RDWR)
 
-    def open_crowd(self, count: int) -> None:
-        """Open connections that send nothing."""
+    def open_idle_connections(self, count: int) -> None:
+        """Open ``count`` connections that send nothing; stop at the first one that the node refuses."""
         for _ in range(count):
             try:
                 self._idle.append(socket.create_connection(self._address, timeout=CONNECT_TIMEOUT_S))
             except OSError:
                 return
 
-    def close_crowd(self) -> None:
-        """Close the connections that sent nothing."""
+    def close_idle_connections(self) -> None:
+        """Close the connections that were opened to send nothing."""
         for sock in self._idle:
             sock.close()
         self._idle.clear()
 
     def connection_ended(self, connection: ClientConnection) -> None:
-        """Judge what was open on a connection that the node or the kernel closed."""
+        """Resend or mark as lost the open requests of a connection that the node or the kernel closed."""
         now = self.loop.clock.now()
-        for request in connection.open.values():
-            if request.answers or not request.is_owed:
+        for request in connection.requests.values():
+            if request.answers or not request.answer_expected:
                 continue
-            if self.node_is_gone:
-                request.is_owed = False
-            elif now - request.sent_ms <= CROSSING_MS and request.attempts == 1:
+            if self.node_killed:
+                request.answer_expected = False
+            elif now - request.sent_ms <= CLOSE_RACE_MS and request.attempts == 1:
                 index = self._generator.randrange(len(self._connections))
-                self._connections[index] = None  # on a new connection; the earlier one is still read
+                # Resend on a new connection; a connection that is replaced here is still read for answers.
+                self._connections[index] = None
                 self._send(request, index)
             else:
-                request.lost_reason = f"connection ended {now - request.sent_ms:.0f} ms after it was sent"
-        connection.open.clear()
+                request.lost_reason = f"connection ended {now - request.sent_ms:.0f} ms after the request"
+        connection.requests.clear()
--- a/snowthread/lab/demo_fleet.py
+++ b/snowthread/lab/demo_fleet.py
@@ -59,11 +59,13 @@
             for node in self.nodes
         ]
         self.load_generators = [
-            LoadGenerator(format_address(node.listen), BALANCER_HOSTS, loop=loop, caller=BALANCER_NUMBER)
+            LoadGenerator(
+                format_address(node.listen), BALANCER_HOSTS, loop=loop, balancer_number=BALANCER_NUMBER
+            )
             for node in self.nodes
         ]
         for load in self.load_generators:
-            load.others = [other for other in self.load_generators if other is not load]
+            load.alternatives = [other for other in self.load_generators if other is not load]
 
     def _config_file(self, index: int) -> Path:
         return self.folder / f"node{index + 1}.json"
